--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -43,7 +43,7 @@
     pub busy: u64,
     pub waiting: u32,
     pub hosts_down: u32,
-    /// Connections and legs at hosts that are to be kept away from, where there are any.
+    /// Connections and attempts at hosts that are to be kept away from, where there are any.
     pub holds: Vec<(UnitName, u32)>,
 }
 
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -56,7 +56,7 @@
     pub out: Option<Permit>,
     pub version: String,
     pub rates: Rates,
-    /// Connections and legs at hosts that are wanted out; none are left at those that are not named. Not given while
+    /// Connections and attempts at hosts that are wanted out; none are left at those that are not named. Not given while
     /// the node has not kept away from them since its last count.
     pub holds: Option<Vec<(UnitName, u32)>>,
     pub chair: Chair,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -37,7 +37,7 @@
 /// Connections accepted in one turn; the open ones must not wait for a whole burst.
 const ACCEPTS: usize = 64;
 
-/// Descriptors kept free of calls: half for new connections, which may only get to hear BUSY, half for the legs
+/// Descriptors kept free of calls: half for new connections, which may only get to hear BUSY, half for the attempts
 /// of those that are served, for probes and the list.
 const RESERVE: usize = 16;
 
@@ -320,7 +320,7 @@
             }
             Stage::Open if !broke => {
                 held.stage = Stage::Ending;
-                if let Some(host) = held.leg.as_ref().map(|leg| leg.conn) {
+                if let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn) {
                     if let Some(seat) = self.conns.get_mut(host.0) {
                         seat.conn.finish = true;
                     }
@@ -333,7 +333,7 @@
             Stage::Open | Stage::Ending => {
                 held.client = None;
                 self.drop_conn(id);
-                self.close_leg(call, Ending::Recalled, true);
+                self.close_attempt(call, Ending::Recalled, true);
             }
         }
         self.settle();
@@ -361,17 +361,17 @@
     fn call_given_up(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
         if held.stage == Stage::Returning {
-            let conn = held.leg.as_ref().map(|leg| leg.conn);
+            let conn = held.attempt.as_ref().map(|attempt| attempt.conn);
             self.forget_call(call);
             if let Some(conn) = conn {
-                self.legs_out -= 1;
+                self.attempts_out -= 1;
                 self.drop_conn(conn);
             }
             return;
         }
         let now = self.now;
         self.tell(|node, port| node.call_given_up(now, call, port));
-        if self.calls.get(call.0).is_some_and(|held| held.leg.is_none()) {
+        if self.calls.get(call.0).is_some_and(|held| held.attempt.is_none()) {
             self.forget_call(call);
         }
     }
@@ -382,7 +382,7 @@
         if let Some(client) = held.client.take() {
             self.last_words(client, b"");
         }
-        self.close_leg(call, Ending::Recalled, true);
+        self.close_attempt(call, Ending::Recalled, true);
         self.settle();
     }
 
@@ -390,7 +390,7 @@
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(seat) = self.conns.get_mut(id.0) else { return };
         let open = matches!(held.stage, Stage::Open | Stage::Ending);
-        let Some(host) = held.leg.as_ref().map(|leg| leg.conn).filter(|_| open) else {
+        let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn).filter(|_| open) else {
             debug!(call = call.0, "a client did not wait for its host");
             held.client = None;
             self.answer_conn(id, Answer::Error);
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -25,14 +25,17 @@
 /// Counts since the start of the process.
 pub struct Figures {
     of_type: Vec<(String, Outcomes)>,
-    /// Legs whose line was written to a host whole.
-    pub legs: u64,
+    /// Attempts whose line was written to a host whole.
+    pub attempts: u64,
 }
 
 impl Figures {
     /// All types are there from the start, with 0.
     pub fn new(names: &[String]) -> Figures {
-        Figures { of_type: names.iter().map(|name| (name.clone(), Outcomes::default())).collect(), legs: 0 }
+        Figures {
+            of_type: names.iter().map(|name| (name.clone(), Outcomes::default())).collect(),
+            attempts: 0,
+        }
     }
 
     /// Types that the settings name since they changed begin with 0.
@@ -77,7 +80,7 @@
         let slowest = std::mem::take(&mut self.slowest_turn);
         json!({
             "calls": calls,
-            "backend_calls": self.figures.legs,
+            "backend_calls": self.figures.attempts,
             "inflight": self.calls.len(),
             "waiting": self.waiting(),
             "hosts_listed": self.hosts.listed().count(),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -224,14 +224,14 @@
 
     // Hosts.
 
-    /// Connections and legs at hosts that are to be empty. Calls are gone through only while there are such hosts.
+    /// Connections and attempts at hosts that are to be empty. Calls are gone through only while there are such hosts.
     fn holds(&self) -> Vec<(UnitName, u32)> {
         let Some(membership) = self.membership.as_ref().filter(|of| !of.kept_from.is_empty()) else {
             return vec![];
         };
         let mut counts: BTreeMap<&UnitName, u32> = BTreeMap::new();
         for (_, held) in self.calls.iter() {
-            let host = held.leg.as_ref().map(|leg| leg.host);
+            let host = held.attempt.as_ref().map(|attempt| attempt.host);
             if let Some(name) = host.and_then(|host| membership.kept_from.get(&host)) {
                 *counts.entry(name).or_default() += 1;
             }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use glendeck::domain::{
-    Call, CallId, Cell, Condition, Ending, Extent, GroupId, HostId, HostLegacy, Kind, LegNo, Legacy, Listed,
-    Size, Span, SubjectId, TenantId, Time, TrafficId, Weight, Zone,
+    AttemptNumber, Call, CallId, Cell, Condition, Ending, Extent, GroupId, HostId, HostLegacy, Kind, Legacy,
+    Listed, Size, Span, SubjectId, TenantId, Time, TrafficId, Weight, Zone,
 };
 use rustix::io::Errno;
 use rustix::net::{
@@ -29,7 +29,7 @@
 use crate::hosts::SEND_AWAY;
 use crate::line::{ClientId, LONGEST, first_line};
 use crate::list::Told;
-use crate::service::{ConnId, Due, Held, Leg, LegEnd, Phase, Role, Service, Stage};
+use crate::service::{Attempt, AttemptEnd, ConnId, Due, Held, Phase, Role, Service, Stage};
 
 /// What the next process says first, and what stands before the message; another version says another number.
 const HEIR: &str = "HEIR 1";
@@ -481,8 +481,8 @@
         let Some(held) = self.calls.get(call.0).filter(|held| held.stage == Stage::Open) else {
             return Ok(());
         };
-        let (Some(client), Some(leg)) = (held.client, &held.leg) else { return Ok(()) };
-        let (Some(ours), Some(theirs)) = (self.conns.get(client.0), self.conns.get(leg.conn.0)) else {
+        let (Some(client), Some(attempt)) = (held.client, &held.attempt) else { return Ok(()) };
+        let (Some(ours), Some(theirs)) = (self.conns.get(client.0), self.conns.get(attempt.conn.0)) else {
             return Ok(());
         };
         if held.last.is_some() || !ours.conn.is_sound() || !theirs.conn.is_sound() {
@@ -492,20 +492,20 @@
         let said = json!({
             "id": held.id.0, "traffic": of.traffic.0, "type": self.startup.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
             "subject": of.subject.map(|subject| subject.0), "group": of.group.map(|group| group.0),
-            "load": of.load, "host": leg.host.0, "asked": held.asked.map(|asked| self.now.since(asked).0),
+            "load": of.load, "host": attempt.host.0, "asked": held.asked.map(|asked| self.now.since(asked).0),
             "client_in": hex(&ours.conn.inbox), "client_out": hex(ours.conn.to_go()),
             "host_in": hex(&theirs.conn.inbox), "host_out": hex(theirs.conn.to_go()),
         });
-        let (host, conn, no) = (leg.host, leg.conn, leg.no);
+        let (host, conn, no) = (attempt.host, attempt.conn, attempt.no);
         let line = format!("CALL {said}\n");
         let rest = self.send_sockets(id, &line, &[ours.conn.fd.as_fd(), theirs.conn.fd.as_fd()])?;
         // From here on it is the next process's.
         self.give_up_conn(client);
         self.give_up_conn(conn);
         self.forget_call(call);
-        self.legs_out -= 1;
+        self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended.push_back(LegEnd { call, leg: no, ending: Ending::Recalled, last: true });
+        self.ended.push_back(AttemptEnd { call, attempt: no, ending: Ending::Recalled, last: true });
         self.say_on(id, &rest);
         self.tell_heir(host);
         self.settle();
@@ -667,15 +667,15 @@
             return None;
         };
         let mut held = Held::new(id, client, Vec::new(), 0..0, call, Stage::Open, None);
-        let no = LegNo(0);
+        let no = AttemptNumber(0);
         let (sent, limit, line_out, line_gone) = (self.now, self.now, true, true);
-        (held.legs, held.leg) =
-            (1, Some(Leg { no, host: at, conn: host, sent, limit, may_go: true, line_out, line_gone }));
+        (held.attempts, held.attempt) =
+            (1, Some(Attempt { no, host: at, conn: host, sent, limit, may_go: true, line_out, line_gone }));
         (held.asked, held.silence_set) = (asked, asked.is_some());
         let number = CallId(self.calls.insert(held));
         self.calls.get_mut(number.0)?.call.id = number;
         self.ids.insert(id);
-        self.legs_out += 1;
+        self.attempts_out += 1;
         for (conn, role) in [(client, Role::Client(Some(number))), (host, Role::Host(number))] {
             if let Some(seat) = self.conns.get_mut(conn.0) {
                 seat.role = role;
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -1,9 +1,9 @@
-//! Hosts: where they are, the legs out to them and what they say.
+//! Hosts: where they are, the attempts out to them and what they say.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use glendeck::domain::{CallId, Condition, Ending, Extent, HostId, LegNo, Listed, News, Span, Time};
+use glendeck::domain::{AttemptNumber, CallId, Condition, Ending, Extent, HostId, Listed, News, Span, Time};
 use rustc_hash::FxHashMap;
 use rustix::io::Errno;
 use tracing::{debug, warn};
@@ -12,7 +12,7 @@
 use crate::figures::Outcome;
 use crate::line::{self, Word};
 use crate::list::Told;
-use crate::service::{ConnId, Due, Held, Leg, LegEnd, Role, Seat, Service, Stage};
+use crate::service::{Attempt, AttemptEnd, ConnId, Due, Held, Role, Seat, Service, Stage};
 
 /// How long a host may bring nothing back on a connection that asked it something. A host that is well
 /// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after 0.2,
@@ -138,13 +138,18 @@
 }
 
 impl Service {
-    /// Opens the connection of a leg; what becomes of it is told later.
-    pub fn open_leg(&mut self, id: CallId, host: HostId, within: Span) {
+    /// Opens the connection of an attempt; what becomes of it is told later.
+    pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) {
         let Some(held) = self.calls.get_mut(id.0) else { return };
-        let no = LegNo(held.legs);
-        held.legs += 1;
+        let no = AttemptNumber(held.attempts);
+        held.attempts += 1;
         if !self.client_waits(id) {
-            return self.ended.push_back(LegEnd { call: id, leg: no, ending: Ending::NeverSent, last: true });
+            return self.ended.push_back(AttemptEnd {
+                call: id,
+                attempt: no,
+                ending: Ending::NeverSent,
+                last: true,
+            });
         }
         let limit = self.now + within;
         let conn = self.hosts.address(host).ok_or(Errno::ADDRNOTAVAIL).and_then(Conn::connect);
@@ -154,39 +159,40 @@
                 // Danger: a want of descriptors here would make every host look bad.
                 let ours = matches!(fault, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM);
                 let ending = if ours { Ending::NeverSent } else { Ending::Unreachable };
-                return self.ended.push_back(LegEnd { call: id, leg: no, ending, last: false });
+                return self.ended.push_back(AttemptEnd { call: id, attempt: no, ending, last: false });
             }
         };
-        self.legs_out += 1;
+        self.attempts_out += 1;
         if let Some(held) = self.calls.get_mut(id.0) {
             let (sent, may_go) = (self.now, held.kept.is_none());
-            held.leg = Some(Leg { no, host, conn, limit, sent, may_go, line_out: false, line_gone: false });
+            held.attempt =
+                Some(Attempt { no, host, conn, limit, sent, may_go, line_out: false, line_gone: false });
         }
         self.ask_to_keep(id);
-        debug!(call = id.0, leg = no.0, host = host.0, within_ms = within.0 / 1_000_000, "leg");
-        self.deadlines.set(limit, Due::Leg(id, no));
+        debug!(call = id.0, attempt = no.0, host = host.0, within_ms = within.0 / 1_000_000, "leg");
+        self.deadlines.set(limit, Due::Attempt(id, no));
         // A connection that is not up by the limit for that never will be.
         if self.startup.connect_limit < within {
             self.deadlines.set(self.now + self.startup.connect_limit, Due::Connect(id, no));
         }
-        self.leg_up(conn);
+        self.attempt_connected(conn);
     }
 
     /// Writes the client's line once the connection is up, with the time that is left.
-    pub fn leg_up(&mut self, id: ConnId) {
+    pub fn attempt_connected(&mut self, id: ConnId) {
         let Some(Role::Host(call)) = self.role(id) else { return };
         let Some(seat) = self.conns.get_mut(id.0) else { return };
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        if let Some(leg) = &mut held.leg
+        if let Some(attempt) = &mut held.attempt
             && !seat.conn.connecting
-            && leg.may_go
-            && !leg.line_out
+            && attempt.may_go
+            && !attempt.line_out
         {
             // Danger: a connection that comes up late, or an intent that is kept late, would send something new to a host
-            // that has begun to drain since the leg was decided on. One that was open there before belongs there.
-            let closed = held.stage == Stage::Waiting && !self.hosts.is_ready(leg.host);
+            // that has begun to drain since the attempt was decided on. One that was open there before belongs there.
+            let closed = held.stage == Stage::Waiting && !self.hosts.is_ready(attempt.host);
             if closed || !self.client_waits(call) {
-                self.end_leg(call, Ending::NeverSent, None);
+                self.end_attempt(call, Ending::NeverSent, None);
                 return self.settle();
             }
             self.send_line(id, call);
@@ -197,49 +203,49 @@
     fn send_line(&mut self, id: ConnId, call: CallId) {
         let Some(seat) = self.conns.get_mut(id.0) else { return };
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(leg) = &mut held.leg else { return };
-        leg.line_out = true;
-        let left = leg.limit.since(self.now);
+        let Some(attempt) = &mut held.attempt else { return };
+        attempt.line_out = true;
+        let left = attempt.limit.since(self.now);
         line::encode_open(&held.line, &held.wait_at, left, &mut seat.conn.outbox);
     }
 
     /// Notes when the last byte of the line has gone: before that the host never ran it, after that it may have.
     pub fn note_line_gone(&mut self, call: CallId) {
-        let Some(leg) = self.calls.get_mut(call.0).and_then(|held| held.leg.as_mut()) else { return };
+        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
         let gone = |seat: &Seat| seat.conn.unsent() == 0 && !seat.conn.broken;
-        if leg.line_out && !leg.line_gone && self.conns.get(leg.conn.0).is_some_and(gone) {
-            leg.line_gone = true;
-            self.figures.legs += 1;
+        if attempt.line_out && !attempt.line_gone && self.conns.get(attempt.conn.0).is_some_and(gone) {
+            attempt.line_gone = true;
+            self.figures.attempts += 1;
         }
     }
 
-    pub fn leg_limit(&mut self, id: CallId, no: LegNo, connecting_only: bool) {
+    pub fn attempt_deadline(&mut self, id: CallId, no: AttemptNumber, connecting_only: bool) {
         let Some(held) = self.calls.get(id.0) else { return };
-        let Some(leg) = held.leg.as_ref().filter(|leg| leg.no == no) else { return };
+        let Some(attempt) = held.attempt.as_ref().filter(|attempt| attempt.no == no) else { return };
         if matches!(held.stage, Stage::Open | Stage::Ending) {
             return;
         }
-        // A number may be given twice, to a leg that never went and to one that did.
-        let due = if connecting_only { leg.sent + self.startup.connect_limit } else { leg.limit };
+        // A number may be given twice, to an attempt that never went and to one that did.
+        let due = if connecting_only { attempt.sent + self.startup.connect_limit } else { attempt.limit };
         if self.now < due {
             return;
         }
-        let connecting = self.conns.get(leg.conn.0).is_some_and(|seat| seat.conn.connecting);
+        let connecting = self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.connecting);
         if connecting || !connecting_only {
-            let ending = if leg.line_gone { Ending::TimedOut } else { Ending::Unreachable };
-            self.end_leg(id, ending, None);
+            let ending = if attempt.line_gone { Ending::TimedOut } else { Ending::Unreachable };
+            self.end_attempt(id, ending, None);
         }
     }
 
-    /// The leg of a call that is not open has ended; `answer` is what the client gets of it, if it is final.
-    pub fn end_leg(&mut self, id: CallId, ending: Ending, answer: Option<&[u8]>) {
+    /// The attempt of a call that is not open has ended; `answer` is what the client gets of it, if it is final.
+    pub fn end_attempt(&mut self, id: CallId, ending: Ending, answer: Option<&[u8]>) {
         let Some(held) = self.calls.get_mut(id.0) else { return };
-        let Some(leg) = held.leg.take() else { return };
-        if let Some(kept) = held.kept.as_mut().filter(|_| leg.line_out && !ending.never_ran()) {
-            kept.ran.get_or_insert((leg.host, leg.sent));
+        let Some(attempt) = held.attempt.take() else { return };
+        if let Some(kept) = held.kept.as_mut().filter(|_| attempt.line_out && !ending.never_ran()) {
+            kept.ran.get_or_insert((attempt.host, attempt.sent));
         }
-        debug!(call = id.0, leg = leg.no.0, host = leg.host.0, ?ending, "leg ended");
-        self.legs_out -= 1;
+        debug!(call = id.0, attempt = attempt.no.0, host = attempt.host.0, ?ending, "leg ended");
+        self.attempts_out -= 1;
         if held.stage == Stage::Returning {
             // Nothing was decided of this one: it belongs where it was.
             if ending.never_ran() && held.call.guard > self.now + AGAIN {
@@ -250,7 +256,7 @@
                     if ending.never_ran() { line::Answer::Busy(None) } else { line::Answer::Error },
                 );
             }
-            return self.drop_conn(leg.conn);
+            return self.drop_conn(attempt.conn);
         }
         let client = if answer.is_some() { held.client.take() } else { held.client };
         let last = answer.is_some() || client.is_none();
@@ -258,12 +264,12 @@
             let answer = answer.to_vec();
             self.last_words(client, &answer);
         }
-        self.drop_conn(leg.conn);
-        self.ended.push_back(LegEnd { call: id, leg: leg.no, ending, last });
+        self.drop_conn(attempt.conn);
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, ending, last });
     }
 
     pub fn return_to_host(&mut self, id: CallId) {
-        let Some(Held { stage: Stage::Returning, leg: None, call, at: Some(host), .. }) =
+        let Some(Held { stage: Stage::Returning, attempt: None, call, at: Some(host), .. }) =
             self.calls.get(id.0)
         else {
             return;
@@ -274,7 +280,7 @@
             return;
         }
         let before = self.ended.len();
-        self.open_leg(id, host, left);
+        self.open_attempt(id, host, left);
         if self.ended.len() > before {
             // It could not even begin.
             self.ended.pop_back();
@@ -287,23 +293,23 @@
         }
     }
 
-    pub fn recall_leg(&mut self, id: CallId, no: LegNo) {
+    pub fn cancel_attempt(&mut self, id: CallId, no: AttemptNumber) {
         let Some(held) = self.calls.get(id.0) else { return };
-        let out = held.leg.as_ref().is_some_and(|leg| leg.no == no);
+        let out = held.attempt.as_ref().is_some_and(|attempt| attempt.no == no);
         if out && !matches!(held.stage, Stage::Open | Stage::Ending) {
-            self.end_leg(id, Ending::Recalled, None);
+            self.end_attempt(id, Ending::Recalled, None);
         }
     }
 
     /// The host's connection broke, or never came up.
     pub fn host_lost(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
-        let Some(leg) = &held.leg else { return };
+        let Some(attempt) = &held.attempt else { return };
         match held.stage {
             Stage::Open | Stage::Ending => self.host_ended(call, true),
             _ => {
-                let ending = if leg.line_gone { Ending::Broken } else { Ending::Unreachable };
-                self.end_leg(call, ending, None);
+                let ending = if attempt.line_gone { Ending::Broken } else { Ending::Unreachable };
+                self.end_attempt(call, ending, None);
             }
         }
         self.settle();
@@ -338,7 +344,7 @@
             let Some(length) = line::first_line(&seat.conn.inbox) else {
                 if seat.conn.inbox.len() >= line::LONGEST {
                     warn!("a host sent a line that is too long");
-                    self.end_leg(call, Ending::Error, None);
+                    self.end_attempt(call, Ending::Error, None);
                     self.settle();
                 }
                 return;
@@ -346,15 +352,15 @@
             let Some(seat) = self.conns.get_mut(id.0) else { return };
             let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
             match line::word(&said) {
-                Word::Up => self.leg_open(id, call, &said),
+                Word::Up => self.attempt_open(id, call, &said),
                 Word::Load(load) => self.tell_load(call, load),
-                Word::Bye => self.end_leg(call, Ending::Completed, Some(&said)),
-                Word::Move => self.end_leg(call, Ending::Recalled, None),
-                Word::Busy => self.end_leg(call, Ending::Full, None),
-                Word::Error => self.end_leg(call, Ending::Error, None),
+                Word::Bye => self.end_attempt(call, Ending::Completed, Some(&said)),
+                Word::Move => self.end_attempt(call, Ending::Recalled, None),
+                Word::Busy => self.end_attempt(call, Ending::Full, None),
+                Word::Error => self.end_attempt(call, Ending::Error, None),
                 Word::Pong | Word::Other => {
                     warn!(said = %String::from_utf8_lossy(&said).trim_end(), "a host said something unknown");
-                    self.end_leg(call, Ending::Error, None);
+                    self.end_attempt(call, Ending::Error, None);
                 }
             }
             self.settle();
@@ -362,30 +368,30 @@
     }
 
     fn tell_load(&mut self, call: CallId, load: f64) {
-        let Some(leg) = self.calls.get(call.0).and_then(|held| held.leg.as_ref()) else { return };
-        let (no, now) = (leg.no, self.now);
-        self.tell(|node, port| node.leg_news(now, call, no, News::Load(load), port));
+        let Some(attempt) = self.calls.get(call.0).and_then(|held| held.attempt.as_ref()) else { return };
+        let (no, now) = (attempt.no, self.now);
+        self.tell(|node, port| node.attempt_report(now, call, no, News::Load(load), port));
     }
 
     /// The host's `UP`: from now on the connection is the client's and the host's.
-    fn leg_open(&mut self, id: ConnId, call: CallId, said: &[u8]) {
+    fn attempt_open(&mut self, id: ConnId, call: CallId, said: &[u8]) {
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        let (Some(client), Some(leg)) = (held.client, &held.leg) else {
-            // The client has gone meanwhile, and the leg could not be recalled.
-            return self.end_leg(call, Ending::Recalled, None);
+        let (Some(client), Some(attempt)) = (held.client, &held.attempt) else {
+            // The client has gone meanwhile, and the attempt could not be recalled.
+            return self.end_attempt(call, Ending::Recalled, None);
         };
         let returning = held.stage == Stage::Returning;
         held.stage = Stage::Open;
         if let Some(mut kept) = held.kept.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
-            kept.ran.get_or_insert((leg.host, leg.sent));
+            kept.ran.get_or_insert((attempt.host, attempt.sent));
             self.work_ended(call, Some(&kept));
         }
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(leg) = &held.leg else { return };
+        let Some(attempt) = &held.attempt else { return };
         self.figures.count(held.call.traffic, Outcome::Success);
-        let (no, host, took, of) = (leg.no, leg.host, self.now.since(leg.sent), held.call);
-        debug!(call = call.0, leg = no.0, host = host.0, took_ms = took.0 / 1_000_000, "up");
+        let (no, host, took, of) = (attempt.no, attempt.host, self.now.since(attempt.sent), held.call);
+        debug!(call = call.0, attempt = no.0, host = host.0, took_ms = took.0 / 1_000_000, "up");
         if let Some(seat) = self.conns.get_mut(client.0) {
             seat.conn.outbox.extend_from_slice(said);
         }
@@ -396,7 +402,7 @@
         if returning {
             self.tell(|node, _| node.connection_found(now, of, host));
         } else {
-            self.tell(|node, port| node.leg_set_up(now, call, no, took, port));
+            self.tell(|node, port| node.attempt_established(now, call, no, took, port));
         }
         if self.hosts.is_leaving(host) {
             self.deadlines.set(now + SEND_AWAY, Due::Move(call));
@@ -458,7 +464,7 @@
             _ => Ending::Broken,
         };
         let (client, spoke) = (held.client.take(), held.last.is_some());
-        self.close_leg(id, ending, false);
+        self.close_attempt(id, ending, false);
         let Some(client) = client else { return };
         if broke && !spoke {
             self.reset_conn(client);
@@ -468,18 +474,18 @@
     }
 
     /// Ends the host's side of an open connection and books it.
-    pub fn close_leg(&mut self, id: CallId, ending: Ending, reset: bool) {
-        let Some(leg) = self.calls.get_mut(id.0).and_then(|held| held.leg.take()) else { return };
-        debug!(call = id.0, host = leg.host.0, ?ending, "ended");
-        self.legs_out -= 1;
-        self.hosts.closed(leg.host, id);
-        self.tell_heir(leg.host);
-        match (reset, self.conns.get(leg.conn.0).is_some_and(|seat| seat.conn.read_ended)) {
-            (true, _) => self.reset_conn(leg.conn),
-            (_, true) => self.drop_conn(leg.conn),
-            _ => self.last_words(leg.conn, b""),
+    pub fn close_attempt(&mut self, id: CallId, ending: Ending, reset: bool) {
+        let Some(attempt) = self.calls.get_mut(id.0).and_then(|held| held.attempt.take()) else { return };
+        debug!(call = id.0, host = attempt.host.0, ?ending, "ended");
+        self.attempts_out -= 1;
+        self.hosts.closed(attempt.host, id);
+        self.tell_heir(attempt.host);
+        match (reset, self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.read_ended)) {
+            (true, _) => self.reset_conn(attempt.conn),
+            (_, true) => self.drop_conn(attempt.conn),
+            _ => self.last_words(attempt.conn, b""),
         }
-        self.ended.push_back(LegEnd { call: id, leg: leg.no, ending, last: true });
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, ending, last: true });
     }
 
     /// Danger: a machine that vanished says nothing, and its connections stay open for ever.
@@ -510,7 +516,7 @@
         let mut words = Vec::new();
         line::encode_answer(&line::Answer::Move, &mut words);
         self.last_words(client, &words);
-        self.close_leg(id, ending, false);
+        self.close_attempt(id, ending, false);
     }
 
     /// A host is about to leave: its clients are told to come again, one by one, before it goes.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -49,7 +49,7 @@
 const SPEAKS: u32 = 2;
 const SUMS: u32 = 2;
 
-/// Danger: one bit turned over on the way would make another host, leg or term of what is kept, and a work could be done
+/// Danger: one bit turned over on the way would make another host, attempt or term of what is kept, and a work could be done
 /// twice. TCP's own sum misses one in 65,536 of what is damaged, and middle boxes make it anew.
 pub fn seal(bytes: &mut Vec<u8>) {
     let sum = crc32fast::hash(bytes);
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -7,7 +7,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use glendeck::domain::{Call, CallId, Ending, HostId, LegNo, Legacy, Span, Time, Token};
+use glendeck::domain::{AttemptNumber, Call, CallId, Ending, HostId, Legacy, Span, Time, Token};
 use glendeck::port::Port;
 use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
@@ -98,7 +98,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The decisions have it; a leg may be out.
+    /// The decisions have it; an attempt may be out.
     Waiting,
     /// It was open before the start and goes to the host where it was.
     Returning,
@@ -107,8 +107,8 @@
     Ending,
 }
 
-pub struct Leg {
-    pub no: LegNo,
+pub struct Attempt {
+    pub no: AttemptNumber,
     pub host: HostId,
     pub conn: ConnId,
     pub sent: Time,
@@ -130,8 +130,8 @@
     pub call: Call,
     pub stage: Stage,
     pub at: Option<HostId>,
-    pub leg: Option<Leg>,
-    pub legs: u16,
+    pub attempt: Option<Attempt>,
+    pub attempts: u16,
     /// Since when the host owes a line.
     pub asked: Option<Time>,
     pub silence_set: bool,
@@ -161,8 +161,8 @@
             call,
             stage,
             at,
-            leg: None,
-            legs: 0,
+            attempt: None,
+            attempts: 0,
             asked: None,
             silence_set: false,
             last: None,
@@ -172,10 +172,10 @@
     }
 }
 
-/// The end of a leg that the decisions have not been told yet.
-pub struct LegEnd {
+/// The end of an attempt that the decisions have not been told yet.
+pub struct AttemptEnd {
     pub call: CallId,
-    pub leg: LegNo,
+    pub attempt: AttemptNumber,
     pub ending: Ending,
     /// It answers the call, or the call has had its answer.
     pub last: bool,
@@ -184,8 +184,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Wake(Token),
-    Connect(CallId, LegNo),
-    Leg(CallId, LegNo),
+    Connect(CallId, AttemptNumber),
+    Attempt(CallId, AttemptNumber),
     Again(CallId),
     Silence(CallId),
     Linger(CallId),
@@ -268,14 +268,14 @@
     pub ids: FxHashSet<ClientId>,
     /// Connections of no use to a call, the longest idle first, each with the time since when.
     pub idle: VecDeque<(Time, ConnId)>,
-    pub legs_out: usize,
+    pub attempts_out: usize,
     pub hosts: Directory,
     pub list: List,
     pub list_failures: u32,
     pub probes_failed: Vec<HostId>,
     /// Out of its place only while it decides.
     node: Option<Box<Node>>,
-    pub ended: VecDeque<LegEnd>,
+    pub ended: VecDeque<AttemptEnd>,
     pub scratch: Vec<u8>,
 }
 
@@ -385,7 +385,7 @@
             calls: Slots::default(),
             ids: FxHashSet::default(),
             idle: VecDeque::new(),
-            legs_out: 0,
+            attempts_out: 0,
             hosts: Directory::default(),
             list: List::default(),
             list_failures: 0,
@@ -496,7 +496,7 @@
             if seat.role == Role::Peer {
                 self.peer_up(id);
             } else {
-                self.leg_up(id);
+                self.attempt_connected(id);
             }
         } else if flags.contains(Flags::OUT) {
             self.drained(id);
@@ -515,7 +515,7 @@
         }
         let other = match seat.role {
             Role::Client(Some(call)) => {
-                self.calls.get(call.0).and_then(|held| held.leg.as_ref()).map(|leg| leg.conn)
+                self.calls.get(call.0).and_then(|held| held.attempt.as_ref()).map(|attempt| attempt.conn)
             }
             Role::Host(call) => self.calls.get(call.0).and_then(|held| held.client),
             Role::Closing => return self.closing_came(id),
@@ -591,8 +591,8 @@
         let now = self.now;
         match due {
             Due::Wake(token) => self.tell(|node, port| node.woken(now, token, port)),
-            Due::Connect(call, leg) => self.leg_limit(call, leg, true),
-            Due::Leg(call, leg) => self.leg_limit(call, leg, false),
+            Due::Connect(call, attempt) => self.attempt_deadline(call, attempt, true),
+            Due::Attempt(call, attempt) => self.attempt_deadline(call, attempt, false),
             Due::Again(call) => self.return_to_host(call),
             Due::Silence(call) => self.check_silence(call),
             Due::Linger(call) => self.linger_over(call),
@@ -836,10 +836,10 @@
         let left: Vec<CallId> = self.calls.iter().map(|(number, _)| CallId(number)).collect();
         for call in left {
             self.move_client(call, Ending::Recalled);
-            // Its guard time is over by now, or it never had a leg.
+            // Its guard time is over by now, or it never had an attempt.
             let unopened = |held: &Held| matches!(held.stage, Stage::Waiting | Stage::Returning);
             if self.calls.get(call.0).is_some_and(unopened) {
-                let answer = self.calls.get(call.0).is_some_and(|held| held.legs == 0 && !held.looks());
+                let answer = self.calls.get(call.0).is_some_and(|held| held.attempts == 0 && !held.looks());
                 self.answer_call(call, if answer { Answer::Busy(None) } else { Answer::Error });
             }
         }
@@ -881,10 +881,10 @@
         let links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
         self.kept_back() + self.handover.other_uses + self.conns.len() - links - self.door.callers.len()
             + self.calls.len()
-            - self.legs_out.min(self.calls.len())
+            - self.attempts_out.min(self.calls.len())
     }
 
-    /// Descriptors that the calls in hand need when all have their legs.
+    /// Descriptors that the calls in hand need when all have their attempts.
     pub fn committed(&self) -> usize {
         self.kept_back() + self.handover.other_uses + 2 * self.calls.len()
     }
@@ -1020,8 +1020,8 @@
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
         loop {
-            if let Some(LegEnd { call, leg, ending, last }) = self.ended.pop_front() {
-                node.leg_ended(now, call, leg, ending, last, self);
+            if let Some(AttemptEnd { call, attempt, ending, last }) = self.ended.pop_front() {
+                node.attempt_ended(now, call, attempt, ending, last, self);
                 if last {
                     self.forget_call(call);
                 }
@@ -1039,8 +1039,8 @@
 }
 
 impl Port for Service {
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span) {
-        self.open_leg(call, host, within);
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
+        self.open_attempt(call, host, within);
     }
 
     fn reject(&mut self, call: CallId, come_back: Option<Span>) {
@@ -1052,8 +1052,8 @@
         self.answer_call(call, Answer::Error);
     }
 
-    fn recall(&mut self, call: CallId, leg: LegNo) {
-        self.recall_leg(call, leg);
+    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+        self.cancel_attempt(call, attempt);
     }
 
     fn move_away(&mut self, call: CallId) {
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -1,4 +1,4 @@
-//! Work in hand that outlives its node: what is kept before a leg goes, and what a call that comes again meets first.
+//! Work in hand that outlives its node: what is kept before an attempt goes, and what a call that comes again meets first.
 //! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised.
 
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::message::Chair;
 use glendeck_fleet::state::Life;
-use glendeck_takeover::{Before, Left, Leg, Outcome, Step, Takeover, View, Word, Work as Name};
+use glendeck_takeover::{Attempt, Before, Left, Outcome, Step, Takeover, View, Word, Work as Name};
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
@@ -20,7 +20,7 @@
 /// In the node's folder, beside the store: what the process before kept.
 const LEFT: &str = "work";
 
-/// A leg that has less left than this when its intent is kept is not sent: it would hardly be answered.
+/// An attempt that has less left than this when its intent is kept is not sent: it would hardly be answered.
 const LEAST: Span = Span::ms(20);
 
 /// What others keep of a call.
@@ -29,7 +29,7 @@
     pub work: Name,
     /// What has been before it is looked up first: the decisions do not know of it yet.
     pub looks: bool,
-    /// Its first leg that may have run here.
+    /// Its first attempt that may have run here.
     pub ran: Option<(HostId, Time)>,
 }
 
@@ -248,21 +248,22 @@
         self.tell_work(|takeover, now| takeover.returned(now, call.0, work, left.0 / 1_000_000));
     }
 
-    /// The leg that was just opened waits until its intent is kept; its connection comes up meanwhile.
+    /// The attempt that was just opened waits until its intent is kept; its connection comes up meanwhile.
     pub fn ask_to_keep(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
-        let (Some(kept), Some(leg)) = (held.kept, &held.leg) else { return };
+        let (Some(kept), Some(attempt)) = (held.kept, &held.attempt) else { return };
         let traffic = self.startup.terms.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.effect);
         let first = held.call.before.or(kept.ran);
         let recalled = match (traffic, first) {
             (Some(Effect::Referenced { window, .. }), Some((_, at))) => at + window,
-            _ => leg.limit,
+            _ => attempt.limit,
         };
-        let latest = (recalled.min(leg.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
-        let host = leg.host.0;
+        let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
+        let host = attempt.host.0;
         let ran = kept.ran.map(|(host, at)| (host.0, self.moment_of(at)));
-        let leg = Leg { work: kept.work, host, ran, left_ms: latest.1, latest: self.moment_of(latest.0) };
-        self.tell_work(|takeover, now| takeover.intend(now, call.0, leg));
+        let attempt =
+            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.moment_of(latest.0) };
+        self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
     }
 
     fn moment_of(&self, time: Time) -> Moment {
@@ -298,19 +299,19 @@
     }
 
     fn may_go(&mut self, call: CallId) {
-        let Some(leg) = self.calls.get_mut(call.0).and_then(|held| held.leg.as_mut()) else { return };
-        leg.may_go = true;
-        let conn = leg.conn;
+        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
+        attempt.may_go = true;
+        let conn = attempt.conn;
         if let Some(work) = self.work() {
             work.counts.kept += 1;
         }
-        self.leg_up(conn);
+        self.attempt_connected(conn);
     }
 
     /// Nobody keeps it: it does not go, and the call has its answer at once.
     fn not_kept(&mut self, call: CallId) {
-        // Its leg may have ended meanwhile, and then it is for the decisions to go on.
-        let waits = |held: &Held| held.leg.as_ref().is_some_and(|leg| !leg.may_go);
+        // Its attempt may have ended meanwhile, and then it is for the decisions to go on.
+        let waits = |held: &Held| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
         if !self.calls.get(call.0).is_some_and(waits) {
             return;
         }
@@ -327,7 +328,7 @@
         if let Some(client) = client {
             self.answer_conn(client, answer);
         }
-        self.end_leg(call, Ending::NeverSent, None);
+        self.end_attempt(call, Ending::NeverSent, None);
         self.settle();
     }
 
@@ -336,13 +337,13 @@
         if let Some(work) = self.work() {
             work.counts.raced += 1;
         }
-        let Some(leg) = self.calls.get_mut(call.0).and_then(|held| held.leg.take()) else { return };
-        self.legs_out -= 1;
-        self.drop_conn(leg.conn);
+        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.take()) else { return };
+        self.attempts_out -= 1;
+        self.drop_conn(attempt.conn);
         let now = self.now;
-        self.tell(|node, port| node.leg_ended(now, call, leg.no, Ending::NeverSent, true, port));
+        self.tell(|node, port| node.attempt_ended(now, call, attempt.no, Ending::NeverSent, true, port));
         if let Some(held) = self.calls.get_mut(call.0) {
-            held.legs = 0;
+            held.attempts = 0;
         }
         self.look_first(call);
     }
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -258,7 +258,7 @@
     registry: Shared,
     hosts: HashMap<String, TcpListener>,
     clients: HashMap<String, End>,
-    legs: HashMap<String, End>,
+    attempts: HashMap<String, End>,
     asked: Instant,
     tally: Tally,
 }
@@ -269,7 +269,7 @@
     opened: u64,
     ups: u64,
     busy: u64,
-    legs: u64,
+    attempts: u64,
     /// Whose first answer has been heard.
     heard: std::collections::HashSet<String>,
 }
@@ -363,7 +363,7 @@
         let folder = path.with_extension("tmp");
         std::fs::create_dir_all(&folder).unwrap();
         let child = start(&path, &at, &folder, admin);
-        let (clients, legs) = Default::default();
+        let (clients, attempts) = Default::default();
         World {
             child,
             before: vec![],
@@ -379,7 +379,7 @@
             registry,
             hosts,
             clients,
-            legs,
+            attempts,
             asked: Instant::now(),
             tally: Tally::default(),
         }
@@ -399,8 +399,8 @@
             };
             let (success, busy, failure) = (sum("success"), sum("busy"), sum("failure"));
             let waiting = figures["waiting"].as_u64().unwrap();
-            let (seen, legs) = (&self.tally, figures["backend_calls"].as_u64().unwrap());
-            let told = success >= seen.ups && busy >= seen.busy && legs >= seen.legs;
+            let (seen, attempts) = (&self.tally, figures["backend_calls"].as_u64().unwrap());
+            let told = success >= seen.ups && busy >= seen.busy && attempts >= seen.attempts;
             if told && success + busy + failure + waiting == seen.opened {
                 return;
             }
@@ -410,7 +410,7 @@
                 seen.opened,
                 seen.ups,
                 seen.busy,
-                seen.legs
+                seen.attempts
             );
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -453,7 +453,7 @@
     }
 
     fn end(&mut self, side: &str, name: &str) -> &mut End {
-        let ends = if side == "client" { &mut self.clients } else { &mut self.legs };
+        let ends = if side == "client" { &mut self.clients } else { &mut self.attempts };
         ends.get_mut(name).unwrap_or_else(|| panic!("no {side} {name}"))
     }
 
@@ -618,7 +618,7 @@
                 self.end(side, name).say(rest.join(" ").as_bytes());
             }
             ["leg", name, "at", host, rest @ ..] => {
-                let (leg, line) = loop {
+                let (attempt, line) = loop {
                     let mut conn = self.accept(host);
                     match conn.hear() {
                         line if line == "PING" => conn.say(b"PONG\r\n"),
@@ -638,8 +638,8 @@
                     };
                     assert!(fits, "{line} lacks {want}");
                 }
-                self.tally.legs += 1;
-                self.legs.insert((*name).to_owned(), leg);
+                self.tally.attempts += 1;
+                self.attempts.insert((*name).to_owned(), attempt);
             }
             [side @ ("client" | "host"), name, "says", rest @ ..] => {
                 self.end(side, name).say(format!("{}\r\n", rest.join(" ")).as_bytes());
@@ -690,7 +690,7 @@
             }
             ["client" | "host", name, "leaves"] => drop(match words[0] {
                 "client" => self.clients.remove(*name),
-                _ => self.legs.remove(*name),
+                _ => self.attempts.remove(*name),
             }),
             [side @ ("client" | "host"), name, "ends"] => {
                 self.end(side, name).0.get_mut().shutdown(std::net::Shutdown::Write).unwrap();
@@ -736,7 +736,7 @@
             ["host", name, "takes", client] => {
                 drop(self.accept(name));
                 let conn = self.accept(name);
-                self.legs.insert((*client).to_owned(), conn);
+                self.attempts.insert((*client).to_owned(), conn);
             }
             // Until so long after the last opening, saying, ending or `term`.
             ["until", s] => {
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::clients::Clients;
 use crate::errands::Wishes;
 use crate::links::{Links, Way};
-use crate::stand_ins::{Book, Effects, Host, Legs, List, WINDOW_MS};
+use crate::stand_ins::{Attempts, Book, Effects, Host, List, WINDOW_MS};
 use crate::{reserve, spawn};
 
 static RUNS: AtomicU32 = AtomicU32::new(0);
@@ -64,7 +64,7 @@
     pub shape: Shape,
     pub clients: Clients,
     pub links: Links,
-    legs: Legs,
+    attempts: Attempts,
     /// What hosts did for each work that is not to be done twice.
     pub effects: Effects,
     /// What hosts saw of clients' groups.
@@ -170,7 +170,7 @@
         let fleet = Fleet {
             clients: Clients::start(places.iter().map(|place| place[0]).collect()),
             links,
-            legs: book.legs,
+            attempts: book.attempts,
             effects: book.effects,
             homes: book.homes,
             wishes: book.wishes,
@@ -372,9 +372,9 @@
         })
     }
 
-    /// Legs that hosts were sent for one call, at most.
-    pub fn most_legs(&self) -> u32 {
-        self.legs.lock().map_or(0, |legs| legs.values().copied().max().unwrap_or(0))
+    /// Attempts that hosts were sent for one call, at most.
+    pub fn max_attempts(&self) -> u32 {
+        self.attempts.lock().map_or(0, |attempts| attempts.values().copied().max().unwrap_or(0))
     }
 
     /// Processes that ended with an error, and were not killed.
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -13,8 +13,8 @@
 use crate::errands::{Told, Wish, Wishes};
 use crate::{loopback, spawn};
 
-/// Which legs hosts were sent, by the call's id: where, and how many.
-pub type Legs = Arc<Mutex<HashMap<String, u32>>>;
+/// Which attempts hosts were sent, by the call's id: where, and how many.
+pub type Attempts = Arc<Mutex<HashMap<String, u32>>>;
 
 /// Hosts of one cell recall a reference for so long, in ms.
 pub const WINDOW_MS: f64 = 3_000.0;
@@ -31,7 +31,7 @@
 /// What all hosts write down, and what they are told to do.
 #[derive(Clone, Default)]
 pub struct Book {
-    pub legs: Legs,
+    pub attempts: Attempts,
     pub effects: Effects,
     pub homes: Homes,
     pub wishes: Wishes,
@@ -49,11 +49,11 @@
     Busy,
 }
 
-fn way(key: &str, legs: usize) -> Way {
+fn way(key: &str, attempts: usize) -> Way {
     let number = u64::from_str_radix(key, 16).unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
     match number % 20 {
         0 => Way::Silent,
-        1 | 2 if legs == 0 => Way::Busy,
+        1 | 2 if attempts == 0 => Way::Busy,
         _ => Way::Soon(20 + number / 20 % 300),
     }
 }
@@ -160,8 +160,8 @@
                     line.clear();
                     continue;
                 }
-                if let Ok(mut legs) = book.legs.lock() {
-                    *legs.entry(id.to_owned()).or_default() += 1;
+                if let Ok(mut attempts) = book.attempts.lock() {
+                    *attempts.entry(id.to_owned()).or_default() += 1;
                 }
                 if !std::mem::replace(opened, true) {
                     seen.open.fetch_add(1, Ordering::SeqCst);
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -501,9 +501,9 @@
         let seen = self.fleet.clients.end();
         assert!(seen.lost.is_empty(), "lost: {:#?}", seen.lost);
         assert!(
-            self.fleet.most_legs() <= 1 || seen.failed == 0,
+            self.fleet.max_attempts() <= 1 || seen.failed == 0,
             "one call had {} legs",
-            self.fleet.most_legs()
+            self.fleet.max_attempts()
         );
         let badly = self.fleet.ended_badly();
         assert!(badly.is_empty(), "{badly:?}");
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -304,7 +304,7 @@
         }
         let Some((types, node)) = slot else { return Ok(()) };
         let knows = |call: &Call| usize::from(call.traffic.0) < *types;
-        let (call, leg) = (CallId(record.u64(5)), |at| LegNo(record.u16(at)));
+        let (call, attempt) = (CallId(record.u64(5)), |at| AttemptNumber(record.u16(at)));
         match record.u8(0) {
             2 => {
                 let extent = match record.u8(5) {
@@ -334,10 +334,10 @@
                 }
                 node.connection_found(now, call, record.host(51));
             }
-            4 => node.leg_set_up(now, call, leg(13), record.span(21)?, out),
+            4 => node.attempt_established(now, call, attempt(13), record.span(21)?, out),
             5 => {
                 let (ending, ended) = (record.ending(21)?, record.u8(30) != 0);
-                node.leg_ended(now, call, leg(13), ending, ended, out);
+                node.attempt_ended(now, call, attempt(13), ending, ended, out);
             }
             6 => node.call_given_up(now, call, out),
             7 => node.woken(now, Token(record.u32(5)), out),
@@ -351,7 +351,7 @@
                     2 => News::MessageTime(Span::from_seconds(record.load(20, record.f32(20), 1e3)?)),
                     _ => return Err(record.code(13, "note")),
                 };
-                node.leg_news(now, call, leg(24), news, out);
+                node.attempt_report(now, call, attempt(24), news, out);
             }
             _ => unreachable!("codes were checked above"),
         }
@@ -387,7 +387,7 @@
 }
 
 impl Port for Outbox<'_> {
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span) {
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
         self.record(5, &[&call.0.to_be_bytes(), &ms(within.0), &address(&host)]);
     }
 
@@ -399,8 +399,8 @@
         self.record(7, &[&call.0.to_be_bytes()]);
     }
 
-    fn recall(&mut self, call: CallId, leg: LegNo) {
-        self.record(9, &[&call.0.to_be_bytes(), &leg.0.to_be_bytes()]);
+    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+        self.record(9, &[&call.0.to_be_bytes(), &attempt.0.to_be_bytes()]);
     }
 
     fn move_away(&mut self, call: CallId) {
--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -4,7 +4,7 @@
 use glendeck_fleet::Moment;
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::state::Life;
-use glendeck_takeover::{Leg, Outcome, Step, Takeover, View, Word, Work};
+use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
 
 #[global_allocator]
 static ALLOC: AllocProfiler = AllocProfiler::system();
@@ -60,12 +60,12 @@
     }
 }
 
-fn leg(work: u64) -> Leg {
-    Leg { work: Work(work), host: work % 50, ran: None, left_ms: 1_500, latest: moment(90_000) }
+fn attempt(work: u64) -> Attempt {
+    Attempt { work: Work(work), host: work % 50, ran: None, left_ms: 1_500, latest: moment(90_000) }
 }
 
 fn begin(fleet: &mut [Takeover], work: u64, now: Moment) {
-    fleet[KEEPERS].intend(now, work, leg(work));
+    fleet[KEEPERS].intend(now, work, attempt(work));
     carry(fleet, now);
 }
 
@@ -116,7 +116,7 @@
     let mut fleet = fleet();
     let mut words: Vec<Word> = Vec::new();
     for work in 0..records {
-        fleet[KEEPERS].intend(moment(20_000), work, leg(work));
+        fleet[KEEPERS].intend(moment(20_000), work, attempt(work));
         let keeps = |step| match step {
             Step::Say(to, word @ Word::Keep(_)) if to == name(0) => Some(word),
             _ => None,
--- a/crates/takeover/src/keeper.rs
+++ b/crates/takeover/src/keeper.rs
@@ -18,10 +18,10 @@
     id: RecordId,
     term: u64,
     repeat: bool,
-    /// Where the work's first leg went, and when at the latest it may have gone, where that is known.
+    /// Where the work's first attempt went, and when at the latest it may have gone, where that is known.
     first: (u64, Option<Moment>),
     kept: Moment,
-    /// The last leg's intent was kept then.
+    /// The last attempt's intent was kept then.
     last: Moment,
     no: u32,
     /// The call's time is over then.
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,4 +1,4 @@
-//! What becomes of work in hand when its node is lost: intents kept before a leg goes, and what a call that comes again
+//! What becomes of work in hand when its node is lost: intents kept before an attempt goes, and what a call that comes again
 //! may still do. Source and promises: `docs/takeover.md`.
 //!
 //! No I/O and no clock: a [`Takeover`] is told what happened and when, and says what is to be done. The same events give
@@ -19,7 +19,7 @@
 pub use keeper::Keeper;
 pub use owner::{Before, Owner};
 
-/// A leg goes within this after its node asked for its intent to be kept, or not at all: two round trips over a crowded
+/// An attempt goes within this after its node asked for its intent to be kept, or not at all: two round trips over a crowded
 /// link. Whoever takes a record over waits longer than this.
 pub const SENDS_WITHIN_MS: u64 = 500;
 
@@ -90,9 +90,9 @@
 /// How a call ended, as far as its record goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// No leg of it ran, and none is out: as if it had never been.
+    /// No attempt of it ran, and none is out: as if it had never been.
     NeverRan,
-    /// It has its final answer; a leg of it ran, or may have.
+    /// It has its final answer; an attempt of it ran, or may have.
     Answered,
 }
 
@@ -103,12 +103,12 @@
     pub work: Work,
     pub term: u64,
     pub version: u32,
-    /// It comes again, and goes on from these records, each as it was with this leg.
+    /// It comes again, and goes on from these records, each as it was with this attempt.
     pub repeat: bool,
     pub over: Vec<(RecordId, u32)>,
-    /// Where the work's first leg went that may have run, and how long ago, in ms; this one, if it is the first.
+    /// Where the work's first attempt went that may have run, and how long ago, in ms; this one, if it is the first.
     pub first: (u64, u64),
-    /// Counts the legs of the call: an answer to another says nothing of this one.
+    /// Counts the attempts of the call: an answer to another says nothing of this one.
     pub no: u32,
     /// How long the call still has, in ms.
     pub left_ms: u64,
@@ -119,9 +119,9 @@
 pub struct Shown {
     pub id: RecordId,
     pub term: u64,
-    /// Where the work's first leg went, and how long ago, in ms.
+    /// Where the work's first attempt went, and how long ago, in ms.
     pub first: (u64, u64),
-    /// The last leg whose intent was kept, and for how long, in ms.
+    /// The last attempt whose intent was kept, and for how long, in ms.
     pub no: u32,
     pub age_ms: u64,
     /// Until its call's time is over, and its node sends nothing more.
@@ -159,7 +159,7 @@
         no: u32,
         records: Option<Vec<Shown>>,
     },
-    /// As of this leg: said late, it says nothing of a later one.
+    /// As of this attempt: said late, it says nothing of a later one.
     Ended {
         no: u32,
         id: RecordId,
@@ -168,13 +168,13 @@
     },
 }
 
-/// A leg that is to go.
+/// An attempt that is to go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leg {
+pub struct Attempt {
     pub work: Work,
     /// Any number that means the same at all nodes.
     pub host: u64,
-    /// The call's first leg that may have run: where, and when it went.
+    /// The call's first attempt that may have run: where, and when it went.
     pub ran: Option<(u64, Moment)>,
     /// How long the call still has, in ms.
     pub left_ms: u64,
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     Say(UnitName, Word),
-    /// The leg that was asked for may go, now.
+    /// The attempt that was asked for may go, now.
     Go(u64),
     /// It may not: nobody can keep its intent.
     Unkept(u64),
@@ -281,9 +281,9 @@
         self.take_steps(now, steps);
     }
 
-    /// A leg is to go: [`Step::Go`] comes, or it must not. `host` is any number that means the same at all nodes.
-    pub fn intend(&mut self, now: Moment, call: u64, leg: Leg) {
-        let steps = self.owner.intend(now, call, leg, &self.view);
+    /// An attempt is to go: [`Step::Go`] comes, or it must not. `host` is any number that means the same at all nodes.
+    pub fn intend(&mut self, now: Moment, call: u64, attempt: Attempt) {
+        let steps = self.owner.intend(now, call, attempt, &self.view);
         self.take_steps(now, steps);
     }
 
--- a/crates/takeover/src/owner.rs
+++ b/crates/takeover/src/owner.rs
@@ -1,4 +1,4 @@
-//! A node's own calls: what has to be kept before a leg goes, and what has been before a call that comes again.
+//! A node's own calls: what has to be kept before an attempt goes, and what has been before a call that comes again.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 
 use crate::plant::{Plant, planted};
 use crate::{
-    Intent, LEFT_ALONE_MS, Leg, Outcome, RecordId, SENDS_WITHIN_MS, Shown, Step, UNKNOWN_MS, Verdict, View,
-    Word, Work,
+    Attempt, Intent, LEFT_ALONE_MS, Outcome, RecordId, SENDS_WITHIN_MS, Shown, Step, UNKNOWN_MS, Verdict,
+    View, Word, Work,
 };
 
 /// What was not answered is said again after this: a link that came up anew has lost it.
@@ -22,7 +22,7 @@
 /// Kept back of a call's time, so that it is answered within it.
 const KEPT_BACK_MS: u64 = 150;
 
-/// What has been before a call: where the work's first leg went that may have run, and when at the earliest.
+/// What has been before a call: where the work's first attempt went that may have run, and when at the earliest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Before {
     pub host: u64,
@@ -35,7 +35,7 @@
     since: Moment,
     said: Moment,
     latest: Moment,
-    /// No leg of the call ran so far.
+    /// No attempt of the call ran so far.
     clean: bool,
     intent: Intent,
     keepers: Vec<UnitName>,
@@ -87,7 +87,7 @@
 /// What two keepers show of one record, taken together.
 ///
 /// Danger: a keeper that was stopped, or behind a stalled link, has kept late and takes the record for young. Of any
-/// majority one has kept the last leg's intent in time, and shows the greater age.
+/// majority one has kept the last attempt's intent in time, and shows the greater age.
 fn merge(known: &mut Shown, other: &Shown) {
     if other.first.0 == known.first.0 {
         known.first.1 = known.first.1.max(other.first.1);
@@ -176,8 +176,8 @@
         silent.map(|keeper| Step::Say(keeper.clone(), word.clone())).collect()
     }
 
-    pub(crate) fn intend(&mut self, now: Moment, call: u64, leg: Leg, view: &View) -> Vec<Step> {
-        let Leg { work, host, ran, left_ms, latest } = leg;
+    pub(crate) fn intend(&mut self, now: Moment, call: u64, attempt: Attempt, view: &View) -> Vec<Step> {
+        let Attempt { work, host, ran, left_ms, latest } = attempt;
         let me = self.me.clone();
         let mine = self.mine(call, work, now);
         mine.no += 1;
@@ -278,7 +278,7 @@
         if kept >= needed || asking.keepers.len() - refused < needed {
             let clean = asking.clean;
             mine.asking = None;
-            // Danger: with an earlier leg that may have run the record has to stay.
+            // Danger: with an earlier attempt that may have run the record has to stay.
             if others == 0 || !clean {
                 return vec![Step::Unkept(call)];
             }
--- a/crates/takeover/src/plant.rs
+++ b/crates/takeover/src/plant.rs
@@ -4,11 +4,11 @@
 /// What may be made wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
-    /// The leg goes as its intent does.
+    /// The attempt goes as its intent does.
     SentBeforeKept,
     /// One keeper's word is enough.
     OneIsEnough,
-    /// What was kept long ago still lets a leg go.
+    /// What was kept long ago still lets an attempt go.
     LateSend,
     /// Keepers take intents of older terms, and of calls that were taken over.
     NotFenced,
--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -9,7 +9,7 @@
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::state::Life;
 use glendeck_takeover::plant::{Plant, plant};
-use glendeck_takeover::{Leg, Outcome, Step, Takeover, View, Word, Work};
+use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
 use stateright::{Checker, Model, Property};
 use test_case::test_case;
 
@@ -36,7 +36,7 @@
     term: u64,
     /// What each knows of it.
     heard: Vec<u64>,
-    /// Which nodes have the call in hand, and whether a leg may have run there.
+    /// Which nodes have the call in hand, and whether an attempt may have run there.
     in_hand: BTreeMap<usize, bool>,
     came_again: bool,
     ran: u32,
@@ -108,9 +108,10 @@
 
     fn intend(&mut self, at: usize) {
         let now = self.moment();
-        let leg = Leg { work: Work(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
+        let attempt =
+            Attempt { work: Work(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
         if let Some(takeover) = &mut self.nodes[at] {
-            takeover.intend(now, CALL, leg);
+            takeover.intend(now, CALL, attempt);
         }
         self.act(at);
     }
@@ -153,7 +154,7 @@
     Lost(usize),
     Twice(usize),
     Passes,
-    /// The first node answers what its leg brought.
+    /// The first node answers what its attempt brought.
     Answers,
     Dies,
     /// The client leaves the first node, which does not notice, and comes to the second.
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use glendeck_fleet::Moment;
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::state::Life;
-use glendeck_takeover::{Before, Leg, Outcome, Step, Takeover, Word, Work};
+use glendeck_takeover::{Attempt, Before, Outcome, Step, Takeover, Word, Work};
 use nanorand::{Rng, WyRand};
 
 const NODES: usize = 5;
@@ -37,10 +37,10 @@
     /// A node reads what has come of a client: its line, or its end.
     Read(usize, u64, u64),
     Left(usize, u64, u64),
-    /// A leg of a node's call reaches its host.
+    /// An attempt of a node's call reaches its host.
     AtHost(usize, u64, u64, u32, u64),
     FromHost(usize, u64, u64, u32, Said),
-    LegLimit(usize, u64, u64, u32),
+    AttemptDeadline(usize, u64, u64, u32),
     /// A client hears how its coming ended; nothing if it broke.
     Heard(usize, u32, Option<Heard>),
     Patience(usize, u32),
@@ -189,10 +189,10 @@
     work: usize,
     time: u32,
     guard: u64,
-    legs: u32,
+    attempts: u32,
     before: Option<Before>,
     ran: Option<(u64, Moment)>,
-    /// The host of the leg that is to go or is out; whether it is out.
+    /// The host of the attempt that is to go or is out; whether it is out.
     out: Option<(u64, bool)>,
 }
 
@@ -461,7 +461,7 @@
     fn happen(&mut self, event: Event) {
         let whose = match &event {
             Event::Word(to, life, ..) => Some((*to, *life)),
-            Event::FromHost(at, life, ..) | Event::LegLimit(at, life, ..) => Some((*at, *life)),
+            Event::FromHost(at, life, ..) | Event::AttemptDeadline(at, life, ..) => Some((*at, *life)),
             Event::Read(at, life, _) | Event::Left(at, life, _) => Some((*at, *life)),
             _ => None,
         };
@@ -490,12 +490,12 @@
             }
             Event::Read(node, _, call) => self.read(node, call),
             Event::Left(node, _, call) => self.end(node, call),
-            Event::AtHost(node, life, call, leg, host) => self.at_host(node, life, call, leg, host),
-            Event::FromHost(at, _, call, leg, said) => self.host_said(at, call, leg, said),
-            Event::LegLimit(at, _, call, leg) => {
+            Event::AtHost(node, life, call, attempt, host) => self.at_host(node, life, call, attempt, host),
+            Event::FromHost(at, _, call, attempt, said) => self.host_said(at, call, attempt, said),
+            Event::AttemptDeadline(at, _, call, attempt) => {
                 let moment = self.moment(at);
                 let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
-                if held.legs == leg
+                if held.attempts == attempt
                     && let Some((host, true)) = held.out
                 {
                     held.out = None;
@@ -575,7 +575,8 @@
         let held = &mut self.nodes[node];
         held.next += 1;
         let (call, guard, life) = (held.next, u64::MAX / 2, held.life);
-        held.calls.insert(call, InHand { work, time, guard, legs: 0, before: None, ran: None, out: None });
+        held.calls
+            .insert(call, InHand { work, time, guard, attempts: 0, before: None, ran: None, out: None });
         self.at(0, Event::Read(node, life, call));
     }
 
@@ -680,7 +681,7 @@
     /// Where the call goes, by its effect and what has been before it.
     fn place(&mut self, at: usize, call: u64) {
         let Some(held) = self.nodes[at].calls.get(&call) else { return };
-        let (work, guard, legs) = (held.work, held.guard, held.legs);
+        let (work, guard, attempts) = (held.work, held.guard, held.attempts);
         let first = held.before.map(|before| (before.host, before.at)).or(held.ran);
         let (own_ran, effect) = (held.ran, self.works[work].effect);
         let assured = if first.is_none() { Heard::Busy } else { Heard::Released };
@@ -691,7 +692,7 @@
             (Effect::OnceOnly, Some(_)) => false,
             (Effect::Referenced, Some(first)) => recalled(first),
         };
-        if !may || legs >= 3 || self.now + 60 >= guard {
+        if !may || attempts >= 3 || self.now + 60 >= guard {
             return self.answer(at, call, assured);
         }
         let cell = first.map(|(host, _)| host % 2);
@@ -699,13 +700,14 @@
         let host = drawn + cell.unwrap_or(self.now % 2);
         let until = self.then(at, guard - 60);
         let latest = first.map_or(until, |(_, sent)| until.min(sent.plus_ms(WINDOW - 100)));
-        let leg = Leg { work: Work(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
+        let attempt =
+            Attempt { work: Work(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
         let moment = self.moment(at);
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = Some((host, false));
         }
         if let Some(takeover) = &mut self.nodes[at].takeover {
-            takeover.intend(moment, call, leg);
+            takeover.intend(moment, call, attempt);
         }
         self.act(at);
     }
@@ -750,8 +752,8 @@
         let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
         let Some((host, false)) = held.out else { return };
         held.out = Some((host, true));
-        held.legs += 1;
-        let (work, leg, limit) = (held.work, held.legs, LEG.min(held.guard.saturating_sub(self.now)));
+        held.attempts += 1;
+        let (work, attempt, limit) = (held.work, held.attempts, LEG.min(held.guard.saturating_sub(self.now)));
         self.seen.placed_again += u64::from(held.before.is_some());
         self.say(|| format!("n{at} sends w{work} to h{host}"));
         let others = |(other, node): (usize, &Node)| {
@@ -766,8 +768,8 @@
             self.break_rule(format!("w{work} has a second leg out, from n{at}"));
         }
         let ms = 1 + self.roll(20);
-        self.at(ms, Event::AtHost(at, life, call, leg, host));
-        self.at(limit, Event::LegLimit(at, life, call, leg));
+        self.at(ms, Event::AtHost(at, life, call, attempt, host));
+        self.at(limit, Event::AttemptDeadline(at, life, call, attempt));
     }
 
     fn send(&mut self, from: usize, to: usize, word: Word) {
@@ -810,8 +812,8 @@
 
     // Hosts.
 
-    fn at_host(&mut self, node: usize, life: u64, call: u64, leg: u32, host: u64) {
-        // A leg that is on its way arrives, whatever has become of its node; its work is known by the call.
+    fn at_host(&mut self, node: usize, life: u64, call: u64, attempt: u32, host: u64) {
+        // An attempt that is on its way arrives, whatever has become of its node; its work is known by the call.
         let Some(work) = self.work_of(node, life, call) else { return };
         let [busy, silent, late, fails] = self.day.ways;
         let way = self.roll(100);
@@ -819,7 +821,7 @@
         if way < busy {
             // Some only after a while in a queue.
             let ms = if self.roll(2) == 0 { soon } else { 300 + self.roll(LEG - 310) };
-            return self.at(ms, Event::FromHost(node, life, call, leg, Said::Busy));
+            return self.at(ms, Event::FromHost(node, life, call, attempt, Said::Busy));
         }
         self.run_at(host, work);
         let (ms, said) = if way < busy + silent {
@@ -831,12 +833,12 @@
         } else {
             (soon, Said::Up)
         };
-        self.at(ms, Event::FromHost(node, life, call, leg, said));
+        self.at(ms, Event::FromHost(node, life, call, attempt, said));
     }
 
     fn work_of(&self, node: usize, life: u64, call: u64) -> Option<usize> {
         let of = &self.nodes[node];
-        // Gone with its process: the leg was cut off on its way, or has arrived. Here it was cut off.
+        // Gone with its process: the attempt was cut off on its way, or has arrived. Here it was cut off.
         (of.life == life).then(|| of.calls.get(&call).map(|held| held.work))?
     }
 
@@ -854,10 +856,10 @@
         }
     }
 
-    fn host_said(&mut self, at: usize, call: u64, leg: u32, said: Said) {
+    fn host_said(&mut self, at: usize, call: u64, attempt: u32, said: Said) {
         let moment = self.moment(at);
         let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
-        let Some((host, true)) = held.out.filter(|_| held.legs == leg) else { return };
+        let Some((host, true)) = held.out.filter(|_| held.attempts == attempt) else { return };
         match said {
             Said::Up => return self.answer(at, call, Heard::Up),
             Said::Busy => {}
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use glendeck::domain::{Effect, LegBudget, Scope, Span, Terms, Traffic, Warming, Weights, Zone};
+use glendeck::domain::{Effect, RetryBudget, Scope, Span, Terms, Traffic, Warming, Weights, Zone};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 
@@ -151,7 +151,7 @@
         me: pairs.parse("me", "a whole number")?,
         nodes: pairs.parse("fleetSize", "a whole number")?,
         tick: pairs.span("tickMs")?,
-        max_legs: pairs.parse("caps.maxLegs", "a whole number")?,
+        max_attempts: pairs.parse("caps.maxLegs", "a whole number")?,
         may_probe: pairs.flag("caps.mayProbe")?,
         may_recall: pairs.flag("caps.mayCancel")?,
         // Without the key, as before there was one: sizes.
@@ -169,7 +169,7 @@
             multiple: pairs.number("safety.fallMultiple")?,
             window: pairs.span("safety.fallMs")?,
         },
-        leg_budget: leg_budget(pairs)?,
+        retry_budget: retry_budget(pairs)?,
         start_off: pairs.span_or("safety.startDriftMs", Span::ZERO)?,
         crossing_price: pairs.number_or("prices.crossZone", 0.0)?,
         whole_weight: match (
@@ -191,7 +191,7 @@
 }
 
 /// All of it or nothing: a budget with a part missing would be another budget.
-fn leg_budget(pairs: &Pairs) -> Result<Option<LegBudget>, Fault> {
+fn retry_budget(pairs: &Pairs) -> Result<Option<RetryBudget>, Fault> {
     let keys = ["safety.budgetFree", "safety.repeatRatio", "safety.budgetSpanMs"];
     if !keys.iter().any(|key| pairs.0.contains_key(*key)) {
         return Ok(None);
@@ -200,7 +200,7 @@
     if span < Span::ms(1) {
         return Err(bad(keys[2], pairs.text(keys[2])?, "a millisecond or more"));
     }
-    Ok(Some(LegBudget { free: pairs.number(keys[0])?, part: pairs.number(keys[1])?, span }))
+    Ok(Some(RetryBudget { free: pairs.number(keys[0])?, part: pairs.number(keys[1])?, span }))
 }
 
 /// Load reports are not read by the decisions, but what is said of them has to make sense.
@@ -242,15 +242,15 @@
 mod tests {
     use super::*;
 
-    fn budget(lines: &str) -> Result<Option<LegBudget>, Fault> {
-        leg_budget(&Pairs::from_lines(lines).unwrap())
+    fn budget(lines: &str) -> Result<Option<RetryBudget>, Fault> {
+        retry_budget(&Pairs::from_lines(lines).unwrap())
     }
 
     #[test]
     fn a_budget_is_whole_or_none() {
         assert_eq!(budget("").unwrap(), None);
         let whole = "safety.budgetFree=5\nsafety.repeatRatio=0.03\nsafety.budgetSpanMs=10000";
-        let expected = LegBudget { free: 5.0, part: 0.03, span: Span::ms(10_000) };
+        let expected = RetryBudget { free: 5.0, part: 0.03, span: Span::ms(10_000) };
         assert_eq!(budget(whole).unwrap(), Some(expected));
         let missing = budget("safety.budgetFree=5\nsafety.budgetSpanMs=10000").unwrap_err();
         assert!(missing.to_string().contains("safety.repeatRatio"), "{missing}");
--- a/src/book.rs
+++ b/src/book.rs
@@ -1,4 +1,4 @@
-//! What a node has in hand: calls with their legs, and what it knows of each host. Nothing is decided here.
+//! What a node has in hand: calls with their attempts, and what it knows of each host. Nothing is decided here.
 
 use nanorand::{Rng, WyRand};
 use rustc_hash::FxHashMap;
@@ -7,8 +7,8 @@
 
 pub(crate) struct InHand {
     pub call: Call,
-    pub legs: u16,
-    /// The host of the leg that is out, and the leg's place among that host's.
+    pub attempts: u16,
+    /// The host of the attempt that is out, and the attempt's place among that host's.
     pub out: Option<(usize, usize)>,
     pub chosen: usize,
     pub set_up: bool,
@@ -18,10 +18,10 @@
     pub guest: bool,
     pub leaving: bool,
     pub load: Option<f64>,
-    /// The first leg that may have run: its host and when it was sent.
+    /// The first attempt that may have run: its host and when it was sent.
     pub ran: Option<(usize, Time)>,
     pub sent: Time,
-    /// How many legs were setting up at its host when its own was sent.
+    /// How many attempts were setting up at its host when its own was sent.
     pub ahead: u32,
     pub failed_at: Vec<usize>,
 }
@@ -33,7 +33,7 @@
     End,
 }
 
-/// What a stage does with the end of a leg on its way back.
+/// What a stage does with the end of an attempt on its way back.
 pub(crate) enum Back {
     Pass,
     Done,
@@ -218,7 +218,7 @@
     }
 }
 
-/// Legs of late, and new clients.
+/// Attempts of late, and new clients.
 #[derive(Default)]
 pub(crate) struct Rates {
     pub tried: f64,
@@ -307,13 +307,13 @@
     }
 }
 
-/// Slots that a span of the leg budget is counted in.
+/// Slots that a span of the retry budget is counted in.
 const SLOTS: u64 = 20;
 
-/// Calls taken and further legs sent of late, by slots of the budget's span: memory does not grow with traffic.
+/// Calls taken and retries sent of late, by slots of the budget's span: memory does not grow with traffic.
 #[derive(Default)]
 pub(crate) struct Further {
-    /// Each with its slot's number, calls and further legs.
+    /// Each with its slot's number, calls and retries.
     counts: [(u64, u32, u32); SLOTS as usize + 1],
     /// None is sent before.
     from: Time,
@@ -322,15 +322,15 @@
 impl Further {
     /// Danger: what was sent under another budget counts in its last span, and is not known slot by slot.
     pub fn renewed(terms: &Terms, now: Time) -> Further {
-        let from = terms.leg_budget.map_or(Time(0), |of| now + of.span);
+        let from = terms.retry_budget.map_or(Time(0), |of| now + of.span);
         Further { from, ..Further::default() }
     }
 
-    fn slot(of: &LegBudget, now: Time) -> u64 {
+    fn slot(of: &RetryBudget, now: Time) -> u64 {
         now.0 / (of.span.0 / SLOTS).max(1)
     }
 
-    fn count(&mut self, of: &LegBudget, now: Time) -> &mut (u64, u32, u32) {
+    fn count(&mut self, of: &RetryBudget, now: Time) -> &mut (u64, u32, u32) {
         let slot = Further::slot(of, now);
         let count = &mut self.counts[(slot % (SLOTS + 1)) as usize];
         if count.0 != slot {
@@ -340,27 +340,27 @@
     }
 
     pub fn taken(&mut self, terms: &Terms, now: Time) {
-        if let Some(of) = &terms.leg_budget {
+        if let Some(of) = &terms.retry_budget {
             self.count(of, now).1 += 1;
         }
     }
 
-    pub fn sent(&mut self, terms: &Terms, now: Time, legs: u16) {
-        if let Some(of) = terms.leg_budget.as_ref().filter(|_| legs > 0) {
+    pub fn sent(&mut self, terms: &Terms, now: Time, attempts: u16) {
+        if let Some(of) = terms.retry_budget.as_ref().filter(|_| attempts > 0) {
             self.count(of, now).2 += 1;
         }
     }
 
-    /// Danger: the span is judged from any moment. Legs count over all slots that it reaches into, calls over those that lie
+    /// Danger: the span is judged from any moment. Attempts count over all slots that it reaches into, calls over those that lie
     /// in it whole.
     pub fn allow(&self, terms: &Terms, now: Time) -> bool {
-        let Some(of) = &terms.leg_budget else { return true };
+        let Some(of) = &terms.retry_budget else { return true };
         let slot = Further::slot(of, now);
         let within =
             |slots: u64| self.counts.iter().filter(move |count| count.0 + slots > slot && count.0 <= slot);
         let calls: u32 = within(SLOTS).map(|count| count.1).sum();
-        let legs: u32 = within(SLOTS + 1).map(|count| count.2).sum();
-        now >= self.from && f64::from(legs) + 1.0 <= of.free + of.part * f64::from(calls)
+        let attempts: u32 = within(SLOTS + 1).map(|count| count.2).sum();
+        now >= self.from && f64::from(attempts) + 1.0 <= of.free + of.part * f64::from(calls)
     }
 }
 
@@ -378,7 +378,7 @@
     }
 }
 
-/// Legs that are setting up at all hosts, and how many may at a time.
+/// Attempts that are setting up at all hosts, and how many may at a time.
 pub(crate) struct Setups {
     pub out: u32,
     pub window: f64,
@@ -439,13 +439,13 @@
     pub kind: Option<Kind>,
     /// Connections a core that all nodes hold here by its weight, as far as that is told.
     pub told_held: Option<f64>,
-    /// Legs sent here since its line came that came last, and between that and the one before.
+    /// Attempts sent here since its line came that came last, and between that and the one before.
     pub fresh: [f64; 2],
     /// When it last started, at the latest, and as it is listed.
     pub up_since: Option<Time>,
     pub listed_up: Option<Time>,
-    /// The calls with a leg here, in no order that means anything.
-    pub legs: Vec<usize>,
+    /// The calls with an attempt here, in no order that means anything.
+    pub attempts: Vec<usize>,
     pub setting_up: u32,
     /// Connections that the process of this node before this one still has here.
     pub elder: f64,
@@ -495,7 +495,7 @@
         InHand {
             load,
             call,
-            legs: 0,
+            attempts: 0,
             out: None,
             chosen: 0,
             set_up: false,
@@ -531,7 +531,7 @@
 
     /// The node's connections here.
     pub fn stand(&self) -> f64 {
-        self.legs.len() as f64 + self.elder
+        self.attempts.len() as f64 + self.elder
     }
 
     pub fn smooth(&mut self, alpha: f64, elapsed: f64) {
@@ -620,7 +620,7 @@
             fresh: [0.0; 2],
             up_since: None,
             listed_up: None,
-            legs: Vec::new(),
+            attempts: Vec::new(),
             setting_up: 0,
             elder: 0.0,
             told_load: 0.0,
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -69,8 +69,8 @@
 ids! {
     /// One try of a client; never used twice.
     CallId(u64);
-    /// Number of a leg within its call, from 0.
-    LegNo(u16);
+    /// Number of an attempt within its call, from 0.
+    AttemptNumber(u16);
     /// A host's address as one number; it carries no meaning.
     HostId(u64);
     /// Index of a zone.
@@ -120,7 +120,7 @@
     Gone,
 }
 
-/// How a leg ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Completed,
@@ -130,7 +130,7 @@
     TimedOut,
     /// No connection came about.
     Unreachable,
-    /// The connection broke while the leg was out.
+    /// The connection broke while the attempt was out.
     Broken,
     Recalled,
     NeverSent,
@@ -198,11 +198,11 @@
     pub returning: bool,
     /// Packets of a connection that is already open on some host.
     pub mid_flow: bool,
-    /// A leg of it that may have run elsewhere, before it came here: its host, and when it went at the earliest.
+    /// An attempt of it that may have run elsewhere, before it came here: its host, and when it went at the earliest.
     pub before: Option<(HostId, Time)>,
 }
 
-/// News of a leg that is still out.
+/// News of an attempt that is still out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum News {
     /// The connection's load now, in seconds of work a second.
@@ -238,10 +238,10 @@
     }
 }
 
-/// Legs beyond each call's first that a node may send in any span of this length: so many, and a part of the calls that it
+/// Attempts beyond each call's first that a node may send in any span of this length: so many, and a part of the calls that it
 /// took in that span.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LegBudget {
+pub struct RetryBudget {
     pub free: f64,
     pub part: f64,
     pub span: Span,
@@ -255,7 +255,7 @@
     pub me: u32,
     pub nodes: u32,
     pub tick: Span,
-    pub max_legs: u16,
+    pub max_attempts: u16,
     pub may_probe: bool,
     pub may_recall: bool,
     pub weights: Weights,
@@ -267,7 +267,7 @@
     pub ask_within: Option<Span>,
     pub warming: Warming,
     /// Without one, as many as a call may have.
-    pub leg_budget: Option<LegBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// A listed start may be off by so much, either way.
     pub start_off: Span,
     pub crossing_price: f64,
--- a/src/port.rs
+++ b/src/port.rs
@@ -4,17 +4,17 @@
 //! time and a [`Port`] on which the node says what to do, in order. One call gets one `reject`, one `release`
 //! or the completion that the host's own answer brings.
 
-use crate::domain::{CallId, HostId, LegNo, Span, Time, Token};
+use crate::domain::{AttemptNumber, CallId, HostId, Span, Time, Token};
 
 pub trait Port {
-    /// Send a leg. It times out after `within`.
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span);
+    /// Send an attempt. It times out after `within`.
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span);
     /// Final answer: a new try does no harm, after `come_back` if that is given.
     fn reject(&mut self, call: CallId, come_back: Option<Span>);
     /// Final answer without any assurance.
     fn release(&mut self, call: CallId);
-    /// Stop waiting for a leg.
-    fn recall(&mut self, call: CallId, leg: LegNo);
+    /// Stop waiting for an attempt.
+    fn recall(&mut self, call: CallId, attempt: AttemptNumber);
     /// End an open connection politely; its client comes again.
     fn move_away(&mut self, call: CallId);
     fn probe(&mut self, host: HostId);
--- a/src/renewal.rs
+++ b/src/renewal.rs
@@ -12,13 +12,13 @@
         self.host_no.get(&host).is_some_and(|host| self.hosts[*host].aside.is_some())
     }
 
-    /// Other settings count from now on. Calls in hand keep the guard time and the legs that they have; hosts
+    /// Other settings count from now on. Calls in hand keep the guard time and the attempts that they have; hosts
     /// keep what is known of them, their cold budgets and set-asides too. Types keep their numbers: the terms
     /// may name more of them than before, not fewer.
     pub fn renew(&mut self, now: Time, terms: Terms, port: &mut dyn Port) {
         self.now = now;
         let (asked, live) = (self.terms.ask_within.is_some(), self.terms.weights == Weights::Live);
-        if terms.leg_budget != self.terms.leg_budget {
+        if terms.retry_budget != self.terms.retry_budget {
             self.further = Further::renewed(&terms, now);
         }
         self.terms = weighed(terms);
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -4,7 +4,7 @@
 //! mechanism comes from.
 //!
 //! A call passes the stages of [`CHAIN`]: whether it may still be tried, where it goes, and the one place
-//! that sends legs and checks each. The end of a leg passes them in reverse.
+//! that sends attempts and checks each. The end of an attempt passes them in reverse.
 
 use nanorand::{Rng, WyRand};
 use rustc_hash::FxHashMap;
@@ -139,7 +139,8 @@
         let held = &self.calls[no];
         let target = self.terms.traffic[usize::from(held.call.traffic.0)].setup_target;
         let hopeless = self.left(no) < Span::from_seconds(self.rates.setup).min(target);
-        let over = held.legs >= self.terms.max_legs || self.left(no) == Span::ZERO || !self.may_repeat(no);
+        let over =
+            held.attempts >= self.terms.max_attempts || self.left(no) == Span::ZERO || !self.may_repeat(no);
         // Danger: a call that waited for room in the budget would be parked.
         if over || hopeless || !self.may_go_further(no) {
             return Step::End;
@@ -187,17 +188,17 @@
         Step::Pass
     }
 
-    /// Last stage, and the one place that sends legs: each is checked against all four rules here.
+    /// Last stage, and the one place that sends attempts: each is checked against all four rules here.
     fn send(&mut self, no: usize, port: &mut dyn Port) -> Step {
         let host = self.calls[no].chosen;
         if !self.is_permitted(no, host) || !self.may_go_further(no) {
             return Step::Keep;
         }
-        self.further.sent(&self.terms, self.now, self.calls[no].legs);
+        self.further.sent(&self.terms, self.now, self.calls[no].attempts);
         if self.warmth(host) < 1.0 {
             self.hosts[host].budget -= 1.0;
         }
-        let within = self.leg_time(no);
+        let within = self.attempt_timeout(no);
         self.rates.tried += 1.0;
         let call = &mut self.calls[no];
         (call.sent, call.set_up, call.ahead) = (self.now, false, self.hosts[host].setting_up);
@@ -206,35 +207,35 @@
         self.setups.out += 1;
         self.hosts[host].fresh[0] += 1.0;
         self.put(no, host);
-        port.send_leg(id, self.hosts[host].id, within);
+        port.send_attempt(id, self.hosts[host].id, within);
         Step::Pass
     }
 
     fn put(&mut self, no: usize, host: usize) {
         self.hosts[host].settle(self.now, self.loads.mean);
         let call = &mut self.calls[no];
-        call.legs += 1;
-        call.out = Some((host, self.hosts[host].legs.len()));
+        call.attempts += 1;
+        call.out = Some((host, self.hosts[host].attempts.len()));
         self.groups.count(call.call.group, host, 1);
-        self.hosts[host].legs.push(no);
+        self.hosts[host].attempts.push(no);
         self.count_load(no, host, 1.0);
     }
 
-    /// All that a leg may not break, asked while choosing and again on sending.
+    /// All that an attempt may not break, asked while choosing and again on sending.
     fn is_permitted(&self, no: usize, host: usize) -> bool {
         let (call, to) = (&self.calls[no], &self.hosts[host]);
         call.out.is_none()
             && !call.answered
-            && call.legs < self.terms.max_legs
+            && call.attempts < self.terms.max_attempts
             && self.left(no) > Span::ZERO
             && to.condition == Condition::Ready
             && (self.warmth(host) >= 1.0 || self.may_warm(host) || self.newcomer_may_warm(no, host))
             && self.may_repeat_on(no, host)
     }
 
-    /// Whether a call's next leg is its first, or within the budget for others.
+    /// Whether a call's next attempt is its first, or within the budget for others.
     fn may_go_further(&self, no: usize) -> bool {
-        self.calls[no].legs == 0 || self.further.allow(&self.terms, self.now)
+        self.calls[no].attempts == 0 || self.further.allow(&self.terms, self.now)
     }
 
     /// Danger: of hundreds of nodes each would have to save up for a whole call, and a cold host stays empty.
@@ -300,20 +301,20 @@
         }
     }
 
-    /// What is left for another leg. Two ticks are kept back: what comes at the guard time itself is seen a
+    /// What is left for another attempt. Two ticks are kept back: what comes at the guard time itself is seen a
     /// tick later, and the answer must still be in time.
     fn left(&self, no: usize) -> Span {
         (self.calls[no].call.guard - self.terms.tick.times(2.0)).since(self.now)
     }
 
-    /// A leg may take the setup target or half of what is left, so that another has room, or three times what
+    /// An attempt may take the setup target or half of what is left, so that another has room, or three times what
     /// setups take of late.
-    fn leg_time(&self, no: usize) -> Span {
+    fn attempt_timeout(&self, no: usize) -> Span {
         let (call, left) = (&self.calls[no], self.left(no));
         let target = self.terms.traffic[usize::from(call.call.traffic.0)].setup_target;
         // Danger: where all setups take long, what is cut off is worked on all the same, before the next.
         let of_late = Span::from_seconds(3.0 * self.rates.setup);
-        if call.legs + 1 >= self.terms.max_legs {
+        if call.attempts + 1 >= self.terms.max_attempts {
             left
         } else {
             left.times(0.5).max(target).max(of_late).min(left)
@@ -393,7 +394,7 @@
         let ours = to.stand() + load;
         let Some(others) = self.sizes.others(to) else { return ours };
         // Danger: all nodes see the same late word and would fill the same gap, each the whole of it. Each
-        // takes the mean of what all nodes hold there, and of its own legs since then that all send alike.
+        // takes the mean of what all nodes hold there, and of its own attempts since then that all send alike.
         let nodes = f64::from(self.terms.nodes.max(1));
         (ours + 2.0 * others) / nodes + self.terms.unseen() * (to.fresh[0] + to.fresh[1])
     }
@@ -552,7 +553,7 @@
         self.hosts[host].weight(self.loads.mean)
     }
 
-    // What legs teach.
+    // What attempts teach.
 
     fn take_back(&mut self, no: usize, ended: Ended, _: &mut dyn Port) -> Back {
         let Some((host, place)) = self.calls[no].out.take() else { return Back::Done };
@@ -561,8 +562,8 @@
             self.setups.out -= 1;
         }
         self.hosts[host].settle(self.now, self.loads.mean);
-        self.hosts[host].legs.swap_remove(place);
-        if let Some(moved) = self.hosts[host].legs.get(place).copied() {
+        self.hosts[host].attempts.swap_remove(place);
+        if let Some(moved) = self.hosts[host].attempts.get(place).copied() {
             self.calls[moved].out = Some((host, place));
         }
         self.count_load(no, host, -1.0);
@@ -590,7 +591,7 @@
                 self.rates.broke += 1.0;
                 let to = &mut self.hosts[host];
                 to.broke += 1;
-                if to.broke >= 3 && to.broke as usize * 3 >= to.legs.len() + to.broke as usize {
+                if to.broke >= 3 && to.broke as usize * 3 >= to.attempts.len() + to.broke as usize {
                     self.set_aside(host);
                 }
             }
@@ -684,7 +685,7 @@
         for _ in 0..if self.terms.message_times || !self.terms.may_probe { 0 } else { most } {
             self.turn = (self.turn + 1) % self.hosts.len();
             let to = &mut self.hosts[self.turn];
-            if to.condition == Condition::Ready && to.aside.is_none() && !to.legs.is_empty() {
+            if to.condition == Condition::Ready && to.aside.is_none() && !to.attempts.is_empty() {
                 to.budget -= 0.1;
                 port.probe(to.id);
             }
@@ -712,7 +713,7 @@
             to.smooth(ALPHA, elapsed);
             to.broke = 0;
             // Halves in 5 s, the time between two moves; where the node holds nothing it hears nothing.
-            to.strain *= if to.legs.is_empty() { 0.97 } else { 0.87 };
+            to.strain *= if to.attempts.is_empty() { 0.97 } else { 0.87 };
         }
         self.groups.weigh((1.0 / self.seconds as f64).max(0.06));
         self.rates.fade(0.8);
@@ -823,9 +824,9 @@
     }
 
     fn random_open(&mut self, host: usize) -> Option<usize> {
-        let open = self.hosts[host].legs.iter().filter(|no| self.calls[**no].is_open()).count();
+        let open = self.hosts[host].attempts.iter().filter(|no| self.calls[**no].is_open()).count();
         let pick = (open > 0).then(|| self.rng.generate_range(0..open as u64) as usize)?;
-        self.hosts[host].legs.iter().filter(|no| self.calls[**no].is_open()).nth(pick).copied()
+        self.hosts[host].attempts.iter().filter(|no| self.calls[**no].is_open()).nth(pick).copied()
     }
 
     /// Danger: all nodes together push a cold host over. Each sends it no more than its own part of what a
@@ -899,7 +900,7 @@
         }
         let (Some((most, top)), Some((least, low))) = (top, low) else { return };
         let (above, below) = (&self.hosts[top], &self.hosts[low]);
-        let more = above.legs.len() as f64 - below.legs.len() as f64;
+        let more = above.attempts.len() as f64 - below.attempts.len() as f64;
         let heavier = above.smoothed - below.smoothed >= 2.0 * self.loads.mean && self.loads.mean > 0.0;
         if most - least <= 0.2 * most || !(more >= 2.0 || heavier) {
             return;
@@ -974,9 +975,16 @@
         self.put(no, host);
     }
 
-    pub fn leg_set_up(&mut self, now: Time, call: CallId, leg: LegNo, took: Span, port: &mut dyn Port) {
+    pub fn attempt_established(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: AttemptNumber,
+        took: Span,
+        port: &mut dyn Port,
+    ) {
         self.now = now;
-        let Some((no, host)) = self.leg_out(call, leg) else { return };
+        let Some((no, host)) = self.outstanding_attempt(call, attempt) else { return };
         if std::mem::replace(&mut self.calls[no].set_up, true) {
             return;
         }
@@ -994,28 +1002,28 @@
         }
     }
 
-    fn leg_out(&self, call: CallId, leg: LegNo) -> Option<(usize, usize)> {
+    fn outstanding_attempt(&self, call: CallId, attempt: AttemptNumber) -> Option<(usize, usize)> {
         let no = *self.call_no.get(&call)?;
-        let held = self.calls.get(no).filter(|held| held.legs == leg.0 + 1)?;
+        let held = self.calls.get(no).filter(|held| held.attempts == attempt.0 + 1)?;
         held.out.map(|(host, _)| (no, host))
     }
 
-    pub fn leg_ended(
+    pub fn attempt_ended(
         &mut self,
         now: Time,
         call: CallId,
-        leg: LegNo,
+        attempt: AttemptNumber,
         ending: Ending,
         final_answer: bool,
         port: &mut dyn Port,
     ) {
         self.now = now;
-        let Some((no, host)) = self.leg_out(call, leg) else { return };
+        let Some((no, host)) = self.outstanding_attempt(call, attempt) else { return };
         let was_set_up = self.calls[no].set_up;
         self.pass_back(no, Ended { ending, final_answer, host, was_set_up }, port);
     }
 
-    /// The client left: nothing is owed, and the leg that is still out need not go on.
+    /// The client left: nothing is owed, and the attempt that is still out need not go on.
     pub fn call_given_up(&mut self, now: Time, call: CallId, port: &mut dyn Port) {
         self.now = now;
         let Some(no) = self.call_no.get(&call).copied() else { return };
@@ -1024,13 +1032,20 @@
         }
         self.calls[no].answered = true;
         if self.terms.may_recall && !self.calls[no].set_up {
-            port.recall(call, LegNo(self.calls[no].legs - 1));
+            port.recall(call, AttemptNumber(self.calls[no].attempts - 1));
         }
     }
 
-    pub fn leg_news(&mut self, now: Time, call: CallId, leg: LegNo, news: News, port: &mut dyn Port) {
+    pub fn attempt_report(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: AttemptNumber,
+        news: News,
+        port: &mut dyn Port,
+    ) {
         self.now = now;
-        let Some((no, host)) = self.leg_out(call, leg) else { return };
+        let Some((no, host)) = self.outstanding_attempt(call, attempt) else { return };
         match news {
             News::Load(load) => {
                 self.count_load(no, host, -1.0);
@@ -1064,7 +1079,7 @@
         let Some(host) = self.host_no.get(&host).copied() else { return };
         let to = &mut self.hosts[host];
         let Some(aside) = &mut to.aside else {
-            // Danger: a host that hangs still takes connections, and each call there waits out a leg.
+            // Danger: a host that hangs still takes connections, and each call there waits out an attempt.
             if how != Ending::Completed {
                 self.judge(host, true);
             } else if !self.terms.message_times {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -31,7 +31,7 @@
 struct Acts(Vec<Act>);
 
 impl Port for Acts {
-    fn send_leg(&mut self, call: CallId, host: HostId, _: Span) {
+    fn send_attempt(&mut self, call: CallId, host: HostId, _: Span) {
         self.0.push(Act::Send(call, host));
     }
     fn reject(&mut self, call: CallId, _: Option<Span>) {
@@ -40,7 +40,7 @@
     fn release(&mut self, call: CallId) {
         self.0.push(Act::Answered(call));
     }
-    fn recall(&mut self, _: CallId, _: LegNo) {}
+    fn recall(&mut self, _: CallId, _: AttemptNumber) {}
     fn move_away(&mut self, call: CallId) {
         self.0.push(Act::Move(call));
     }
@@ -56,8 +56,8 @@
     Wake(usize, Token),
     /// A client comes, for the first time or again.
     Come(bool),
-    SetUp(usize, CallId, LegNo, Time),
-    End(usize, CallId, LegNo, Ending),
+    SetUp(usize, CallId, AttemptNumber, Time),
+    End(usize, CallId, AttemptNumber, Ending),
     /// Hosts are lost, and come back cold.
     Lose(usize),
     Start(usize),
@@ -86,7 +86,7 @@
         me: me as u32,
         nodes: nodes as u32,
         tick: Span::ms(5),
-        max_legs: 4,
+        max_attempts: 4,
         may_probe: true,
         may_recall: true,
         weights: Weights::Sizes,
@@ -94,7 +94,7 @@
         come_back: None,
         ask_within: None,
         warming: Warming { from: FROM, after: AFTER, multiple: MULTIPLE, window: WINDOW },
-        leg_budget: None,
+        retry_budget: None,
         start_off: Span::ZERO,
         crossing_price: 0.0,
         whole_weight: 0.5,
@@ -165,7 +165,7 @@
                 Act::Send(call, host) => {
                     let host = host.0 as usize - 1;
                     let of = self.calls.entry((me, call)).or_default();
-                    let no = LegNo(of.0);
+                    let no = AttemptNumber(of.0);
                     *of = (of.0 + 1, Some(host));
                     self.sent[host].push(self.now);
                     if self.listed[host] {
@@ -182,8 +182,8 @@
                     self.at(again, Event::Come(true));
                 }
                 Act::Move(call) => {
-                    let Some((legs, Some(_))) = self.calls.get(&(me, call)).copied() else { continue };
-                    self.at(0, Event::End(me, call, LegNo(legs - 1), Ending::Recalled));
+                    let Some((attempts, Some(_))) = self.calls.get(&(me, call)).copied() else { continue };
+                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), Ending::Recalled));
                 }
                 Act::Wake(time, token) => {
                     self.at(time.since(Time(self.now)).0.div_ceil(MS), Event::Wake(me, token));
@@ -215,8 +215,8 @@
                 self.tell(me, |node, now, acts| node.call_taken(now, call, acts));
             }
             Event::SetUp(me, call, no, sent) => {
-                let Some((legs, Some(host))) = self.calls.get(&(me, call)).copied() else { return };
-                if legs != no.0 + 1 {
+                let Some((attempts, Some(host))) = self.calls.get(&(me, call)).copied() else { return };
+                if attempts != no.0 + 1 {
                     return;
                 }
                 if !self.listed[host] {
@@ -224,20 +224,22 @@
                 }
                 let life = 1 + (LIFE_MS as f64 * -self.rng.generate::<f64>().max(1e-9).ln()) as u64;
                 self.at(life, Event::End(me, call, no, Ending::Completed));
-                self.tell(me, |node, now, acts| node.leg_set_up(now, call, no, now.since(sent), acts));
+                self.tell(me, |node, now, acts| {
+                    node.attempt_established(now, call, no, now.since(sent), acts)
+                });
             }
             Event::End(me, call, no, ending) => {
-                let Some((legs, Some(_))) = self.calls.get(&(me, call)).copied() else { return };
-                if legs != no.0 + 1 {
+                let Some((attempts, Some(_))) = self.calls.get(&(me, call)).copied() else { return };
+                if attempts != no.0 + 1 {
                     return;
                 }
                 let last = ending != Ending::Unreachable;
                 if last {
                     self.calls.remove(&(me, call));
                 } else {
-                    self.calls.insert((me, call), (legs, None));
+                    self.calls.insert((me, call), (attempts, None));
                 }
-                self.tell(me, |node, now, acts| node.leg_ended(now, call, no, ending, last, acts));
+                self.tell(me, |node, now, acts| node.attempt_ended(now, call, no, ending, last, acts));
                 if matches!(ending, Ending::Broken | Ending::Recalled) {
                     let again = 50 + self.below(500);
                     self.at(again, Event::Come(true));
@@ -248,8 +250,8 @@
                 self.list();
                 let there: Vec<_> = self.calls.iter().filter(|(_, of)| of.1 == Some(host)).collect();
                 let there: Vec<_> = there.into_iter().map(|((me, call), of)| (*me, *call, of.0)).collect();
-                for (me, call, legs) in there {
-                    self.at(0, Event::End(me, call, LegNo(legs - 1), Ending::Broken));
+                for (me, call, attempts) in there {
+                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), Ending::Broken));
                 }
             }
             Event::Start(host) => {
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -80,7 +80,7 @@
 }
 
 impl Port for Recorder {
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span) {
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
         self.record(1, &[call.0, host.0, within.0]);
         self.sent.push((call, host, within));
     }
@@ -92,9 +92,9 @@
         self.record(3, &[call.0]);
         self.ended.insert(call);
     }
-    fn recall(&mut self, call: CallId, leg: LegNo) {
-        self.record(4, &[call.0, u64::from(leg.0)]);
-        self.recalled.push((call, leg.0));
+    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+        self.record(4, &[call.0, u64::from(attempt.0)]);
+        self.recalled.push((call, attempt.0));
     }
     fn move_away(&mut self, call: CallId) {
         self.record(5, &[call.0]);
@@ -177,7 +177,7 @@
         me: 0,
         nodes,
         tick: Span::ms(5),
-        max_legs: if chance(0.5) { 3 } else { 5 },
+        max_attempts: if chance(0.5) { 3 } else { 5 },
         may_probe: chance(0.8),
         may_recall: chance(0.7),
         weights: if chance(0.3) { Weights::Live } else { Weights::Sizes },
@@ -185,7 +185,7 @@
         come_back: chance(0.5).then_some(Span::ms(2_000)),
         ask_within: chance(0.7).then_some(Span::ms(4_000)),
         warming: Warming { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
-        leg_budget: chance(0.6).then_some(LegBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
+        retry_budget: chance(0.6).then_some(RetryBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
         start_off: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
         crossing_price: if chance(0.5) { 0.05 } else { 0.0 },
         whole_weight: if chance(0.5) { 0.5 } else { 1.0 },
@@ -312,13 +312,19 @@
                 let call = self.draw_call(now, subject, traffic, group, true);
                 self.take_call(now, call);
             }
-            Event::SetUp(call, leg, took) => self.set_up(now, call, leg, took),
-            Event::LoadReport(call, leg) => {
+            Event::SetUp(call, attempt, took) => self.set_up(now, call, attempt, took),
+            Event::LoadReport(call, attempt) => {
                 let load = 0.01 + 0.1 * f64::from(self.rng.generate::<f32>());
-                self.node.leg_news(now, call, LegNo(leg), News::Load(load), &mut self.recorder);
+                self.node.attempt_report(
+                    now,
+                    call,
+                    AttemptNumber(attempt),
+                    News::Load(load),
+                    &mut self.recorder,
+                );
             }
-            Event::MessageTime(call, leg, host) => self.message_time(now, call, leg, host),
-            Event::AttemptEnds(call, leg, ending) => self.attempt_ends(now, call, leg, ending),
+            Event::MessageTime(call, attempt, host) => self.message_time(now, call, attempt, host),
+            Event::AttemptEnds(call, attempt, ending) => self.attempt_ends(now, call, attempt, ending),
             Event::ClientLeaves(call) => {
                 if self.clients.contains_key(&call) {
                     self.node.call_given_up(now, call, &mut self.recorder);
@@ -401,34 +407,40 @@
         }
     }
 
-    fn set_up(&mut self, now: Time, call: CallId, leg: u16, took: Span) {
-        let Some(client) = self.clients.get_mut(&call).filter(|client| client.attempts == leg + 1) else {
+    fn set_up(&mut self, now: Time, call: CallId, attempt: u16, took: Span) {
+        let Some(client) = self.clients.get_mut(&call).filter(|client| client.attempts == attempt + 1) else {
             return;
         };
         let Some(host) = client.host else { return };
         client.open = true;
-        self.node.leg_set_up(now, call, LegNo(leg), took, &mut self.recorder);
+        self.node.attempt_established(now, call, AttemptNumber(attempt), took, &mut self.recorder);
         if self.chance(0.6) {
-            self.after(Span::ms(100), Event::LoadReport(call, leg));
+            self.after(Span::ms(100), Event::LoadReport(call, attempt));
         }
         if self.behaviour(host) == Behaviour::Slow {
-            self.after(Span::ms(300), Event::MessageTime(call, leg, host));
+            self.after(Span::ms(300), Event::MessageTime(call, attempt, host));
         }
         let lasts = self.span(500, 12_000);
-        self.after(lasts, Event::AttemptEnds(call, leg, Ending::Completed));
+        self.after(lasts, Event::AttemptEnds(call, attempt, Ending::Completed));
     }
 
-    fn message_time(&mut self, now: Time, call: CallId, leg: u16, host: HostId) {
+    fn message_time(&mut self, now: Time, call: CallId, attempt: u16, host: HostId) {
         if self.behaviour(host) != Behaviour::Slow || !self.clients.contains_key(&call) {
             return;
         }
         let took = self.span(20, 400);
-        self.node.leg_news(now, call, LegNo(leg), News::MessageTime(took), &mut self.recorder);
-        self.after(Span::ms(1_000), Event::MessageTime(call, leg, host));
-    }
-
-    fn attempt_ends(&mut self, now: Time, call: CallId, leg: u16, ending: Ending) {
-        let Some(client) = self.clients.get_mut(&call).filter(|client| client.attempts == leg + 1) else {
+        self.node.attempt_report(
+            now,
+            call,
+            AttemptNumber(attempt),
+            News::MessageTime(took),
+            &mut self.recorder,
+        );
+        self.after(Span::ms(1_000), Event::MessageTime(call, attempt, host));
+    }
+
+    fn attempt_ends(&mut self, now: Time, call: CallId, attempt: u16, ending: Ending) {
+        let Some(client) = self.clients.get_mut(&call).filter(|client| client.attempts == attempt + 1) else {
             return;
         };
         if client.host.take().is_none() {
@@ -436,7 +448,7 @@
         }
         let was_open = std::mem::take(&mut client.open);
         let last = ending == Ending::Completed || was_open;
-        self.node.leg_ended(now, call, LegNo(leg), ending, last, &mut self.recorder);
+        self.node.attempt_ended(now, call, AttemptNumber(attempt), ending, last, &mut self.recorder);
         if last {
             let client = self.clients.remove(&call).expect("the client was just there");
             if self.chance(0.4) {
@@ -552,13 +564,13 @@
         for call in std::mem::take(&mut self.recorder.ended) {
             self.clients.remove(&call);
         }
-        for (call, leg) in std::mem::take(&mut self.recorder.recalled) {
-            self.after(Span::ms(4), Event::AttemptEnds(call, leg, Ending::Recalled));
+        for (call, attempt) in std::mem::take(&mut self.recorder.recalled) {
+            self.after(Span::ms(4), Event::AttemptEnds(call, attempt, Ending::Recalled));
         }
         for call in std::mem::take(&mut self.recorder.moved) {
             if let Some(client) = self.clients.get(&call) {
-                let leg = client.attempts - 1;
-                self.after(Span::ms(25), Event::AttemptEnds(call, leg, Ending::Completed));
+                let attempt = client.attempts - 1;
+                self.after(Span::ms(25), Event::AttemptEnds(call, attempt, Ending::Completed));
             }
         }
         for host in std::mem::take(&mut self.recorder.probed) {
@@ -576,24 +588,24 @@
             _ => self.span(5, 50),
         };
         let client = self.clients.get_mut(&call).expect("attempts are sent for known calls");
-        let leg = client.attempts;
+        let attempt = client.attempts;
         client.attempts += 1;
         client.host = Some(host);
         match behaviour {
             Behaviour::Well | Behaviour::Slow if took < within => {
-                self.after(took, Event::SetUp(call, leg, took));
+                self.after(took, Event::SetUp(call, attempt, took));
             }
             Behaviour::Well | Behaviour::Slow | Behaviour::Silent => {
-                self.after(within, Event::AttemptEnds(call, leg, Ending::TimedOut));
+                self.after(within, Event::AttemptEnds(call, attempt, Ending::TimedOut));
             }
             Behaviour::Breaks => {
-                self.after(took, Event::SetUp(call, leg, took));
-                self.after(Span(took.0 + Span::ms(700).0), Event::AttemptEnds(call, leg, Ending::Broken));
+                self.after(took, Event::SetUp(call, attempt, took));
+                self.after(Span(took.0 + Span::ms(700).0), Event::AttemptEnds(call, attempt, Ending::Broken));
             }
-            Behaviour::Fails => self.after(Span::ms(8), Event::AttemptEnds(call, leg, Ending::Error)),
-            Behaviour::Full => self.after(Span::ms(3), Event::AttemptEnds(call, leg, Ending::Full)),
+            Behaviour::Fails => self.after(Span::ms(8), Event::AttemptEnds(call, attempt, Ending::Error)),
+            Behaviour::Full => self.after(Span::ms(3), Event::AttemptEnds(call, attempt, Ending::Full)),
             Behaviour::Unreachable => {
-                self.after(Span::ms(2), Event::AttemptEnds(call, leg, Ending::Unreachable));
+                self.after(Span::ms(2), Event::AttemptEnds(call, attempt, Ending::Unreachable));
             }
         }
     }
--- a/tests/lost_node.rs
+++ b/tests/lost_node.rs
@@ -32,9 +32,9 @@
 enum Event {
     Wake(usize, Token),
     Come(usize),
-    Up(usize, CallId, LegNo),
-    Load(usize, CallId, LegNo),
-    Limit(usize, CallId, LegNo),
+    Up(usize, CallId, AttemptNumber),
+    Load(usize, CallId, AttemptNumber),
+    Limit(usize, CallId, AttemptNumber),
     Bye(usize, u32),
     Second,
     Kill,
@@ -54,7 +54,7 @@
 
 struct OneCall {
     client: usize,
-    leg: u16,
+    attempt: u16,
     host: usize,
 }
 
@@ -77,7 +77,7 @@
 struct Acts(Vec<Act>);
 
 impl Port for Acts {
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span) {
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
         self.0.push(Act::Send(call, host, within));
     }
     fn reject(&mut self, call: CallId, _: Option<Span>) {
@@ -86,7 +86,7 @@
     fn release(&mut self, call: CallId) {
         self.0.push(Act::Answer(call));
     }
-    fn recall(&mut self, _: CallId, _: LegNo) {}
+    fn recall(&mut self, _: CallId, _: AttemptNumber) {}
     fn move_away(&mut self, call: CallId) {
         self.0.push(Act::Move(call));
     }
@@ -137,7 +137,7 @@
         me: me as u32,
         nodes: shape.nodes as u32,
         tick: Span::ms(5),
-        max_legs: 4,
+        max_attempts: 4,
         may_probe: true,
         may_recall: true,
         weights: Weights::Sizes,
@@ -145,7 +145,7 @@
         come_back: None,
         ask_within: None,
         warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) },
-        leg_budget: None,
+        retry_budget: None,
         start_off: Span::ZERO,
         crossing_price: 0.03,
         whole_weight: 0.5,
@@ -269,16 +269,16 @@
                     let host = host.0 as usize - 1;
                     let Some(held) = self.calls[at].get_mut(&call) else { continue };
                     held.host = host;
-                    held.leg += 1;
-                    let leg = LegNo(held.leg - 1);
+                    held.attempt += 1;
+                    let attempt = AttemptNumber(held.attempt - 1);
                     self.hosts[host].setting_up += 1;
                     let used = self.used(host);
                     let took = if used < 0.9 { 20.0 / (1.0 - used) } else { 200.0 + 2_000.0 * (used - 0.9) };
                     let took = (took + 1_000.0 * self.hosts[host].pile) as u64 + self.roll(10);
                     if took * MS < within.0 {
-                        self.at(took, Event::Up(at, call, leg));
+                        self.at(took, Event::Up(at, call, attempt));
                     } else {
-                        self.at(within.0 / MS, Event::Limit(at, call, leg));
+                        self.at(within.0 / MS, Event::Limit(at, call, attempt));
                     }
                 }
                 Act::Answer(call) => {
@@ -304,7 +304,7 @@
         (self.clients[client].open, self.clients[client].host) = (false, None);
         if let Some(held) = self.calls[at].remove(&call) {
             self.tell(at, |node, now, acts| {
-                node.leg_ended(now, call, LegNo(held.leg - 1), ending, true, acts);
+                node.attempt_ended(now, call, AttemptNumber(held.attempt - 1), ending, true, acts);
             });
         }
     }
@@ -335,19 +335,22 @@
         match event {
             Event::Wake(at, token) => self.tell(at, |node, now, acts| node.woken(now, token, acts)),
             Event::Come(client) => self.come(client),
-            Event::Up(at, call, leg) => self.up(at, call, leg),
-            Event::Load(at, call, leg) => {
+            Event::Up(at, call, attempt) => self.up(at, call, attempt),
+            Event::Load(at, call, attempt) => {
                 let Some(held) = self.calls[at].get(&call) else { return };
                 let load = self.clients[held.client].load;
-                self.tell(at, |node, now, acts| node.leg_news(now, call, leg, News::Load(load), acts));
+                self.tell(at, |node, now, acts| {
+                    node.attempt_report(now, call, attempt, News::Load(load), acts)
+                });
             }
-            Event::Limit(at, call, leg) => {
-                let Some(held) = self.calls[at].get(&call).filter(|held| held.leg == leg.0 + 1) else {
+            Event::Limit(at, call, attempt) => {
+                let Some(held) = self.calls[at].get(&call).filter(|held| held.attempt == attempt.0 + 1)
+                else {
                     return;
                 };
                 self.hosts[held.host].setting_up = self.hosts[held.host].setting_up.saturating_sub(1);
                 self.tell(at, |node, now, acts| {
-                    node.leg_ended(now, call, leg, Ending::TimedOut, false, acts)
+                    node.attempt_ended(now, call, attempt, Ending::TimedOut, false, acts)
                 });
             }
             Event::Bye(client, times) => {
@@ -388,18 +391,20 @@
             before: None,
         };
         self.clients[client].at = Some((at, id));
-        self.calls[at].insert(id, OneCall { client, leg: 0, host: 0 });
+        self.calls[at].insert(id, OneCall { client, attempt: 0, host: 0 });
         self.tell(at, |node, now, acts| node.call_taken(now, call, acts));
     }
 
-    fn up(&mut self, at: usize, call: CallId, leg: LegNo) {
-        let Some(held) = self.calls[at].get(&call).filter(|held| held.leg == leg.0 + 1) else { return };
+    fn up(&mut self, at: usize, call: CallId, attempt: AttemptNumber) {
+        let Some(held) = self.calls[at].get(&call).filter(|held| held.attempt == attempt.0 + 1) else {
+            return;
+        };
         let (client, host) = (held.client, held.host);
         self.hosts[host].setting_up = self.hosts[host].setting_up.saturating_sub(1);
         (self.clients[client].open, self.clients[client].host) = (true, Some(host));
         self.weigh();
-        self.tell(at, |node, now, acts| node.leg_set_up(now, call, leg, Span::ms(30), acts));
-        self.at(150, Event::Load(at, call, leg));
+        self.tell(at, |node, now, acts| node.attempt_established(now, call, attempt, Span::ms(30), acts));
+        self.at(150, Event::Load(at, call, attempt));
         if self.clients[client].times == 0 || self.roll(2) == 0 {
             let stays = -(1.0 - f64::from(self.chance.generate::<f32>())).ln() * self.shape.stays_s * 1_000.0;
             let times = self.clients[client].times;
@@ -424,9 +429,14 @@
                 let of = self.calls[at]
                     .iter()
                     .find(|(_, held)| held.host == host && self.clients[held.client].open);
-                let Some((call, leg)) = of.map(|(call, held)| (*call, LegNo(held.leg - 1))) else { continue };
+                let Some((call, attempt)) = of.map(|(call, held)| (*call, AttemptNumber(held.attempt - 1)))
+                else {
+                    continue;
+                };
                 let took = Span::from_seconds(pile);
-                self.tell(at, |node, now, acts| node.leg_news(now, call, leg, News::MessageTime(took), acts));
+                self.tell(at, |node, now, acts| {
+                    node.attempt_report(now, call, attempt, News::MessageTime(took), acts)
+                });
             }
         }
         if self.killed.is_some_and(|at| self.now < at + 10_000 * MS) {
@@ -453,7 +463,7 @@
         let calls = std::mem::take(&mut self.calls[0]);
         for held in calls.values() {
             let client = self.clients[held.client];
-            if !client.open && held.leg > 0 {
+            if !client.open && held.attempt > 0 {
                 self.hosts[held.host].setting_up = self.hosts[held.host].setting_up.saturating_sub(1);
             }
             self.comes_again(held.client);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,7 +16,7 @@
 #[derive(Clone)]
 enum Due {
     Alarm(Time, Token),
-    Leg(CallId, HostId, Span),
+    Attempt(CallId, HostId, Span),
 }
 
 impl Log {
@@ -26,9 +26,9 @@
 }
 
 impl Port for Log {
-    fn send_leg(&mut self, call: CallId, host: HostId, within: Span) {
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
         let line = format!("send {} {}", call.0, self.name(host));
-        self.new.push((line, Some(Due::Leg(call, host, within))));
+        self.new.push((line, Some(Due::Attempt(call, host, within))));
     }
     fn reject(&mut self, call: CallId, come_back: Option<Span>) {
         let wait = if come_back.is_some() { " wait" } else { "" };
@@ -37,8 +37,8 @@
     fn release(&mut self, call: CallId) {
         self.new.push((format!("release {}", call.0), None));
     }
-    fn recall(&mut self, call: CallId, leg: LegNo) {
-        self.new.push((format!("recall {} {}", call.0, leg.0), None));
+    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+        self.new.push((format!("recall {} {}", call.0, attempt.0), None));
     }
     fn move_away(&mut self, call: CallId) {
         self.new.push((format!("move {}", call.0), None));
@@ -64,12 +64,12 @@
     done: Vec<String>,
     due: BTreeMap<(Time, usize), Due>,
     set: usize,
-    /// What a host does with a leg: `well`, an ending, or `silent`.
+    /// What a host does with an attempt: `well`, an ending, or `silent`.
     ways: HashMap<HostId, String>,
-    /// The legs out: number and host by call.
-    legs: BTreeMap<CallId, (u16, HostId)>,
+    /// The attempts out: number and host by call.
+    attempts: BTreeMap<CallId, (u16, HostId)>,
     sent: HashMap<CallId, u16>,
-    /// How long hosts take to set a leg up, where it is not 20 ms.
+    /// How long hosts take to set an attempt up, where it is not 20 ms.
     setups: HashMap<HostId, Span>,
     /// What the process before left.
     legacy: Legacy,
@@ -122,7 +122,7 @@
         me: number("me", 0.0) as u32,
         nodes: number("nodes", 1.0) as u32,
         tick: Span::ms(5),
-        max_legs: number("legs", 4.0) as u16,
+        max_attempts: number("legs", 4.0) as u16,
         may_probe: true,
         may_recall: true,
         weights: if given.contains_key("live") { Weights::Live } else { Weights::Sizes },
@@ -130,9 +130,9 @@
         come_back: given.get("come-back").map(|s| seconds(s)),
         ask_within: given.get("ask-within").map(|s| seconds(s)),
         warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 4.0, window: Span::ms(1000) },
-        leg_budget: given.get("leg-budget").map(|text| {
+        retry_budget: given.get("leg-budget").map(|text| {
             let (free, part) = text.split_once("+").unwrap();
-            LegBudget { free: free.parse().unwrap(), part: part.parse().unwrap(), span: Span::ms(10_000) }
+            RetryBudget { free: free.parse().unwrap(), part: part.parse().unwrap(), span: Span::ms(10_000) }
         }),
         start_off: given.get("start-off").map_or(Span::ZERO, |s| seconds(s)),
         crossing_price: number("crossing", 0.0),
@@ -150,19 +150,19 @@
         HostId(at as u64)
     }
 
-    /// Books what the node did, and lets hosts answer the legs that reached them.
+    /// Books what the node did, and lets hosts answer the attempts that reached them.
     fn settle(&mut self) {
         while !self.log.new.is_empty() {
             let mut answers = Vec::new();
             for (line, due) in std::mem::take(&mut self.log.new) {
                 match due {
-                    Some(Due::Leg(call, host, within)) => {
+                    Some(Due::Attempt(call, host, within)) => {
                         let sent = self.sent.entry(call).or_default();
-                        assert!(self.legs.insert(call, (*sent, host)).is_none(), "two legs out: {line}");
+                        assert!(self.attempts.insert(call, (*sent, host)).is_none(), "two legs out: {line}");
                         *sent += 1;
                         let way = self.ways.get(&host).map_or("well", String::as_str).to_owned();
                         match way.as_str() {
-                            "silent" => self.set_due(self.now + within, Due::Leg(call, host, within)),
+                            "silent" => self.set_due(self.now + within, Due::Attempt(call, host, within)),
                             way => answers.push((call, way.to_owned())),
                         }
                     }
@@ -173,9 +173,15 @@
             }
             for (call, way) in answers {
                 if way == "well" {
-                    let (leg, host) = self.legs[&call];
+                    let (attempt, host) = self.attempts[&call];
                     let took = self.setups.get(&host).copied().unwrap_or(Span::ms(20));
-                    self.node.leg_set_up(self.now, call, LegNo(leg), took, &mut self.log);
+                    self.node.attempt_established(
+                        self.now,
+                        call,
+                        AttemptNumber(attempt),
+                        took,
+                        &mut self.log,
+                    );
                 } else {
                     self.end(call, ending(&way), false);
                 }
@@ -189,8 +195,8 @@
     }
 
     fn end(&mut self, call: CallId, ending: Ending, last: bool) {
-        let Some((leg, _)) = self.legs.remove(&call) else { return };
-        self.node.leg_ended(self.now, call, LegNo(leg), ending, last, &mut self.log);
+        let Some((attempt, _)) = self.attempts.remove(&call) else { return };
+        self.node.attempt_ended(self.now, call, AttemptNumber(attempt), ending, last, &mut self.log);
     }
 
     fn run_to(&mut self, time: Time) {
@@ -199,7 +205,7 @@
             self.now = at;
             match due {
                 Due::Alarm(_, token) => self.node.woken(at, token, &mut self.log),
-                Due::Leg(call, ..) => self.end(call, Ending::TimedOut, false),
+                Due::Attempt(call, ..) => self.end(call, Ending::TimedOut, false),
             }
             self.settle();
         }
@@ -211,7 +217,7 @@
             let at = |(call, (_, host)): (&CallId, &(u16, HostId))| {
                 (self.log.name(*host) == name).then_some(*call)
             };
-            return self.legs.iter().filter_map(at).collect();
+            return self.attempts.iter().filter_map(at).collect();
         }
         let (from, to) = word.split_once("..").unwrap_or((word, word));
         (from.parse().unwrap()..=to.parse().unwrap()).map(CallId).collect()
@@ -273,7 +279,7 @@
             }
             ["heir", ..] => {
                 self.legacy = self.node.legacy();
-                (self.due, self.legs, self.log.new) = Default::default();
+                (self.due, self.attempts, self.log.new) = Default::default();
                 self.node = Node::start(terms(words), 7, self.now, &mut self.log);
             }
             ["inherits"] => self.node.inherit(&self.legacy),
@@ -289,7 +295,7 @@
             ["open", calls, host, ..] => {
                 let host = self.host(host);
                 for id in self.calls(calls) {
-                    self.legs.insert(id, (0, host));
+                    self.attempts.insert(id, (0, host));
                     self.sent.insert(id, 1);
                     self.node.connection_found(self.now, self.call(id, &given), host);
                 }
@@ -309,13 +315,25 @@
             ["load", calls, load] => {
                 for id in self.calls(calls) {
                     let news = News::Load(load.parse().unwrap());
-                    self.node.leg_news(self.now, id, LegNo(self.legs[&id].0), news, &mut self.log);
+                    self.node.attempt_report(
+                        self.now,
+                        id,
+                        AttemptNumber(self.attempts[&id].0),
+                        news,
+                        &mut self.log,
+                    );
                 }
             }
             ["slow", host, took] => {
                 let id = self.calls(&format!("@{host}"))[0];
                 let news = News::MessageTime(seconds(took));
-                self.node.leg_news(self.now, id, LegNo(self.legs[&id].0), news, &mut self.log);
+                self.node.attempt_report(
+                    self.now,
+                    id,
+                    AttemptNumber(self.attempts[&id].0),
+                    news,
+                    &mut self.log,
+                );
             }
             ["setup", host, took] => {
                 let host = self.host(host);
@@ -408,7 +426,7 @@
             due: BTreeMap::new(),
             set: 0,
             ways: HashMap::new(),
-            legs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             sent: HashMap::new(),
             setups: HashMap::new(),
             legacy: Legacy::default(),
