--- a/crates/fleet/src/charter.rs
+++ b/crates/fleet/src/charter.rs
@@ -153,17 +153,17 @@
     pub limits: Limits,
     /// Without this, hosts are the list's matter alone.
     #[serde(default)]
-    pub hosts: Option<HostTerms>,
+    pub hosts: Option<HostSettings>,
     /// Without this, work in hand is its node's alone.
     #[serde(default)]
-    pub work: Option<WorkTerms>,
+    pub work: Option<TakeoverSettings>,
     pub units: BTreeMap<UnitName, Place>,
 }
 
 /// How work in hand outlives its node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WorkTerms {
+pub struct TakeoverSettings {
     /// Seconds after its answer in which a call that comes again is recognised.
     #[serde(default = "recall")]
     pub recall_s: u32,
@@ -177,7 +177,7 @@
 /// How hosts are taken out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HostTerms {
+pub struct HostSettings {
     /// Over the hosts that the list names, apart from the nodes.
     #[serde(default)]
     pub limits: Limits,
--- a/crates/fleet/src/hosts.rs
+++ b/crates/fleet/src/hosts.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Moment;
-use crate::charter::{HostTerms, Place, UnitName, scopes};
+use crate::charter::{HostSettings, Place, UnitName, scopes};
 use crate::group::{Action, Fleet};
 use crate::plant::{Plant, planted};
 use crate::state::{Answer, Cause, Command, Permit, State, done, refused};
@@ -78,13 +78,13 @@
 impl State {
     /// Whether one more host may go out, or which limit stands against it.
     fn host_room(&self, name: &UnitName, host: &Host) -> Result<(), String> {
-        let terms = self.charter.as_ref().and_then(|charter| charter.hosts.as_ref());
-        let Some(terms) = terms else { return Err("the charter has no section for hosts".into()) };
+        let settings = self.charter.as_ref().and_then(|charter| charter.hosts.as_ref());
+        let Some(settings) = settings else { return Err("the charter has no section for hosts".into()) };
         if host.held.is_some() {
             return Err(format!("{name} is out already"));
         }
         let places = self.hosts.iter().map(|(name, host)| (name, &host.place));
-        for (scope, limit, hosts) in scopes(&terms.limits, &host.place, places) {
+        for (scope, limit, hosts) in scopes(&settings.limits, &host.place, places) {
             // Its own draining in the list is no reason against it.
             let others = hosts.iter().filter(|other| **other != name);
             let out = others.filter(|other| self.hosts.get(**other).is_some_and(Host::is_out)).count() as u32;
@@ -175,7 +175,7 @@
         }
     }
 
-    fn host_terms(&self) -> Option<&HostTerms> {
+    fn host_settings(&self) -> Option<&HostSettings> {
         self.charter.as_ref()?.hosts.as_ref()
     }
 }
@@ -240,7 +240,7 @@
 
     /// Tells the node which hosts to keep away from, and how fast to leave them, if that has changed.
     pub(crate) fn follow_hosts(&mut self) {
-        let Some(terms) = self.state.host_terms().filter(|_| self.is_current()) else { return };
+        let Some(settings) = self.state.host_settings().filter(|_| self.is_current()) else { return };
         let out: BTreeSet<UnitName> = self
             .state
             .hosts
@@ -250,7 +250,7 @@
             .collect();
         // The rate is the fleet's. Danger: shared among those that are heard alone, the ones cut off would be too fast.
         let nodes = self.state.units.len().max(1) as u64;
-        let every_ms = (nodes * 1_000).div_ceil(u64::from(terms.moves_per_second.max(1)));
+        let every_ms = (nodes * 1_000).div_ceil(u64::from(settings.moves_per_second.max(1)));
         if self.eased.as_ref().is_none_or(|(known, pace)| *known != out || *pace != every_ms) {
             let first = self.eased.is_none() && out.is_empty();
             self.eased = Some((out.clone(), every_ms));
@@ -264,8 +264,8 @@
 
     /// The leader's part; a look a second does, as lists change in seconds.
     pub(crate) fn look_after_hosts(&mut self) {
-        let Some(terms) = self.state.host_terms() else { return };
-        let forget_ms = u64::from(terms.forget_after_s) * 1_000;
+        let Some(settings) = self.state.host_settings() else { return };
+        let forget_ms = u64::from(settings.forget_after_s) * 1_000;
         if self.host_watch.looked.is_some_and(|at| self.now.ms_since(at) < LOOKS_MS) {
             return;
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -68,7 +68,7 @@
         match unit.standing.clone() {
             Standing::Serving => {
                 self.member.asked = None;
-                self.come_back();
+                self.retry_after();
             }
             Standing::Granted { permit, cause } => {
                 if planted(Plant::OutOnGrant) && self.member.out.is_none() {
@@ -77,11 +77,11 @@
                 self.ask_to_begin(permit);
             }
             Standing::Begun { permit, cause, nonce, .. } => self.begun(permit, cause, nonce),
-            Standing::Returning { .. } => self.come_back(),
+            Standing::Returning { .. } => self.retry_after(),
         }
     }
 
-    fn come_back(&mut self) {
+    fn retry_after(&mut self) {
         if self.member.out.take().is_some() {
             self.member.parted = None;
             self.actions.push(Action::Return);
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -590,8 +590,8 @@
         }
     }
     assert_eq!(world.broken, None);
-    let terms = world.newest().unwrap().units.values().map(|unit| unit.term);
-    (terms.sum(), leaders)
+    let settings = world.newest().unwrap().units.values().map(|unit| unit.term);
+    (settings.sum(), leaders)
 }
 
 /// `LOST_S=seconds` plays so long at each rate; in CI it is short. That it can be more than none shows at the high rate.
--- a/crates/fleet/tests/world/hosts.rs
+++ b/crates/fleet/tests/world/hosts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use glendeck_fleet::charter::{Amount, HostTerms, Limit, Limits, Place, UnitName};
+use glendeck_fleet::charter::{Amount, HostSettings, Limit, Limits, Place, UnitName};
 use glendeck_fleet::hosts::{Hold, Listed};
 use glendeck_fleet::state::{Cause, Permit};
 
@@ -49,8 +49,8 @@
     pub most_kept: usize,
 }
 
-pub fn terms() -> HostTerms {
-    HostTerms {
+pub fn settings() -> HostSettings {
+    HostSettings {
         limits: Limits {
             fleet: Limit { most_out: Some(Amount::Part(340)), least_left: None },
             zone: Limit { most_out: Some(Amount::Count(1)), least_left: None },
@@ -236,7 +236,7 @@
         out.retain(|host| !beyond(host));
         self.hosts.most_kept = self.hosts.most_kept.max(out.len());
         let all = self.hosts.hosts.len() as u32;
-        let limits = terms().limits;
+        let limits = settings().limits;
         let zone = out.iter().filter(|host| **host % 3 == fresh % 3).count() as u32;
         if out.len() as u32 > limits.fleet.room(all) || zone > limits.zone.room(all / 3) {
             self.break_rule(format!("hosts {out:?} are out at once, with h{fresh}"));
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -171,7 +171,7 @@
         group: "test".into(),
         voters: (0..voters).map(name).collect(),
         limits,
-        hosts: Some(hosts::terms()),
+        hosts: Some(hosts::settings()),
         work: None,
         units: (0..nodes).map(|at| (name(at), place(at))).collect(),
     }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -217,10 +217,10 @@
         }
         let leaving = matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing) && !self.takes_clients();
         if leaving || !self.has_room() {
-            let come_back = self.startup.terms.come_back.map(|most| most.min(COME_BACK));
+            let retry_after = self.startup.settings.retry_after.map(|most| most.min(COME_BACK));
             debug!(leaving, "busy");
             self.figures.count(opening.traffic, Outcome::Busy);
-            return self.answer_conn(id, Answer::Busy(come_back));
+            return self.answer_conn(id, Answer::Busy(retry_after));
         }
         self.ids.insert(opening.id);
         let work = self.work_of(&opening);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use glendeck::domain::{HostId, Span, Terms, Zone};
+use glendeck::domain::{HostId, Settings, Span, Zone};
 use glendeck_fleet::charter::{Charter, Faulty, UnitName};
-use glendeck_terms::Pairs;
+use glendeck_settings::Pairs;
 use serde_json::Value;
 use tracing::level_filters::LevelFilter;
 
@@ -26,7 +26,7 @@
     #[error("{key} is {value}, expected {expected}")]
     Bad { key: String, value: String, expected: &'static str },
     #[error("settings: {0}")]
-    Settings(#[from] glendeck_terms::Fault),
+    Settings(#[from] glendeck_settings::Fault),
     #[error("known: {0}")]
     Known(#[from] list::ListFault),
     #[error("fleet.charter: {path:?}: {fault}")]
@@ -44,7 +44,7 @@
     pub seed: u64,
     /// How many descriptors the process may hold.
     pub descriptors: usize,
-    pub terms: Terms,
+    pub settings: Settings,
     /// The list's service is an agent of the node's own, and what it has counts as told at once.
     pub list_is_pushed: bool,
     pub names: Names,
@@ -55,7 +55,7 @@
     pub longest_guard: Span,
     pub known: Option<list::Told>,
     /// The fleet that it is part of, if it is of one.
-    pub fleet: Option<FleetTerms>,
+    pub fleet: Option<FleetSettings>,
     /// Clients say of a call that it repeats one that failed.
     pub marks_repeats: bool,
     /// A folder of the node's own, where its next process finds this one.
@@ -64,7 +64,7 @@
 
 /// How a node takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetTerms {
+pub struct FleetSettings {
     /// Where its peers reach it.
     pub listen: SocketAddr,
     /// Where its peers are; to all others it does not speak.
@@ -98,7 +98,7 @@
 
 impl Startup {
     /// Takes over what may change while the node serves. Danger: calls in hand, hosts and figures go by the
-    /// numbers of traffic types, customers and zones. A name keeps its number as long as the process runs, in
+    /// numbers of traffic classes, customers and zones. A name keeps its number as long as the process runs, in
     /// whatever order a file has them; what a file no longer names stays as it was, for what is in hand.
     pub fn renew(&mut self, new: Startup) -> Renewed {
         let later = [
@@ -107,24 +107,25 @@
             ("admin", self.admin != new.admin),
             ("fleet", self.fleet != new.fleet),
         ];
-        let before = (self.terms.clone(), self.names.clone(), self.zones.len());
+        let before = (self.settings.clone(), self.names.clone(), self.zones.len());
         (self.discovery, self.descriptors) = (new.discovery, new.descriptors);
         let zones = merge(&mut self.zones, new.zones);
         let types = merge(&mut self.names.traffic, new.names.traffic);
         merge(&mut self.names.tenants, new.names.tenants);
         self.names.groups = new.names.groups;
-        let mut traffic = self.terms.traffic.clone();
-        for (at, of) in types.into_iter().zip(new.terms.traffic) {
+        let mut traffic = self.settings.traffic.clone();
+        for (at, of) in types.into_iter().zip(new.settings.traffic) {
             if at < traffic.len() { traffic[at] = of } else { traffic.push(of) }
         }
-        let zone = zones.get(usize::from(new.terms.zone.0)).map_or(new.terms.zone, |at| Zone(*at as u16));
-        self.terms = Terms { traffic, zone, ..new.terms };
+        let zone =
+            zones.get(usize::from(new.settings.zone.0)).map_or(new.settings.zone, |at| Zone(*at as u16));
+        self.settings = Settings { traffic, zone, ..new.settings };
         self.list_is_pushed = new.list_is_pushed;
         self.connect_limit = new.connect_limit;
-        // Calls in hand keep the guard time that they came with.
+        // Calls in hand keep the deadline that they came with.
         self.longest_guard = self.longest_guard.max(new.longest_guard);
         Renewed {
-            settings: before != (self.terms.clone(), self.names.clone(), self.zones.len()),
+            settings: before != (self.settings.clone(), self.names.clone(), self.zones.len()),
             zones: before.2 != self.zones.len(),
             later: later.iter().filter(|(_, changed)| *changed).map(|(key, _)| *key).collect(),
         }
@@ -171,22 +172,22 @@
     let told = variable("ROUTER_ADMIN").is_some() || json.get("admin").is_some_and(|admin| !admin.is_null());
     let admin = if told { Some(address(given("ROUTER_ADMIN", "admin")?)?) } else { None };
     let seed = text_at(&json, "seed")?;
-    let settings = json.get("settings").ok_or_else(|| missing("settings"))?;
-    let pairs = Pairs::from_json(settings);
+    let settings_json = json.get("settings").ok_or_else(|| missing("settings"))?;
+    let pairs = Pairs::from_json(settings_json);
     // Danger: the settings promise message times, but lines between nodes and hosts carry none, and the
     // decisions would wait for them while hosts go under.
-    let terms = Terms { message_times: false, ..glendeck_terms::terms(&pairs)? };
-    let list_is_pushed = terms.ask_within.is_none();
-    let terms = Terms { ask_within: Some(list::ask_within(terms.ask_within)), ..terms };
-    let traffic = named(settings, "trafficTypes")?;
+    let settings = Settings { reports_message_times: false, ..glendeck_settings::settings(&pairs)? };
+    let list_is_pushed = settings.poll_interval.is_none();
+    let settings = Settings { poll_interval: Some(list::poll_interval(settings.poll_interval)), ..settings };
+    let traffic = named(settings_json, "trafficTypes")?;
     let guards = (0..traffic.len()).map(|i| pairs.span(&format!("trafficTypes.{i}.guardTimeMs")));
     let longest_guard = guards.collect::<Result<Vec<_>, _>>()?.into_iter().max().unwrap_or_default();
-    let zones = texts(settings, "dcs")?;
+    let zones = texts(settings_json, "dcs")?;
     let known = json.get("known").filter(|known| !known.is_null());
     let known = known.map(|known| list::decode(known, &zones)).transpose()?;
     let name = given("ROUTER_NAME", "name")?.1;
     let fleet = json.get("fleet").filter(|fleet| !fleet.is_null());
-    let fleet = fleet.map(|fleet| fleet_terms(fleet, &name, &variable)).transpose()?;
+    let fleet = fleet.map(|fleet| fleet_settings(fleet, &name, &variable)).transpose()?;
     Ok(Startup {
         name,
         listen: address(given("ROUTER_LISTEN", "listen")?)?,
@@ -198,24 +199,28 @@
         descriptors: descriptors(&json)?,
         names: Names {
             traffic,
-            tenants: if settings.get("projects").is_some() { named(settings, "projects")? } else { vec![] },
+            tenants: if settings_json.get("projects").is_some() {
+                named(settings_json, "projects")?
+            } else {
+                vec![]
+            },
             groups: pairs.flag_or("extra.groups", false)?,
         },
         connect_limit: pairs.span("caps.connectTimeoutMs")?,
         longest_guard,
         zones,
-        terms,
+        settings,
         list_is_pushed,
         known,
         folder: variable("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from),
     })
 }
 
-fn fleet_terms(
+fn fleet_settings(
     json: &Value,
     name: &str,
     variable: &impl Fn(&str) -> Option<String>,
-) -> Result<FleetTerms, ConfigFault> {
+) -> Result<FleetSettings, ConfigFault> {
     let known = ["listen", "peers", "folder", "version", "charter"];
     if let Some(other) =
         json.as_object().and_then(|all| all.keys().find(|key| !known.contains(&key.as_str())))
@@ -249,7 +254,7 @@
         return Err(missing(&format!("fleet.peers.{voter}")));
     }
     let version = variable("ROUTER_FLEET_VERSION").map_or_else(|| text("version").map(str::to_owned), Ok)?;
-    Ok(FleetTerms {
+    Ok(FleetSettings {
         listen: address("fleet.listen", text("listen")?)?,
         peers,
         folder: json.get("folder").map(|_| text("folder").map(PathBuf::from)).transpose()?,
@@ -354,15 +359,18 @@
             .replace("[{\"name\":\"t\"", "[{\"name\":\"s\",\"effect\":\"fragile\",\"setupTargetMs\":1.0,\"guardTimeMs\":9000.0,\"revenue\":2.0},{\"name\":\"t\"");
         let renewed = here.renew(start(&more));
         assert!(renewed.settings && renewed.zones && renewed.later.is_empty());
-        assert_eq!((here.zones.as_slice(), here.terms.zone.0), (["x", "w"].map(String::from).as_slice(), 0));
+        assert_eq!(
+            (here.zones.as_slice(), here.settings.zone.0),
+            (["x", "w"].map(String::from).as_slice(), 0)
+        );
         assert_eq!(here.names.traffic, ["t", "s"]);
-        assert_eq!(here.terms.traffic.iter().map(|of| of.revenue).collect::<Vec<_>>(), [1.0, 2.0]);
-        assert_eq!(here.terms.weights, glendeck::domain::Weights::Live);
+        assert_eq!(here.settings.traffic.iter().map(|of| of.revenue).collect::<Vec<_>>(), [1.0, 2.0]);
+        assert_eq!(here.settings.weights, glendeck::domain::Weights::Live);
         // The way back is the same step; what is in hand may still go by the names that are gone.
         let renewed = here.renew(start(GOOD));
         assert!(renewed.settings && !renewed.zones);
-        assert_eq!(here.terms.weights, glendeck::domain::Weights::Sizes);
-        assert_eq!((here.names.traffic.len(), here.terms.traffic.len(), here.zones.len()), (2, 2, 2));
+        assert_eq!(here.settings.weights, glendeck::domain::Weights::Sizes);
+        assert_eq!((here.names.traffic.len(), here.settings.traffic.len(), here.zones.len()), (2, 2, 2));
         assert!(!here.renew(start(GOOD)).settings);
     }
 }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -1,6 +1,6 @@
 //! What the node shows of itself: counted where a thing happens, put together when somebody asks.
 
-use glendeck::domain::TrafficId;
+use glendeck::domain::ClassId;
 use serde_json::{Map, Value, json};
 
 use crate::service::{Service, Stage};
@@ -46,7 +46,7 @@
 
     /// Danger: called once for each call that was read, or sums would drift from what clients saw: when its
     /// connection comes up, when it is turned away unread by the decisions, or when it is forgotten unopened.
-    pub fn count(&mut self, traffic: TrafficId, outcome: Outcome) {
+    pub fn count(&mut self, traffic: ClassId, outcome: Outcome) {
         if let Some((_, counts)) = self.of_type.get_mut(usize::from(traffic.0)) {
             match outcome {
                 Outcome::Success => counts.success += 1,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
 
-use crate::config::{FleetTerms, host_id};
+use crate::config::{FleetSettings, host_id};
 use crate::list::{self, Told};
 use crate::peers::{Frame, Peers};
 use crate::service::{ConnId, Due, Phase, STORE, Service};
@@ -113,22 +113,22 @@
 
 /// The fleet's decisions and the store's thread, from what the configuration says.
 fn begin(
-    terms: &FleetTerms,
+    settings: &FleetSettings,
     name: &UnitName,
     life: Life,
     faults: Option<Arc<dyn Faults>>,
 ) -> Result<(Setup, Option<(Store, UnixStream)>), FleetFault> {
     let mut setup = Setup {
         name: name.clone(),
-        charter: terms.charter.clone(),
+        charter: settings.charter.clone(),
         life,
         seed: life.0,
-        version: terms.version.clone(),
+        version: settings.version.clone(),
         saved: None,
         spoilt: false,
         longest_log: LONGEST_LOG,
     };
-    let Some(folder) = &terms.folder else { return Ok((setup, None)) };
+    let Some(folder) = &settings.folder else { return Ok((setup, None)) };
     let opened = glendeck_store::open(folder, faults)?;
     if let Some(why) = &opened.spoilt {
         error!(%why, "the store cannot be read: set aside, this node votes only under a new seat");
@@ -142,13 +142,13 @@
 
 impl Service {
     pub fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetFault> {
-        let Some(terms) = self.startup.fleet.clone() else { return Ok(()) };
+        let Some(settings) = self.startup.fleet.clone() else { return Ok(()) };
         let (name, life) = (UnitName(self.startup.name.clone()), fresh_life(self.startup.seed));
-        let (setup, store, waits) = match begin(&terms, &name, life, faults.clone()) {
+        let (setup, store, waits) = match begin(&settings, &name, life, faults.clone()) {
             Ok((setup, store)) => (setup, store, false),
             Err(FleetFault::Store(fault @ StoreFault::InUse(_))) => {
                 warn!(%fault, "waiting for it, without a vote");
-                let without = FleetTerms { folder: None, ..terms.clone() };
+                let without = FleetSettings { folder: None, ..settings.clone() };
                 let (setup, _) = begin(&without, &name, life, None)?;
                 (setup, None, true)
             }
@@ -158,18 +158,18 @@
         if let Some(wake) = &wake {
             self.watch_listener(wake, STORE)?;
         }
-        let voters = terms.charter.voters.len();
-        let is_voter = terms.charter.voters.contains(&name);
+        let voters = settings.charter.voters.len();
+        let is_voter = settings.charter.voters.contains(&name);
         let (began, start) = (self.now - BEFORE, Moment(BEFORE.0));
         self.membership = Some(Box::new(Membership {
             fleet: Fleet::new(setup, start),
             peers: Peers::default(),
             name: name.clone(),
-            group: terms.charter.group.clone(),
+            group: settings.charter.group.clone(),
             life,
             chance: WyRand::new_seed(life.0),
             began,
-            folder: terms.folder.clone(),
+            folder: settings.folder.clone(),
             store,
             wake,
             store_wanted: waits.then_some(STORE_AGAIN),
@@ -181,7 +181,7 @@
             kept_from: BTreeMap::new(),
             ease_every: Span::ZERO,
             easing: false,
-            work: terms.charter.work.as_ref().map(|work| {
+            work: settings.charter.work.as_ref().map(|work| {
                 let longest_ms = self.startup.longest_guard.0 / 1_000_000;
                 crate::work::Work::new(
                     start,
@@ -191,14 +191,14 @@
                     longest_ms,
                 )
             }),
-            estate: terms.charter.work.as_ref().map(|_| {
+            estate: settings.charter.work.as_ref().map(|_| {
                 // Nothing is known before the first list.
                 crate::estate::Estate::new(self.now, start, name.clone(), life)
             }),
-            most_links: 2 * voters + if is_voter { 2 * terms.charter.units.len() } else { 0 },
+            most_links: 2 * voters + if is_voter { 2 * settings.charter.units.len() } else { 0 },
         }));
         self.inherit_work();
-        let address = terms.listen;
+        let address = settings.listen;
         self.listen_for_peers(address).map_err(|fault| FleetFault::Listen { address, fault })?;
         self.fleet_tick();
         Ok(())
@@ -346,12 +346,12 @@
             }
         }
         let (name, life, faults) = (membership.name.clone(), membership.life, membership.faults.clone());
-        let (out, Some(terms)) = (membership.fleet.is_out(), self.startup.fleet.clone()) else { return };
+        let (out, Some(settings)) = (membership.fleet.is_out(), self.startup.fleet.clone()) else { return };
         // What it has begun it ends as it is.
         if out.is_some() {
             return;
         }
-        if let Ok((setup, Some((store, wake)))) = begin(&terms, &name, life, faults) {
+        if let Ok((setup, Some((store, wake)))) = begin(&settings, &name, life, faults) {
             info!("the store is free");
             let now = self.moment();
             let watched = self.watch_listener(&wake, STORE);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use glendeck::domain::{
-    AttemptNumber, Call, CallId, Cell, Condition, Ending, Extent, GroupId, HostId, HostLegacy, Kind, Legacy,
-    Listed, Size, Span, SubjectId, TenantId, Time, TrafficId, Weight, Zone,
+    AttemptNumber, Call, CallId, Cell, ClassId, Condition, Ending, Extent, GroupId, HostId, HostLegacy, Kind,
+    Legacy, Listed, Size, Span, SubjectId, TenantId, Time, Weight, Zone,
 };
 use rustix::io::Errno;
 use rustix::net::{
@@ -106,7 +106,7 @@
     pub list: Told,
     pub node: Legacy,
     pub drained: bool,
-    /// The zones' and traffic types' names by their numbers there. Danger: a process whose settings were changed
+    /// The zones' and traffic classes' names by their numbers there. Danger: a process whose settings were changed
     /// while it served has them in another order than its file.
     pub zones: Vec<String>,
     pub types: Vec<String>,
@@ -638,8 +638,8 @@
         let call = Call {
             id: CallId(0),
             traffic: match json.get("type").and_then(Value::as_str) {
-                Some(name) => TrafficId(self.startup.names.traffic.iter().position(|at| at == name)? as u8),
-                None => TrafficId(u8::try_from(whole("traffic")?).ok()?),
+                Some(name) => ClassId(self.startup.names.traffic.iter().position(|at| at == name)? as u8),
+                None => ClassId(u8::try_from(whole("traffic")?).ok()?),
             },
             tenant: TenantId(u32::try_from(whole("tenant")?).ok()?),
             subject: whole("subject").map(SubjectId),
--- a/crates/node/src/line.rs
+++ b/crates/node/src/line.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-use glendeck::domain::{GroupId, HostId, Span, SubjectId, TenantId, TrafficId};
+use glendeck::domain::{ClassId, GroupId, HostId, Span, SubjectId, TenantId};
 
 /// The longest line that a peer may send, its end included.
 pub const LONGEST: usize = 4096;
@@ -43,7 +43,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Opening {
     pub id: ClientId,
-    pub traffic: TrafficId,
+    pub traffic: ClassId,
     pub tenant: TenantId,
     pub subject: Option<SubjectId>,
     pub group: Option<GroupId>,
@@ -168,7 +168,7 @@
     let (mut traffic, mut wait) = (None, None);
     let mut opening = Opening {
         id: ClientId(hex(client).ok_or(LineFault::Bad("id"))?),
-        traffic: TrafficId(0),
+        traffic: ClassId(0),
         tenant: TenantId(0),
         subject: id(key).map(SubjectId),
         group: None,
@@ -187,7 +187,7 @@
             return Err(LineFault::Bad("list"));
         }
         match name {
-            "c" => traffic = Some(TrafficId(index(&names.traffic, value, "c")? as u8)),
+            "c" => traffic = Some(ClassId(index(&names.traffic, value, "c")? as u8)),
             "t" => opening.tenant = TenantId(index(&names.tenants, value, "t")? as u32),
             "d" => {
                 let span = Span::from_seconds(plain(value, "d", LONGEST_WAIT)? / 1e3);
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -76,7 +76,7 @@
 
 /// Within what time the list is to be asked for on sockets. Danger: nothing comes unasked here but what a watch
 /// brings, and a node that waited for a push would never hear of its hosts: a watch stands under either mode.
-pub fn ask_within(settings: Option<Span>) -> Span {
+pub fn poll_interval(settings: Option<Span>) -> Span {
     settings.map_or(PUSHED_WITHIN, |told| told.min(ASKED_WITHIN))
 }
 
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -310,7 +310,7 @@
 /// kernel goes on dealing connections to both.
 const STOP_ACCEPTING: Span = Span::ms(600);
 
-/// The platform kills no sooner than the longest guard time, 3 s at most, and 0.7 s after that.
+/// The platform kills no sooner than the longest deadline, 3 s at most, and 0.7 s after that.
 const LONGEST_LEAVE: Span = Span::ms(3_000);
 const LEAVE_MORE: Span = Span::ms(400);
 
@@ -395,7 +395,7 @@
             scratch: vec![0; MUCH],
             startup,
         };
-        let (terms, seed, now) = (service.startup.terms.clone(), service.startup.seed, service.now);
+        let (settings, seed, now) = (service.startup.settings.clone(), service.startup.seed, service.now);
         let legacy = inherited.as_mut().and_then(|(_, told)| told.take());
         let older = legacy
             .as_ref()
@@ -407,10 +407,10 @@
         if let Some(known) = known {
             // What is known stands before the first question, which then asks for what came after it.
             service.list.set_index(known.index);
-            service.node = Some(Box::new(Node::start(terms, seed, now, &mut service)));
+            service.node = Some(Box::new(Node::start(settings, seed, now, &mut service)));
             service.remember_list(known);
         } else {
-            service.node = Some(Box::new(Node::start(terms, seed, now, &mut service)));
+            service.node = Some(Box::new(Node::start(settings, seed, now, &mut service)));
         }
         if let Some((legacy, drained)) = legacy {
             service.handover.drained = drained;
@@ -699,10 +699,10 @@
                     warn!("{key} has changed in the configuration: that counts from the next start");
                 }
                 if renewed.settings {
-                    let (terms, now) = (self.startup.terms.clone(), self.now);
-                    info!(weights = ?terms.weights, nodes = terms.nodes, "settings changed");
+                    let (settings, now) = (self.startup.settings.clone(), self.now);
+                    info!(weights = ?settings.weights, nodes = settings.nodes, "settings changed");
                     self.figures.name(&self.startup.names.traffic);
-                    self.tell(|node, port| node.renew(now, terms, port));
+                    self.tell(|node, port| node.renew(now, settings, port));
                 }
                 // Danger: a host of a zone that had no number keeps a wrong one once there are more.
                 if moved || renewed.zones {
@@ -836,7 +836,7 @@
         let left: Vec<CallId> = self.calls.iter().map(|(number, _)| CallId(number)).collect();
         for call in left {
             self.move_client(call, Ending::Recalled);
-            // Its guard time is over by now, or it never had an attempt.
+            // Its deadline is over by now, or it never had an attempt.
             let unopened = |held: &Held| matches!(held.stage, Stage::Waiting | Stage::Returning);
             if self.calls.get(call.0).is_some_and(unopened) {
                 let answer = self.calls.get(call.0).is_some_and(|held| held.attempts == 0 && !held.looks());
@@ -1043,9 +1043,9 @@
         self.open_attempt(call, host, within);
     }
 
-    fn reject(&mut self, call: CallId, come_back: Option<Span>) {
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
         tracing::debug!(call = call.0, "rejected");
-        self.answer_call(call, Answer::Busy(come_back));
+        self.answer_call(call, Answer::Busy(retry_after));
     }
 
     fn release(&mut self, call: CallId) {
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::Write as _;
 
-use glendeck::domain::{CallId, Effect, Ending, HostId, Span, Time};
+use glendeck::domain::{CallId, Ending, HostId, Idempotency, Span, Time};
 use glendeck_fleet::Moment;
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::message::Chair;
@@ -119,7 +119,7 @@
     pub fn work_of(&self, opening: &Opening) -> Option<Name> {
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
-        let lasting = self.startup.terms.traffic.get(traffic)?.effect != Effect::Repeatable;
+        let lasting = self.startup.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
         if !lasting || opening.at.is_some() {
             return None;
         }
@@ -252,10 +252,11 @@
     pub fn ask_to_keep(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (held.kept, &held.attempt) else { return };
-        let traffic = self.startup.terms.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.effect);
+        let traffic =
+            self.startup.settings.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.idempotency);
         let first = held.call.before.or(kept.ran);
         let recalled = match (traffic, first) {
-            (Some(Effect::Referenced { window, .. }), Some((_, at))) => at + window,
+            (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
             _ => attempt.limit,
         };
         let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -296,8 +296,8 @@
 
 fn settings(given: &HashMap<&str, &str>) -> Value {
     let guard: f64 = given.get("guard").map_or(1500.0, |ms| ms.parse().unwrap());
-    let traffic = |name: &str, effect: &str| {
-        json!({"name": name, "effect": effect, "group": "all", "windowMs": 5000.0, "setupTargetMs": 400.0,
+    let traffic = |name: &str, idempotency: &str| {
+        json!({"name": name, "effect": idempotency, "group": "all", "windowMs": 5000.0, "setupTargetMs": 400.0,
                "guardTimeMs": guard, "revenue": 1.0})
     };
     json!({
--- a/crates/rig/src/bin/takeover-figures.rs
+++ b/crates/rig/src/bin/takeover-figures.rs
@@ -8,7 +8,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(120);
 
-/// Keepers that have just begun answer for repeats after this: `recall_s`, the longest guard time and what is left alone.
+/// Keepers that have just begun answer for repeats after this: `recall_s`, the longest deadline and what is left alone.
 const REMEMBER: Duration = Duration::from_millis(8_500);
 
 fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), String> {
--- a/crates/rig/src/stand_ins.rs
+++ b/crates/rig/src/stand_ins.rs
@@ -37,7 +37,7 @@
     pub wishes: Wishes,
 }
 
-/// What hosts did for each work, by its traffic type and key.
+/// What hosts did for each work, by its traffic class and key.
 pub type Effects = Arc<Mutex<HashMap<String, Vec<Did>>>>;
 
 /// How a host does with a work: its key draws it, so that each day is the same.
--- a/crates/rig/src/workers.rs
+++ b/crates/rig/src/workers.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// As lines name a work's traffic type: what must not be done twice, and what hosts of a cell recall.
+/// As lines name a work's traffic class: what must not be done twice, and what hosts of a cell recall.
 pub fn kind_of(pays: bool) -> &'static str {
     if pays { "pay" } else { "edit" }
 }
--- a/crates/terms/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,13 @@
-//! Reads a deployment's settings into the terms that the decisions know. The one decoder for both forms in
+//! Reads a deployment's settings into the settings that the decisions know. The one decoder for both forms in
 //! which they come: the simulator's path=value lines and a node's JSON.
 
 use std::borrow::Cow;
 use std::fmt::Write;
 use std::str::FromStr;
 
-use glendeck::domain::{Effect, RetryBudget, Scope, Span, Terms, Traffic, Warming, Weights, Zone};
+use glendeck::domain::{
+    Idempotency, RetryBudget, Scope, Settings, Span, TrafficClass, Warming, Weights, Zone,
+};
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 
@@ -131,38 +133,39 @@
     }
 }
 
-pub fn terms(pairs: &Pairs) -> Result<Terms, Fault> {
+pub fn settings(pairs: &Pairs) -> Result<Settings, Fault> {
     let message_targets = pairs.numbers("extra.messageAimMs")?;
     let types: usize = pairs.parse("trafficTypes.count", "a whole number")?;
     let traffic = (0..types)
         .map(|i| traffic(pairs, i, message_targets.get(i).copied().flatten()))
         .collect::<Result<_, _>>()?;
-    let ask_within = match pairs.text("membershipMode")? {
+    let poll_interval = match pairs.text("membershipMode")? {
         "on_request" => Some(pairs.span("safety.askWithinMs")?),
         "pushed" => None,
         other => return Err(bad("membershipMode", other, "pushed or on_request")),
     };
     check_reports(pairs)?;
     check_leave(pairs)?;
-    let come_back = pairs.flag("caps.retryAfter")?.then(|| pairs.span("caps.maxRetryAfterMs")).transpose()?;
-    Ok(Terms {
+    let retry_after =
+        pairs.flag("caps.retryAfter")?.then(|| pairs.span("caps.maxRetryAfterMs")).transpose()?;
+    Ok(Settings {
         traffic,
         zone: Zone(pairs.parse("myZone", "a whole number")?),
         me: pairs.parse("me", "a whole number")?,
         nodes: pairs.parse("fleetSize", "a whole number")?,
         tick: pairs.span("tickMs")?,
         max_attempts: pairs.parse("caps.maxLegs", "a whole number")?,
-        may_probe: pairs.flag("caps.mayProbe")?,
-        may_recall: pairs.flag("caps.mayCancel")?,
+        can_probe: pairs.flag("caps.mayProbe")?,
+        can_cancel: pairs.flag("caps.mayCancel")?,
         // Without the key, as before there was one: sizes.
         weights: match pairs.0.get("weightKind").map(|kind| &**kind) {
             None | Some("none" | "nominal" | "rough") => Weights::Sizes,
             Some("live") => Weights::Live,
             Some(other) => return Err(bad("weightKind", other, "none, nominal, rough or live")),
         },
-        message_times: pairs.flag_or("extra.tellsDelay", false)?,
-        come_back,
-        ask_within,
+        reports_message_times: pairs.flag_or("extra.tellsDelay", false)?,
+        retry_after,
+        poll_interval,
         warming: Warming {
             from: pairs.number("safety.coldFrom")?,
             after: pairs.span("safety.warmAfterMs")?,
@@ -170,8 +173,8 @@
             window: pairs.span("safety.fallMs")?,
         },
         retry_budget: retry_budget(pairs)?,
-        start_off: pairs.span_or("safety.startDriftMs", Span::ZERO)?,
-        crossing_price: pairs.number_or("prices.crossZone", 0.0)?,
+        start_uncertainty: pairs.span_or("safety.startDriftMs", Span::ZERO)?,
+        cross_zone_price: pairs.number_or("prices.crossZone", 0.0)?,
         whole_weight: match (
             pairs.number_or("scoreParts.whole", 1.0)?,
             pairs.number_or("scoreParts.worstClass", 0.0)?,
@@ -183,7 +186,7 @@
 }
 
 /// What these allow the decisions do not use, but it has to make sense: nothing new goes to a host that is gone, drained or not,
-/// and an answer goes by the guard time as it was told.
+/// and an answer goes by the deadline as it was told.
 fn check_leave(pairs: &Pairs) -> Result<(), Fault> {
     pairs.flag_or("safety.droppedStayOpen", false)?;
     pairs.span_or("safety.budgetErrorMs", Span::ZERO)?;
@@ -214,11 +217,11 @@
     }
 }
 
-fn traffic(pairs: &Pairs, i: usize, message_target: Option<f64>) -> Result<Traffic, Fault> {
+fn traffic(pairs: &Pairs, i: usize, message_target: Option<f64>) -> Result<TrafficClass, Fault> {
     let key = |name: &str| format!("trafficTypes.{i}.{name}");
-    let effect = match pairs.text(&key("effect"))? {
-        "retryable" => Effect::Repeatable,
-        "fragile" => Effect::OnceOnly,
+    let idempotency = match pairs.text(&key("effect"))? {
+        "retryable" => Idempotency::Idempotent,
+        "fragile" => Idempotency::NonIdempotent,
         "dedup" => {
             let scope = match pairs.text(&key("group"))? {
                 "all" => Scope::All,
@@ -226,12 +229,12 @@
                 "cell" => Scope::Cell,
                 other => return Err(bad(&key("group"), other, "all, zone or cell")),
             };
-            Effect::Referenced { scope, window: pairs.span(&key("windowMs"))? }
+            Idempotency::Keyed { scope, window: pairs.span(&key("windowMs"))? }
         }
         other => return Err(bad(&key("effect"), other, "retryable, dedup or fragile")),
     };
-    Ok(Traffic {
-        effect,
+    Ok(TrafficClass {
+        idempotency,
         setup_target: pairs.span(&key("setupTargetMs"))?,
         message_target: message_target.map(|ms| Span::from_seconds(ms / 1e3)),
         revenue: pairs.number(&key("revenue"))?,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -5,7 +5,7 @@
 use glendeck::domain::*;
 use glendeck::port::Port;
 use glendeck::rules::Node;
-use glendeck_terms::Pairs;
+use glendeck_settings::Pairs;
 use rustc_hash::FxHashMap;
 
 pub const HEADER: usize = 20;
@@ -32,7 +32,7 @@
     #[error("batch {batch}, record {record}, byte {byte}: instance {instance} was never started")]
     NeverStarted { batch: u32, record: usize, byte: usize, instance: u32 },
     #[error("batch {batch}, record {record}: instance {instance}: {fault}")]
-    Profile { batch: u32, record: usize, instance: u32, fault: glendeck_terms::Fault },
+    Profile { batch: u32, record: usize, instance: u32, fault: glendeck_settings::Fault },
     #[error("batch {batch}, record {record}: the settings of instance {instance} are not UTF-8")]
     Text { batch: u32, record: usize, instance: u32 },
 }
@@ -207,7 +207,7 @@
         };
         Ok(Call {
             id: CallId(self.u64(5)),
-            traffic: TrafficId(self.u8(lane)),
+            traffic: ClassId(self.u8(lane)),
             tenant: TenantId(self.u32(org)),
             subject: Some(SubjectId(self.u64(subject))).filter(|subject| subject.0 != 0),
             group: Some(GroupId(self.u64(team))).filter(|group| group.0 != 0),
@@ -260,7 +260,7 @@
 /// All instances that this process hosts; one that went down keeps its number.
 #[derive(Default)]
 pub struct Tier {
-    /// Each with how many traffic types it knows.
+    /// Each with how many traffic classes it knows.
     nodes: FxHashMap<u32, Option<(usize, Node)>>,
     lines: Vec<Listed>,
 }
@@ -289,10 +289,11 @@
         if record.u8(0) == 1 {
             let text = std::str::from_utf8(record.tail(13, 1, "the settings")?);
             let text = text.map_err(|_| Fault::Text { batch, record: number, instance })?;
-            let terms = Pairs::from_lines(text).and_then(|pairs| glendeck_terms::terms(&pairs));
-            let terms = terms.map_err(|fault| Fault::Profile { batch, record: number, instance, fault })?;
-            let types = terms.traffic.len();
-            self.nodes.insert(instance, Some((types, Node::start(terms, record.u64(5), now, out))));
+            let settings = Pairs::from_lines(text).and_then(|pairs| glendeck_settings::settings(&pairs));
+            let settings =
+                settings.map_err(|fault| Fault::Profile { batch, record: number, instance, fault })?;
+            let types = settings.traffic.len();
+            self.nodes.insert(instance, Some((types, Node::start(settings, record.u64(5), now, out))));
             return Ok(());
         }
         let slot = self.nodes.get_mut(&instance);
@@ -391,8 +392,8 @@
         self.record(5, &[&call.0.to_be_bytes(), &ms(within.0), &address(&host)]);
     }
 
-    fn reject(&mut self, call: CallId, come_back: Option<Span>) {
-        self.record(13, &[&call.0.to_be_bytes(), &ms(come_back.unwrap_or_default().0)]);
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
+        self.record(13, &[&call.0.to_be_bytes(), &ms(retry_after.unwrap_or_default().0)]);
     }
 
     fn release(&mut self, call: CallId) {
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -30,7 +30,7 @@
 /// Keepers of one work, of which a majority has to agree.
 pub const KEEPERS: usize = 3;
 
-/// What a call concerns, with its traffic type and tenant, as one number: the same for whoever comes again with it.
+/// What a call concerns, with its traffic class and tenant, as one number: the same for whoever comes again with it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Work(pub u64);
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -23,9 +23,9 @@
 const HEARS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Effect {
-    OnceOnly,
-    Referenced,
+enum Idempotency {
+    NonIdempotent,
+    Keyed,
 }
 
 #[derive(Clone, Debug)]
@@ -213,7 +213,7 @@
 }
 
 struct OneWork {
-    effect: Effect,
+    idempotency: Idempotency,
     /// What hosts did for it: when, and in which cell.
     ran: Vec<(u64, u64)>,
     times: u32,
@@ -310,9 +310,10 @@
             world.at(at, Event::Fault(fault));
         }
         for work in 0..WORKS {
-            let effect = if world.roll(2) == 0 { Effect::OnceOnly } else { Effect::Referenced };
+            let idempotency =
+                if world.roll(2) == 0 { Idempotency::NonIdempotent } else { Idempotency::Keyed };
             world.works.push(OneWork {
-                effect,
+                idempotency,
                 ran: vec![],
                 times: 0,
                 first_end: None,
@@ -641,7 +642,7 @@
             // What is once-only is not tried again after this; what is referenced is.
             Some(Heard::Released) => {
                 self.seen.released += 1;
-                if self.works[work].effect == Effect::Referenced {
+                if self.works[work].idempotency == Idempotency::Keyed {
                     self.come_again(work);
                 }
             }
@@ -683,14 +684,14 @@
         let Some(held) = self.nodes[at].calls.get(&call) else { return };
         let (work, guard, attempts) = (held.work, held.guard, held.attempts);
         let first = held.before.map(|before| (before.host, before.at)).or(held.ran);
-        let (own_ran, effect) = (held.ran, self.works[work].effect);
+        let (own_ran, idempotency) = (held.ran, self.works[work].idempotency);
         let assured = if first.is_none() { Heard::Busy } else { Heard::Released };
         // A thirtieth is kept back: two clocks have part in it, and each may be slow by a 65th.
         let recalled = |(_, sent): (u64, Moment)| self.moment(at).ms_since(sent) + 100 < WINDOW;
-        let may = match (effect, first) {
+        let may = match (idempotency, first) {
             (_, None) => true,
-            (Effect::OnceOnly, Some(_)) => false,
-            (Effect::Referenced, Some(first)) => recalled(first),
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::Keyed, Some(first)) => recalled(first),
         };
         if !may || attempts >= 3 || self.now + 60 >= guard {
             return self.answer(at, call, assured);
@@ -846,13 +847,13 @@
         let (now, cell) = (self.now, host % 2);
         let of = &mut self.works[work];
         let recalled = of.ran.iter().any(|(at, there)| *there == cell && now < at + WINDOW);
-        if of.effect == Effect::Referenced && recalled {
+        if of.idempotency == Idempotency::Keyed && recalled {
             return;
         }
         of.ran.push((now, cell));
-        let (ran, effect) = (of.ran.clone(), of.effect);
+        let (ran, idempotency) = (of.ran.clone(), of.idempotency);
         if ran.len() > 1 {
-            self.break_rule(format!("w{work}, {effect:?}, ran {ran:?}"));
+            self.break_rule(format!("w{work}, {idempotency:?}, ran {ran:?}"));
         }
     }
 
--- a/src/book.rs
+++ b/src/book.rs
@@ -151,7 +151,7 @@
     pub told_load: f64,
     pub told: u32,
     pub mean: f64,
-    /// What those of each traffic type had in the mean; 0 before the first.
+    /// What those of each traffic class had in the mean; 0 before the first.
     pub of_type: Vec<f64>,
 }
 
@@ -170,7 +170,7 @@
     }
 
     /// A twentieth: the mean of some twenty connections, from the mean of all on.
-    pub fn learn(&mut self, traffic: TrafficId, load: f64) {
+    pub fn learn(&mut self, traffic: ClassId, load: f64) {
         let mean = &mut self.of_type[usize::from(traffic.0)];
         *mean = if *mean > 0.0 { *mean } else { self.mean };
         *mean += 0.05 * (load - *mean);
@@ -321,8 +321,8 @@
 
 impl Further {
     /// Danger: what was sent under another budget counts in its last span, and is not known slot by slot.
-    pub fn renewed(terms: &Terms, now: Time) -> Further {
-        let from = terms.retry_budget.map_or(Time(0), |of| now + of.span);
+    pub fn renewed(settings: &Settings, now: Time) -> Further {
+        let from = settings.retry_budget.map_or(Time(0), |of| now + of.span);
         Further { from, ..Further::default() }
     }
 
@@ -339,22 +339,22 @@
         count
     }
 
-    pub fn taken(&mut self, terms: &Terms, now: Time) {
-        if let Some(of) = &terms.retry_budget {
+    pub fn taken(&mut self, settings: &Settings, now: Time) {
+        if let Some(of) = &settings.retry_budget {
             self.count(of, now).1 += 1;
         }
     }
 
-    pub fn sent(&mut self, terms: &Terms, now: Time, attempts: u16) {
-        if let Some(of) = terms.retry_budget.as_ref().filter(|_| attempts > 0) {
+    pub fn sent(&mut self, settings: &Settings, now: Time, attempts: u16) {
+        if let Some(of) = settings.retry_budget.as_ref().filter(|_| attempts > 0) {
             self.count(of, now).2 += 1;
         }
     }
 
     /// Danger: the span is judged from any moment. Attempts count over all slots that it reaches into, calls over those that lie
     /// in it whole.
-    pub fn allow(&self, terms: &Terms, now: Time) -> bool {
-        let Some(of) = &terms.retry_budget else { return true };
+    pub fn allow(&self, settings: &Settings, now: Time) -> bool {
+        let Some(of) = &settings.retry_budget else { return true };
         let slot = Further::slot(of, now);
         let within =
             |slots: u64| self.counts.iter().filter(move |count| count.0 + slots > slot && count.0 <= slot);
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -1,4 +1,4 @@
-//! Values that the decisions speak in: ids, times, hosts, calls and the terms of a deployment.
+//! Values that the decisions speak in: ids, times, hosts, calls and the settings of a deployment.
 
 use std::ops::{Add, AddAssign, Sub};
 
@@ -79,8 +79,8 @@
     Cell(u16);
     /// Index of a kind of machine.
     Kind(u64);
-    /// Index of a traffic type.
-    TrafficId(u8);
+    /// Index of a traffic class.
+    ClassId(u8);
     /// Index of a customer with a share of the fleet.
     TenantId(u32);
     /// What a call concerns; a client that comes again brings the same.
@@ -95,14 +95,14 @@
 
 /// What running a call twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Repeatable,
+pub enum Idempotency {
+    Idempotent,
     /// A repeat is recognised by the hosts of one scope for a while.
-    Referenced {
+    Keyed {
         scope: Scope,
         window: Span,
     },
-    OnceOnly,
+    NonIdempotent,
 }
 
 /// Which hosts discard the repeats of a referenced call.
@@ -187,7 +187,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
     pub id: CallId,
-    pub traffic: TrafficId,
+    pub traffic: ClassId,
     pub tenant: TenantId,
     pub subject: Option<SubjectId>,
     pub group: Option<GroupId>,
@@ -211,10 +211,10 @@
     MessageTime(Span),
 }
 
-/// What the deployment says of a traffic type.
+/// What the deployment says of a traffic class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Traffic {
-    pub effect: Effect,
+pub struct TrafficClass {
+    pub idempotency: Idempotency,
     pub setup_target: Span,
     pub message_target: Option<Span>,
     pub revenue: f64,
@@ -249,33 +249,33 @@
 
 /// What the deployment allows, asks and pays, as far as the decisions read it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    pub traffic: Vec<Traffic>,
+pub struct Settings {
+    pub traffic: Vec<TrafficClass>,
     pub zone: Zone,
     pub me: u32,
     pub nodes: u32,
     pub tick: Span,
     pub max_attempts: u16,
-    pub may_probe: bool,
-    pub may_recall: bool,
+    pub can_probe: bool,
+    pub can_cancel: bool,
     pub weights: Weights,
     /// Hosts tell what a message takes while it takes long.
-    pub message_times: bool,
+    pub reports_message_times: bool,
     /// The longest wait that clients follow after a reject, where they are told one.
-    pub come_back: Option<Span>,
+    pub retry_after: Option<Span>,
     /// The list must be asked for, at least this often without a subscription.
-    pub ask_within: Option<Span>,
+    pub poll_interval: Option<Span>,
     pub warming: Warming,
     /// Without one, as many as a call may have.
     pub retry_budget: Option<RetryBudget>,
     /// A listed start may be off by so much, either way.
-    pub start_off: Span,
-    pub crossing_price: f64,
-    /// What the whole run weighs in how service is judged, beside the worst-served traffic type.
+    pub start_uncertainty: Span,
+    pub cross_zone_price: f64,
+    /// What the whole run weighs in how service is judged, beside the worst-served traffic class.
     pub whole_weight: f64,
 }
 
-impl Terms {
+impl Settings {
     /// The part of the traffic that other nodes place.
     pub fn unseen(&self) -> f64 {
         1.0 - 1.0 / f64::from(self.nodes.max(1))
@@ -298,7 +298,7 @@
         (1.0 - 2.0 * self.many()).max(0.0)
     }
 
-    /// The shortest that any traffic type has for its messages, in seconds.
+    /// The shortest that any traffic class has for its messages, in seconds.
     pub fn message_target(&self) -> f64 {
         let targets = self.traffic.iter().filter_map(|traffic| traffic.message_target);
         targets.min().unwrap_or(Span::ms(1000)).seconds().max(1e-3)
--- a/src/port.rs
+++ b/src/port.rs
@@ -9,8 +9,8 @@
 pub trait Port {
     /// Send an attempt. It times out after `within`.
     fn send_attempt(&mut self, call: CallId, host: HostId, within: Span);
-    /// Final answer: a new try does no harm, after `come_back` if that is given.
-    fn reject(&mut self, call: CallId, come_back: Option<Span>);
+    /// Final answer: a new try does no harm, after `retry_after` if that is given.
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>);
     /// Final answer without any assurance.
     fn release(&mut self, call: CallId);
     /// Stop waiting for an attempt.
--- a/src/renewal.rs
+++ b/src/renewal.rs
@@ -12,18 +12,18 @@
         self.host_no.get(&host).is_some_and(|host| self.hosts[*host].aside.is_some())
     }
 
-    /// Other settings count from now on. Calls in hand keep the guard time and the attempts that they have; hosts
-    /// keep what is known of them, their cold budgets and set-asides too. Types keep their numbers: the terms
+    /// Other settings count from now on. Calls in hand keep the deadline and the attempts that they have; hosts
+    /// keep what is known of them, their cold budgets and set-asides too. Types keep their numbers: the settings
     /// may name more of them than before, not fewer.
-    pub fn renew(&mut self, now: Time, terms: Terms, port: &mut dyn Port) {
+    pub fn renew(&mut self, now: Time, settings: Settings, port: &mut dyn Port) {
         self.now = now;
-        let (asked, live) = (self.terms.ask_within.is_some(), self.terms.weights == Weights::Live);
-        if terms.retry_budget != self.terms.retry_budget {
-            self.further = Further::renewed(&terms, now);
+        let (asked, live) = (self.settings.poll_interval.is_some(), self.settings.weights == Weights::Live);
+        if settings.retry_budget != self.settings.retry_budget {
+            self.further = Further::renewed(&settings, now);
         }
-        self.terms = weighed(terms);
-        self.loads.of_type.resize(self.terms.traffic.len(), 0.0);
-        match self.terms.weights {
+        self.settings = weighed(settings);
+        self.loads.of_type.resize(self.settings.traffic.len(), 0.0);
+        match self.settings.weights {
             // Danger: what was told of loads would go on to count beside sizes, and never age.
             Weights::Sizes => {
                 self.sizes = Sizes::default();
@@ -33,11 +33,11 @@
             Weights::Live if !live => self.sizes.know(&self.hosts),
             Weights::Live => {}
         }
-        match (asked, self.terms.ask_within.is_some()) {
+        match (asked, self.settings.poll_interval.is_some()) {
             (true, false) => self.asking = Asking::new(false, false, now),
             (false, true) => {
                 // Danger: a fleet is told its settings together, and would ask in step.
-                let at = now + list_spread(&self.terms).times(self.chance());
+                let at = now + list_spread(&self.settings).times(self.chance());
                 self.asking = Asking::new(true, false, at);
                 port.wake_at(at, ASK);
             }
@@ -73,7 +73,7 @@
     pub fn inherit(&mut self, legacy: &Legacy) {
         let known = legacy.hosts.iter().filter_map(|of| Some((*self.host_no.get(&of.host)?, of)));
         known.for_each(|(host, of)| self.hosts[host].inherit(of, self.now));
-        if self.terms.weights == Weights::Live {
+        if self.settings.weights == Weights::Live {
             self.learn_sizes(legacy);
         }
         legacy.loads.iter().for_each(|(subject, load)| self.remembered.keep(Some(*subject), Some(*load)));
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -36,7 +36,7 @@
 ];
 
 pub struct Node {
-    pub(crate) terms: Terms,
+    pub(crate) settings: Settings,
     pub(crate) rng: WyRand,
     pub(crate) now: Time,
     pub(crate) hosts: Vec<Host>,
@@ -63,25 +63,25 @@
 
 /// Danger: nodes that start or lose their watch together ask together, and the list's service never catches
 /// up. Many spread their questions over two fifths of the time in which each has to ask.
-pub(crate) fn list_spread(terms: &Terms) -> Span {
-    terms.ask_within.map_or(Span::ZERO, |within| within.times(0.4 * terms.many()))
+pub(crate) fn list_spread(settings: &Settings) -> Span {
+    settings.poll_interval.map_or(Span::ZERO, |within| within.times(0.4 * settings.many()))
 }
 
 /// Danger: choosing by revenue alone starves the type that earns least. The more the worst-served one weighs,
 /// the less revenue counts.
-pub(crate) fn weighed(mut terms: Terms) -> Terms {
-    terms.traffic.iter_mut().for_each(|of| of.revenue = of.revenue.powf(terms.whole_weight));
-    terms
+pub(crate) fn weighed(mut settings: Settings) -> Settings {
+    settings.traffic.iter_mut().for_each(|of| of.revenue = of.revenue.powf(settings.whole_weight));
+    settings
 }
 
 impl Node {
-    pub fn start(terms: Terms, seed: u64, now: Time, port: &mut dyn Port) -> Node {
-        let (terms, mut rng) = (weighed(terms), WyRand::new_seed(seed));
+    pub fn start(settings: Settings, seed: u64, now: Time, port: &mut dyn Port) -> Node {
+        let (settings, mut rng) = (weighed(settings), WyRand::new_seed(seed));
         // Nodes that start together tick at different moments, so that their moves do not coincide.
         let offset = Span::ms(1000).times(f64::from(rng.generate::<f32>()));
         port.wake_at(now + offset, SECOND);
-        let asks = terms.ask_within.is_some();
-        let spread = list_spread(&terms).times(f64::from(rng.generate::<f32>()));
+        let asks = settings.poll_interval.is_some();
+        let spread = list_spread(&settings).times(f64::from(rng.generate::<f32>()));
         let at_once = asks && spread == Span::ZERO;
         match (asks, at_once) {
             (_, true) => port.follow_list(),
@@ -102,7 +102,7 @@
             sizes: Sizes::default(),
             setups: Setups { out: 0, window: NARROW },
             waiting: Waiting::default(),
-            loads: Loads { of_type: vec![0.0; terms.traffic.len()], ..Loads::default() },
+            loads: Loads { of_type: vec![0.0; settings.traffic.len()], ..Loads::default() },
             remembered: Remembered::default(),
             rates: Rates::default(),
             further: Further::default(),
@@ -111,7 +111,7 @@
             ticked: now,
             doubts_itself: false,
             asking: Asking::new(asks, at_once, now + spread),
-            terms,
+            settings,
         }
     }
 
@@ -137,10 +137,11 @@
 
     fn standing(&mut self, no: usize, _: &mut dyn Port) -> Step {
         let held = &self.calls[no];
-        let target = self.terms.traffic[usize::from(held.call.traffic.0)].setup_target;
+        let target = self.settings.traffic[usize::from(held.call.traffic.0)].setup_target;
         let hopeless = self.left(no) < Span::from_seconds(self.rates.setup).min(target);
-        let over =
-            held.attempts >= self.terms.max_attempts || self.left(no) == Span::ZERO || !self.may_repeat(no);
+        let over = held.attempts >= self.settings.max_attempts
+            || self.left(no) == Span::ZERO
+            || !self.may_repeat(no);
         // Danger: a call that waited for room in the budget would be parked.
         if over || hopeless || !self.may_go_further(no) {
             return Step::End;
@@ -194,7 +195,7 @@
         if !self.is_permitted(no, host) || !self.may_go_further(no) {
             return Step::Keep;
         }
-        self.further.sent(&self.terms, self.now, self.calls[no].attempts);
+        self.further.sent(&self.settings, self.now, self.calls[no].attempts);
         if self.warmth(host) < 1.0 {
             self.hosts[host].budget -= 1.0;
         }
@@ -226,7 +227,7 @@
         let (call, to) = (&self.calls[no], &self.hosts[host]);
         call.out.is_none()
             && !call.answered
-            && call.attempts < self.terms.max_attempts
+            && call.attempts < self.settings.max_attempts
             && self.left(no) > Span::ZERO
             && to.condition == Condition::Ready
             && (self.warmth(host) >= 1.0 || self.may_warm(host) || self.newcomer_may_warm(no, host))
@@ -235,21 +236,21 @@
 
     /// Whether a call's next attempt is its first, or within the budget for others.
     fn may_go_further(&self, no: usize) -> bool {
-        self.calls[no].attempts == 0 || self.further.allow(&self.terms, self.now)
+        self.calls[no].attempts == 0 || self.further.allow(&self.settings, self.now)
     }
 
     /// Danger: of hundreds of nodes each would have to save up for a whole call, and a cold host stays empty.
     /// Where a node's fair part is less than one connection, that part is enough to send one. But in a rush
     /// all together would push it over: then each needs a whole call saved up.
     fn may_warm(&self, host: usize) -> bool {
-        let fair = (self.fleet.level * self.size(host)).clamp(1.0 - self.terms.unseen(), 1.0);
-        let fair = fair + self.terms.bound_together() * (1.0 - fair);
+        let fair = (self.fleet.level * self.size(host)).clamp(1.0 - self.settings.unseen(), 1.0);
+        let fair = fair + self.settings.bound_together() * (1.0 - fair);
         self.hosts[host].budget >= if self.calm() >= 1.0 { fair } else { 1.0 }
     }
 
     /// Half the multiple of what usually comes over what wants a host now, as far as others are open.
     fn calm(&self) -> f64 {
-        let usual = 0.5 * self.terms.warming.multiple * self.fleet.open * self.rates.arrival * 5.0;
+        let usual = 0.5 * self.settings.warming.multiple * self.fleet.open * self.rates.arrival * 5.0;
         let wants = self.rates.tried.max(1.0) + (self.waiting.held.len() + self.waiting.turn.len()) as f64;
         (usual / wants).min(1.0)
     }
@@ -262,24 +263,24 @@
         // A hundredth: fewer than a new client in 100 s says nothing of how many there are.
         let part = (self.rates.held * self.warming_fill(host)).min(0.1 * self.warming_bound(host));
         let part = part / self.rates.arrival.max(0.01);
-        let draw = draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.terms.me));
-        !call.returning && !call.mid_flow && draw < self.terms.many().powi(2) * part
+        let draw = draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.me));
+        !call.returning && !call.mid_flow && draw < self.settings.many().powi(2) * part
     }
 
-    fn effect(&self, no: usize) -> Effect {
-        self.terms.traffic[usize::from(self.calls[no].call.traffic.0)].effect
+    fn idempotency(&self, no: usize) -> Idempotency {
+        self.settings.traffic[usize::from(self.calls[no].call.traffic.0)].idempotency
     }
 
     fn may_repeat(&self, no: usize) -> bool {
-        match (self.effect(no), self.calls[no].ran) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Referenced { window, .. }, Some((_, sent))) => self.now.since(sent) < window,
-            (Effect::OnceOnly, Some(_)) => false,
+        match (self.idempotency(no), self.calls[no].ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::Keyed { window, .. }, Some((_, sent))) => self.now.since(sent) < window,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
     fn may_repeat_on(&self, no: usize, host: usize) -> bool {
-        let (Effect::Referenced { scope, .. }, Some((first, _))) = (self.effect(no), self.calls[no].ran)
+        let (Idempotency::Keyed { scope, .. }, Some((first, _))) = (self.idempotency(no), self.calls[no].ran)
         else {
             return self.may_repeat(no);
         };
@@ -294,27 +295,27 @@
 
     /// A reject assures the client that a new try does no harm.
     fn may_reject(&self, no: usize) -> bool {
-        match (self.effect(no), self.calls[no].ran) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Referenced { scope: Scope::All, .. }, _) => self.may_repeat(no),
+        match (self.idempotency(no), self.calls[no].ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::Keyed { scope: Scope::All, .. }, _) => self.may_repeat(no),
             _ => false,
         }
     }
 
-    /// What is left for another attempt. Two ticks are kept back: what comes at the guard time itself is seen a
+    /// What is left for another attempt. Two ticks are kept back: what comes at the deadline itself is seen a
     /// tick later, and the answer must still be in time.
     fn left(&self, no: usize) -> Span {
-        (self.calls[no].call.guard - self.terms.tick.times(2.0)).since(self.now)
+        (self.calls[no].call.guard - self.settings.tick.times(2.0)).since(self.now)
     }
 
     /// An attempt may take the setup target or half of what is left, so that another has room, or three times what
     /// setups take of late.
     fn attempt_timeout(&self, no: usize) -> Span {
         let (call, left) = (&self.calls[no], self.left(no));
-        let target = self.terms.traffic[usize::from(call.call.traffic.0)].setup_target;
+        let target = self.settings.traffic[usize::from(call.call.traffic.0)].setup_target;
         // Danger: where all setups take long, what is cut off is worked on all the same, before the next.
         let of_late = Span::from_seconds(3.0 * self.rates.setup);
-        if call.attempts + 1 >= self.terms.max_attempts {
+        if call.attempts + 1 >= self.settings.max_attempts {
             left
         } else {
             left.times(0.5).max(target).max(of_late).min(left)
@@ -326,7 +327,7 @@
         if self.may_reject(no) {
             // Clients that were turned away together come back spread over the second half of the wait.
             let spread = 0.5 + 0.5 * self.chance();
-            port.reject(id, self.terms.come_back.map(|most| most.times(spread)));
+            port.reject(id, self.settings.retry_after.map(|most| most.times(spread)));
         } else {
             port.release(id);
         }
@@ -351,7 +352,7 @@
         self.calls[no].held = true;
         self.waiting.held.push(no);
         // 40 ms: short against any setup target, and long enough to cost little CPU.
-        let due = self.now + self.left(no).clamp(self.terms.tick, Span::ms(40).max(self.terms.tick));
+        let due = self.now + self.left(no).clamp(self.settings.tick, Span::ms(40).max(self.settings.tick));
         if self.waiting.wake.is_none_or(|wake| due < wake) {
             self.waiting.wake = Some(due);
             port.wake_at(due, HELD);
@@ -366,7 +367,7 @@
         let rank = |no: &usize| (self.worth(*no), std::cmp::Reverse(self.calls[*no].call.id));
         turn.sort_unstable_by(|a, b| rank(a).0.total_cmp(&rank(b).0).then(rank(a).1.cmp(&rank(b).1)));
         self.waiting.held = std::mem::replace(&mut self.waiting.turn, turn);
-        let (mut closed, mut tries, most) = (false, 0, 8 - (6.0 * self.terms.many()) as usize);
+        let (mut closed, mut tries, most) = (false, 0, 8 - (6.0 * self.settings.many()) as usize);
         while let Some(no) = self.waiting.turn.pop() {
             self.calls[no].held = false;
             if (closed || tries >= most) && self.left(no) > Span::ZERO {
@@ -395,8 +396,8 @@
         let Some(others) = self.sizes.others(to) else { return ours };
         // Danger: all nodes see the same late word and would fill the same gap, each the whole of it. Each
         // takes the mean of what all nodes hold there, and of its own attempts since then that all send alike.
-        let nodes = f64::from(self.terms.nodes.max(1));
-        (ours + 2.0 * others) / nodes + self.terms.unseen() * (to.fresh[0] + to.fresh[1])
+        let nodes = f64::from(self.settings.nodes.max(1));
+        (ours + 2.0 * others) / nodes + self.settings.unseen() * (to.fresh[0] + to.fresh[1])
     }
 
     /// The score by the host's size, stretched while the host copes badly. Hosts of another zone carry a
@@ -404,19 +405,23 @@
     fn burden(&self, host: usize, local: f64) -> f64 {
         let to = &self.hosts[host];
         // 10: a crossing price of a tenth keeps calls at home until hosts there are strained.
-        let away = if to.zone == self.terms.zone { 0.0 } else { (10.0 * self.terms.crossing_price).min(1.0) };
-        ((self.score(host) + self.terms.unseen() * to.phase) / self.size(host) + away * local)
+        let away = if to.zone == self.settings.zone {
+            0.0
+        } else {
+            (10.0 * self.settings.cross_zone_price).min(1.0)
+        };
+        ((self.score(host) + self.settings.unseen() * to.phase) / self.size(host) + away * local)
             * (1.0 + to.strain)
     }
 
     /// What the other nodes are held to have on a host for its size, each as much as this node has in all.
     fn others(&self, host: usize) -> f64 {
-        let nodes = f64::from(self.terms.nodes.max(1)) - 1.0;
+        let nodes = f64::from(self.settings.nodes.max(1)) - 1.0;
         let told = self.hosts[host].told_held.is_some();
         if told {
             0.0
         } else {
-            self.terms.many() * nodes * self.rates.held * self.hosts[host].held / self.size(host)
+            self.settings.many() * nodes * self.rates.held * self.hosts[host].held / self.size(host)
         }
     }
 
@@ -428,11 +433,11 @@
     /// would crowd these while others idle. Each zone is held to carry as much as ours, on its own hosts.
     fn local_burden(&self) -> f64 {
         let (mut score, mut near, mut away, mut zones) = (0.0, 0.0, 0.0, 0);
-        let told = self.terms.weights == Weights::Live;
+        let told = self.settings.weights == Weights::Live;
         for host in (0..self.hosts.len()).filter(|host| self.is_trusted(*host)) {
             let (zone, size) = (self.hosts[host].zone, self.size(host));
             zones = zones.max(zone.0);
-            if zone == self.terms.zone || told {
+            if zone == self.settings.zone || told {
                 (score, near) = (score + self.score(host), near + size);
             } else {
                 away += size;
@@ -442,12 +447,12 @@
             return score / near.max(1e-9);
         }
         let score = score * (1.0 - 2.0 * self.taken_over()).max(0.0);
-        if near > 0.0 && away > 0.0 { score * f64::from(zones.max(self.terms.zone.0)) / away } else { 0.0 }
+        if near > 0.0 && away > 0.0 { score * f64::from(zones.max(self.settings.zone.0)) / away } else { 0.0 }
     }
 
     /// What the call itself adds: its load where that is known, and its group where the host has none of it.
     fn added(&self, no: usize, host: usize, away: f64) -> f64 {
-        let unseen = self.terms.unseen();
+        let unseen = self.settings.unseen();
         let load = self.expected(no) * (1.0 - unseen) / self.size(host);
         if away == 0.0 {
             return load;
@@ -464,7 +469,7 @@
     /// Danger: when homes are closed, calls that go anywhere make every host pay for every group. Unless
     /// nearly all is open they wait for a home, or a host that pays already; more so, the less a node sees.
     fn is_bound(&self, no: usize) -> bool {
-        self.calls[no].call.group.is_some() && self.fleet.open < 0.95 * self.terms.unseen()
+        self.calls[no].call.group.is_some() && self.fleet.open < 0.95 * self.settings.unseen()
     }
 
     /// Danger: a node that holds few connections sees few of a group's, and all nodes together spread the
@@ -479,17 +484,17 @@
             const ALIKE: f64 = 20.0;
             let ours = f64::from(self.groups.of(group));
             let part = (ours + ALIKE * self.groups.likeness) / (self.groups.all as f64 + ALIKE);
-            let near = |to: &&Host| to.zone == self.terms.zone && to.condition == Condition::Ready;
+            let near = |to: &&Host| to.zone == self.settings.zone && to.condition == Condition::Ready;
             let near = self.hosts.iter().filter(near).count();
             // A group under a quarter of a host costs more in each zone than its crossings: homes in all.
             let small = part * (near as f64) < 0.25;
-            let foreign = (1.0 - 10.0 * self.terms.crossing_price)
-                .max(self.taken_over() / self.terms.unseen().max(0.1));
+            let foreign = (1.0 - 10.0 * self.settings.cross_zone_price)
+                .max(self.taken_over() / self.settings.unseen().max(0.1));
             let foreign = if small { 1.0 } else { foreign.clamp(0.0, 1.0) };
             let mut usable = 0;
-            let many = self.terms.many();
+            let many = self.settings.many();
             keys.extend(self.hosts.iter().enumerate().map(|(host, to)| {
-                let near = if to.zone == self.terms.zone { 1.0 } else { foreign };
+                let near = if to.zone == self.settings.zone { 1.0 } else { foreign };
                 // Danger: a cold host drawn by what it can do now is nobody's home while it warms up.
                 let weight = near * to.nominal.0 * (many + (1.0 - many) * self.warmth(host));
                 if to.condition != Condition::Ready || to.aside.is_some() || weight <= 0.0 {
@@ -524,7 +529,7 @@
 
     /// Share of its capacity that a host has for certain by now.
     fn warmth(&self, host: usize) -> f64 {
-        self.hosts[host].warmth(&self.terms.warming, self.now)
+        self.hosts[host].warmth(&self.settings.warming, self.now)
     }
 
     fn is_trusted(&self, host: usize) -> bool {
@@ -540,7 +545,7 @@
         let call = &self.calls[no];
         let traffic = usize::from(call.call.traffic.0);
         let load = call.load.unwrap_or(self.loads.of_type[traffic]).max(0.1 * self.loads.mean).max(1e-9);
-        self.terms.traffic[traffic].revenue / load
+        self.settings.traffic[traffic].revenue / load
     }
 
     /// A connection known to be heavier than most needs room for all of it.
@@ -616,7 +621,7 @@
     /// there is worked on all the same, and nothing comes back in time any more. So many are out as come back
     /// within two thirds of their target; more are tried while they take less than a third.
     fn set_up_in(&mut self, no: usize, took: Option<Span>) {
-        let target = self.terms.traffic[usize::from(self.calls[no].call.traffic.0)].setup_target.seconds();
+        let target = self.settings.traffic[usize::from(self.calls[no].call.traffic.0)].setup_target.seconds();
         let part = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
         let setups = &mut self.setups;
         if part > 0.67 {
@@ -668,7 +673,7 @@
                 continue;
             }
             aside.next_probe = self.now + to.wait.times(spread);
-            if self.terms.may_probe {
+            if self.settings.can_probe {
                 // A probe is far less work than a setup, but on a cold host it counts.
                 to.budget -= 0.1;
                 port.probe(to.id);
@@ -682,7 +687,7 @@
     /// answers to probes at once: hosts with connections get some in turn, three a call at the most.
     fn listen_to_hosts(&mut self, port: &mut dyn Port) {
         let most = ((3.0 * self.rates.arrival) as usize + 1).min(self.hosts.len());
-        for _ in 0..if self.terms.message_times || !self.terms.may_probe { 0 } else { most } {
+        for _ in 0..if self.settings.reports_message_times || !self.settings.can_probe { 0 } else { most } {
             self.turn = (self.turn + 1) % self.hosts.len();
             let to = &mut self.hosts[self.turn];
             if to.condition == Condition::Ready && to.aside.is_none() && !to.attempts.is_empty() {
@@ -740,7 +745,7 @@
         for host in 0..self.hosts.len() {
             let to = &self.hosts[host];
             let usable = to.condition == Condition::Ready && to.aside.is_none() && to.full_rest == Span::ZERO;
-            if usable && to.zone == self.terms.zone {
+            if usable && to.zone == self.settings.zone {
                 sums = (sums.0 + self.weight(host), sums.1 + self.size(host));
             }
         }
@@ -765,7 +770,7 @@
     /// What a host's own word on its messages asks for: when their time grows by so much a second, that share
     /// of its load is too much, and what has piled up is to be gone in 0.8 s; all nodes hear the same.
     fn crowded_host(&mut self, host: usize, took: Span, port: &mut dyn Port) {
-        let (target, took, weight) = (self.terms.message_target(), took.seconds(), self.weight(host));
+        let (target, took, weight) = (self.settings.message_target(), took.seconds(), self.weight(host));
         let to = &mut self.hosts[host];
         let since = self.now.since(to.piled_at).seconds();
         let before = if since < 1.5 { to.piled } else { 0.0 };
@@ -842,16 +847,16 @@
             (shares + self.hosts[host].nominal.0, size + self.size(host))
         });
         self.rates.weigh(stand, shares, size, first);
-        self.sizes.weigh(&self.hosts, f64::from(self.terms.nodes), stand, first.max(0.06));
-        let window = self.terms.warming.window.times(1.0 - 0.5 * self.terms.bound_together());
+        self.sizes.weigh(&self.hosts, f64::from(self.settings.nodes), stand, first.max(0.06));
+        let window = self.settings.warming.window.times(1.0 - 0.5 * self.settings.bound_together());
         for host in 0..self.hosts.len() {
             let warmth = self.warmth(host);
             if warmth < 1.0 {
                 // Twice what a host carries came to half of the limit; many nodes use up theirs: once.
                 let part = self.hosts[host].nominal.0 / shares.max(1e-6) * self.rates.arrival;
-                let arrive = self.terms.warming.multiple * warmth * part * (2.0 - self.terms.many());
+                let arrive = self.settings.warming.multiple * warmth * part * (2.0 - self.settings.many());
                 // Danger: in a rush all nodes use theirs in full: 32 pushed a host over, each by one call.
-                let usual = self.terms.many() * self.rates.held * self.warming_fill(host);
+                let usual = self.settings.many() * self.rates.held * self.warming_fill(host);
                 let rate = arrive.max(self.calm().max(0.67 * warmth) * usual);
                 let rate = rate.min(self.warming_bound(host));
                 self.hosts[host].save_up(rate, window, self.now);
@@ -863,7 +868,7 @@
     /// unit. Danger: with a call in ten seconds, most nodes let lapse what they saved up by their arrivals,
     /// and hosts that came back stay empty. Three times the multiple of what fills one once in its warm-up.
     fn warming_fill(&self, host: usize) -> f64 {
-        let warming = &self.terms.warming;
+        let warming = &self.settings.warming;
         3.0 * warming.multiple * self.hosts[host].nominal.0 / warming.after.seconds().max(1e-9)
     }
 
@@ -871,9 +876,9 @@
     /// of them is free. Budgets come due at even steps and lapse after half a window, which leaves room for a
     /// tenth as much by new clients, who come by chance and in bursts.
     fn warming_bound(&self, host: usize) -> f64 {
-        let nodes = f64::from(self.terms.nodes.max(1));
+        let nodes = f64::from(self.settings.nodes.max(1));
         let allowed = self.warming_fill(host) / 3.0 * self.warmth(host) * self.rates.held * nodes;
-        self.terms.warming.stands(allowed) / (nodes * self.terms.bound_together().max(1e-9))
+        self.settings.warming.stands(allowed) / (nodes * self.settings.bound_together().max(1e-9))
     }
 
     /// Danger: a host that started of late looks like any other to a node with less than a connection a host.
@@ -919,7 +924,7 @@
 
     pub fn call_taken(&mut self, now: Time, call: Call, port: &mut dyn Port) {
         self.now = now;
-        self.further.taken(&self.terms, now);
+        self.further.taken(&self.settings, now);
         self.rates.arrivals += u32::from(!call.returning && !call.mid_flow);
         let no = self.take_in(call);
         if self.is_beyond_part(no) {
@@ -940,7 +945,7 @@
             return false;
         }
         let stand = self.hosts.iter().map(Host::stand).sum::<f64>();
-        draw(call.id.0, self.terms.me.into()) < self.terms.many()
+        draw(call.id.0, self.settings.me.into()) < self.settings.many()
             && stand + self.chance() > part * self.rates.usual_conns.max(1.0)
     }
 
@@ -956,7 +961,7 @@
         self.rates.guests += f64::from(u8::from(guest));
         // Danger: limits in connections of ours, from when others had theirs there too, keep those out.
         for host in 0..if guest && self.taken_over() > 0.0 { self.hosts.len() } else { 0 } {
-            self.hosts[host].limit += self.terms.few() * self.size(host) / self.rates.size.max(1e-9);
+            self.hosts[host].limit += self.settings.few() * self.size(host) / self.rates.size.max(1e-9);
         }
         no
     }
@@ -964,7 +969,7 @@
     /// The part of our calls that another node had before. Danger: when a node drains or dies, its clients
     /// come to one that keeps to its own zone and its limits. Of many nodes each has too few calls to tell.
     fn taken_over(&self) -> f64 {
-        self.terms.few() * self.rates.taken_over(self.calls.len()) / self.calls.len().max(1) as f64
+        self.settings.few() * self.rates.taken_over(self.calls.len()) / self.calls.len().max(1) as f64
     }
 
     pub fn connection_found(&mut self, now: Time, call: Call, host: HostId) {
@@ -996,7 +1001,7 @@
         // Danger: a host that goes under answers probes beside its work; what is open there earns nothing.
         // A setup waits behind that work: what it took too long, a message takes too.
         let usual = self.rates.usual_setup(took, self.calls[no].ahead);
-        if !self.terms.message_times {
+        if !self.settings.reports_message_times {
             let slower = self.hosts[host].set_up_slower(took.seconds() - usual);
             self.crowded_host(host, slower, port);
         }
@@ -1031,7 +1036,7 @@
             return self.drop_call(no);
         }
         self.calls[no].answered = true;
-        if self.terms.may_recall && !self.calls[no].set_up {
+        if self.settings.can_cancel && !self.calls[no].set_up {
             port.recall(call, AttemptNumber(self.calls[no].attempts - 1));
         }
     }
@@ -1082,8 +1087,9 @@
             // Danger: a host that hangs still takes connections, and each call there waits out an attempt.
             if how != Ending::Completed {
                 self.judge(host, true);
-            } else if !self.terms.message_times {
-                let slower = Span::from_seconds(self.terms.message_target() * (to.answered_in(took) - 1.0));
+            } else if !self.settings.reports_message_times {
+                let slower =
+                    Span::from_seconds(self.settings.message_target() * (to.answered_in(took) - 1.0));
                 self.crowded_host(host, slower, port);
             }
             return;
@@ -1119,12 +1125,12 @@
             match self.host_no.get(&line.host) {
                 Some(host) => {
                     let to = &mut self.hosts[*host];
-                    if to.has_started(line.up_since, self.terms.start_off, now) {
+                    if to.has_started(line.up_since, self.settings.start_uncertainty, now) {
                         (to.budget, to.budget_at, to.held) = (first_budget, now, 0.0);
                     }
                     (to.condition, to.zone, to.cell) = (line.condition, line.zone, line.cell);
                     to.kind = line.kind;
-                    self.sizes.read(to, line.weight, self.terms.weights);
+                    self.sizes.read(to, line.weight, self.settings.weights);
                 }
                 None => self.add_host(line),
             }
@@ -1138,10 +1144,10 @@
     fn take_turns(&mut self) {
         let ready = |host: &&usize| self.hosts[**host].condition == Condition::Ready;
         let n = self.sorted.iter().filter(ready).count().div_ceil(self.calls.len().max(1));
-        let mut turn = self.terms.me as usize;
+        let mut turn = self.settings.me as usize;
         for host in self.sorted.iter().copied() {
             let to = &mut self.hosts[host];
-            to.phase = ((turn % n.max(1)) as f64 + draw(to.id.0, self.terms.me.into())) / n.max(1) as f64;
+            to.phase = ((turn % n.max(1)) as f64 + draw(to.id.0, self.settings.me.into())) / n.max(1) as f64;
             turn += usize::from(to.condition == Condition::Ready);
         }
     }
@@ -1149,8 +1155,8 @@
     /// Danger: with the same budget from the start, all nodes would send a cold host their first call in one
     /// window. Each starts another part of a call below zero; of many nodes, below one.
     fn first_budget(&self, host: HostId) -> f64 {
-        let turn = f64::from(self.terms.me) / f64::from(self.terms.nodes.max(1));
-        let many = self.terms.many().max(self.terms.bound_together());
+        let turn = f64::from(self.settings.me) / f64::from(self.settings.nodes.max(1));
+        let many = self.settings.many().max(self.settings.bound_together());
         many * (turn + draw(host.0, 0)).fract() - (1.0 - many) * turn
     }
 
@@ -1164,8 +1170,8 @@
         // One that is not cold is held to have as much for its size as the others.
         self.hosts.push(Host { budget, ..Host::new(line, mean, self.now) });
         let host = self.hosts.len() - 1;
-        self.hosts[host].has_started(line.up_since, self.terms.start_off, self.now);
-        self.sizes.read(&mut self.hosts[host], line.weight, self.terms.weights);
+        self.hosts[host].has_started(line.up_since, self.settings.start_uncertainty, self.now);
+        self.sizes.read(&mut self.hosts[host], line.weight, self.settings.weights);
         let part = self.hosts[host].nominal.0 * held_per_share(&self.hosts[..host]);
         if line.condition == Condition::Ready && self.warmth(host) >= 1.0 {
             self.hosts[host].held = part;
@@ -1175,7 +1181,7 @@
     /// Danger: a list gone stale unnoticed. While most hosts look bad or none is ready, the whole list
     /// is asked for, at growing waits; and a question that nobody answers is put again.
     fn question_list(&mut self, port: &mut dyn Port) {
-        let Some(ask_within) = self.terms.ask_within else { return };
+        let Some(poll_interval) = self.settings.poll_interval else { return };
         let none_ready = !self.hosts.iter().any(|to| to.condition == Condition::Ready);
         if self.hosts.is_empty() && self.asking.is_new() {
             self.asking.asked = true;
@@ -1183,13 +1189,13 @@
         }
         if !(self.doubts_itself || none_ready) {
             self.asking.doubt_wait = Span::ms(1000);
-            self.asking.fetch_at = self.now + list_spread(&self.terms).times(self.chance());
+            self.asking.fetch_at = self.now + list_spread(&self.settings).times(self.chance());
         } else if self.now >= self.asking.fetch_at {
-            self.asking.doubt_wait = self.asking.doubt_wait.times(2.0).min(ask_within.times(0.5));
+            self.asking.doubt_wait = self.asking.doubt_wait.times(2.0).min(poll_interval.times(0.5));
             self.asking.fetch_at = self.now + self.asking.doubt_wait.times(0.75 + 0.5 * self.chance());
             port.fetch_list();
         }
-        if self.asking.asked && self.now.since(self.asking.ask_at) > ask_within.times(0.5) {
+        if self.asking.asked && self.now.since(self.asking.ask_at) > poll_interval.times(0.5) {
             self.asking.ask_at = self.now;
             port.follow_list();
         }
@@ -1200,10 +1206,10 @@
         self.now = now;
         (self.asking.asked, self.asking.following) = (false, false);
         self.asking.refusals += 1;
-        let Some(ask_within) = self.terms.ask_within else { return };
-        let longest = ask_within.times(0.3);
+        let Some(poll_interval) = self.settings.poll_interval else { return };
+        let longest = poll_interval.times(0.3);
         let wait = Span::ms(250).times(f64::from(1u32 << self.asking.refusals.min(6))).min(longest);
-        let wait = wait.max(list_spread(&self.terms));
+        let wait = wait.max(list_spread(&self.settings));
         self.asking.ask_at = now + wait.times(0.5 + 0.5 * self.chance());
         port.wake_at(self.asking.ask_at, ASK);
     }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -78,25 +78,30 @@
     next: u64,
 }
 
-fn terms(nodes: usize, me: usize) -> Terms {
+fn settings(nodes: usize, me: usize) -> Settings {
     let (setup_target, message_target) = (Span::ms(500), Some(Span::ms(100)));
-    Terms {
-        traffic: vec![Traffic { effect: Effect::Repeatable, setup_target, message_target, revenue: 1.0 }],
+    Settings {
+        traffic: vec![TrafficClass {
+            idempotency: Idempotency::Idempotent,
+            setup_target,
+            message_target,
+            revenue: 1.0,
+        }],
         zone: Zone(0),
         me: me as u32,
         nodes: nodes as u32,
         tick: Span::ms(5),
         max_attempts: 4,
-        may_probe: true,
-        may_recall: true,
+        can_probe: true,
+        can_cancel: true,
         weights: Weights::Sizes,
-        message_times: false,
-        come_back: None,
-        ask_within: None,
+        reports_message_times: false,
+        retry_after: None,
+        poll_interval: None,
         warming: Warming { from: FROM, after: AFTER, multiple: MULTIPLE, window: WINDOW },
         retry_budget: None,
-        start_off: Span::ZERO,
-        crossing_price: 0.0,
+        start_uncertainty: Span::ZERO,
+        cross_zone_price: 0.0,
         whole_weight: 0.5,
     }
 }
@@ -118,7 +123,7 @@
         };
         for me in 0..nodes {
             let mut acts = Acts::default();
-            let node = Node::start(terms(nodes, me), seed * 1000 + me as u64, Time(fleet.now), &mut acts);
+            let node = Node::start(settings(nodes, me), seed * 1000 + me as u64, Time(fleet.now), &mut acts);
             fleet.nodes.push(node);
             fleet.act(me, acts);
         }
@@ -201,7 +206,7 @@
                 self.next += 1;
                 let call = Call {
                     id,
-                    traffic: TrafficId(0),
+                    traffic: ClassId(0),
                     tenant: TenantId(0),
                     subject: Some(SubjectId(id.0)),
                     group: None,
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -84,8 +84,8 @@
         self.record(1, &[call.0, host.0, within.0]);
         self.sent.push((call, host, within));
     }
-    fn reject(&mut self, call: CallId, come_back: Option<Span>) {
-        self.record(2, &[call.0, come_back.map_or(u64::MAX, |wait| wait.0)]);
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
+        self.record(2, &[call.0, retry_after.map_or(u64::MAX, |wait| wait.0)]);
         self.ended.insert(call);
     }
     fn release(&mut self, call: CallId) {
@@ -141,7 +141,7 @@
     rng: WyRand,
     node: Node,
     recorder: Recorder,
-    settings: Terms,
+    settings: Settings,
     queue: BTreeMap<(Time, u64), Event>,
     queued: u64,
     hosts: Vec<(Listed, Behaviour)>,
@@ -152,7 +152,7 @@
 
 const START: Time = Time(1_000_000_000_000);
 
-fn draw_settings(rng: &mut WyRand, nodes: u32) -> Terms {
+fn draw_settings(rng: &mut WyRand, nodes: u32) -> Settings {
     let mut chance = |part: f64| f64::from(rng.generate::<f32>()) < part;
     let scope = match (chance(0.4), chance(0.5)) {
         (true, _) => Scope::All,
@@ -160,34 +160,34 @@
         (false, false) => Scope::Cell,
     };
     let effects = [
-        Effect::Repeatable,
-        Effect::Referenced { scope, window: Span::ms(if chance(0.5) { 2_000 } else { 8_000 }) },
-        Effect::OnceOnly,
+        Idempotency::Idempotent,
+        Idempotency::Keyed { scope, window: Span::ms(if chance(0.5) { 2_000 } else { 8_000 }) },
+        Idempotency::NonIdempotent,
     ];
-    let traffic = effects.iter().enumerate().map(|(at, effect)| Traffic {
-        effect: *effect,
+    let traffic = effects.iter().enumerate().map(|(at, idempotency)| TrafficClass {
+        idempotency: *idempotency,
         setup_target: Span::ms(300 + 200 * at as u64),
         message_target: Some(Span::ms(50 + 50 * at as u64)),
         revenue: 1.0 + at as f64,
     });
-    let traffic: Vec<Traffic> = traffic.collect();
-    Terms {
+    let traffic: Vec<TrafficClass> = traffic.collect();
+    Settings {
         traffic,
         zone: Zone(u16::from(chance(0.5))),
         me: 0,
         nodes,
         tick: Span::ms(5),
         max_attempts: if chance(0.5) { 3 } else { 5 },
-        may_probe: chance(0.8),
-        may_recall: chance(0.7),
+        can_probe: chance(0.8),
+        can_cancel: chance(0.7),
         weights: if chance(0.3) { Weights::Live } else { Weights::Sizes },
-        message_times: chance(0.5),
-        come_back: chance(0.5).then_some(Span::ms(2_000)),
-        ask_within: chance(0.7).then_some(Span::ms(4_000)),
+        reports_message_times: chance(0.5),
+        retry_after: chance(0.5).then_some(Span::ms(2_000)),
+        poll_interval: chance(0.7).then_some(Span::ms(4_000)),
         warming: Warming { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
         retry_budget: chance(0.6).then_some(RetryBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
-        start_off: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
-        crossing_price: if chance(0.5) { 0.05 } else { 0.0 },
+        start_uncertainty: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
+        cross_zone_price: if chance(0.5) { 0.05 } else { 0.0 },
         whole_weight: if chance(0.5) { 0.5 } else { 1.0 },
     }
 }
@@ -386,7 +386,7 @@
         let before = (returning && self.chance(0.1)).then(|| (self.hosts[0].0.host, now - Span::ms(300)));
         Call {
             id,
-            traffic: TrafficId(traffic),
+            traffic: ClassId(traffic),
             tenant: TenantId(0),
             subject: Some(subject),
             group,
--- a/tests/lost_node.rs
+++ b/tests/lost_node.rs
@@ -125,10 +125,10 @@
     served: f64,
 }
 
-fn terms(shape: &Shape, me: usize) -> Terms {
-    Terms {
-        traffic: vec![Traffic {
-            effect: Effect::Repeatable,
+fn settings(shape: &Shape, me: usize) -> Settings {
+    Settings {
+        traffic: vec![TrafficClass {
+            idempotency: Idempotency::Idempotent,
             setup_target: Span::ms(500),
             message_target: Some(Span::ms(100)),
             revenue: 1.0,
@@ -138,16 +138,16 @@
         nodes: shape.nodes as u32,
         tick: Span::ms(5),
         max_attempts: 4,
-        may_probe: true,
-        may_recall: true,
+        can_probe: true,
+        can_cancel: true,
         weights: Weights::Sizes,
-        message_times: true,
-        come_back: None,
-        ask_within: None,
+        reports_message_times: true,
+        retry_after: None,
+        poll_interval: None,
         warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) },
         retry_budget: None,
-        start_off: Span::ZERO,
-        crossing_price: 0.03,
+        start_uncertainty: Span::ZERO,
+        cross_zone_price: 0.03,
         whole_weight: 0.5,
     }
 }
@@ -173,7 +173,7 @@
         };
         for at in 0..shape.nodes {
             let mut acts = Acts::default();
-            let node = Node::start(terms(&shape, at), seed * 100 + at as u64, Time(world.now), &mut acts);
+            let node = Node::start(settings(&shape, at), seed * 100 + at as u64, Time(world.now), &mut acts);
             world.nodes.push(Some(node));
             world.calls.push(BTreeMap::new());
             world.act(at, acts);
@@ -380,7 +380,7 @@
         let of = self.clients[client];
         let call = Call {
             id,
-            traffic: TrafficId(0),
+            traffic: ClassId(0),
             tenant: TenantId(0),
             subject: Some(SubjectId(client as u64)),
             group: of.group,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -30,8 +30,8 @@
         let line = format!("send {} {}", call.0, self.name(host));
         self.new.push((line, Some(Due::Attempt(call, host, within))));
     }
-    fn reject(&mut self, call: CallId, come_back: Option<Span>) {
-        let wait = if come_back.is_some() { " wait" } else { "" };
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
+        let wait = if retry_after.is_some() { " wait" } else { "" };
         self.new.push((format!("reject {}{wait}", call.0), None));
     }
     fn release(&mut self, call: CallId) {
@@ -97,7 +97,7 @@
     words.iter().map(|word| word.split_once('=').unwrap_or((word, ""))).collect()
 }
 
-fn terms(words: &[&str]) -> Terms {
+fn settings(words: &[&str]) -> Settings {
     let given = options(words);
     let number = |key: &str, absent: f64| given.get(key).map_or(absent, |n| n.parse().unwrap());
     let scope = match given.get("scope") {
@@ -105,37 +105,37 @@
         Some(&"cell") => Scope::Cell,
         _ => Scope::All,
     };
-    let effect = match given.get("effect") {
-        Some(&"once-only") => Effect::OnceOnly,
+    let idempotency = match given.get("effect") {
+        Some(&"once-only") => Idempotency::NonIdempotent,
         Some(&"referenced") => {
-            Effect::Referenced { scope, window: Span::from_seconds(number("window", 5.0)) }
+            Idempotency::Keyed { scope, window: Span::from_seconds(number("window", 5.0)) }
         }
-        _ => Effect::Repeatable,
+        _ => Idempotency::Idempotent,
     };
     let setup_target = Span::from_seconds(number("target", 0.8));
     let message_target = Some(Span::ms(100));
-    Terms {
+    Settings {
         traffic: [1.0, number("other", 1.0)]
-            .map(|revenue| Traffic { effect, setup_target, message_target, revenue })
+            .map(|revenue| TrafficClass { idempotency, setup_target, message_target, revenue })
             .to_vec(),
         zone: Zone(0),
         me: number("me", 0.0) as u32,
         nodes: number("nodes", 1.0) as u32,
         tick: Span::ms(5),
         max_attempts: number("legs", 4.0) as u16,
-        may_probe: true,
-        may_recall: true,
+        can_probe: true,
+        can_cancel: true,
         weights: if given.contains_key("live") { Weights::Live } else { Weights::Sizes },
-        message_times: !given.contains_key("unheard"),
-        come_back: given.get("come-back").map(|s| seconds(s)),
-        ask_within: given.get("ask-within").map(|s| seconds(s)),
+        reports_message_times: !given.contains_key("unheard"),
+        retry_after: given.get("come-back").map(|s| seconds(s)),
+        poll_interval: given.get("ask-within").map(|s| seconds(s)),
         warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 4.0, window: Span::ms(1000) },
         retry_budget: given.get("leg-budget").map(|text| {
             let (free, part) = text.split_once("+").unwrap();
             RetryBudget { free: free.parse().unwrap(), part: part.parse().unwrap(), span: Span::ms(10_000) }
         }),
-        start_off: given.get("start-off").map_or(Span::ZERO, |s| seconds(s)),
-        crossing_price: number("crossing", 0.0),
+        start_uncertainty: given.get("start-off").map_or(Span::ZERO, |s| seconds(s)),
+        cross_zone_price: number("crossing", 0.0),
         whole_weight: number("whole", 1.0),
     }
 }
@@ -227,7 +227,7 @@
         let whole = |key| given.get(key).map(|n: &&str| n.parse().unwrap());
         Call {
             id,
-            traffic: TrafficId(given.get("type").map_or(0, |n| n.parse().unwrap())),
+            traffic: ClassId(given.get("type").map_or(0, |n| n.parse().unwrap())),
             tenant: TenantId(0),
             subject: whole("subject").map(SubjectId),
             group: whole("group").map(GroupId),
@@ -280,7 +280,7 @@
             ["heir", ..] => {
                 self.legacy = self.node.legacy();
                 (self.due, self.attempts, self.log.new) = Default::default();
-                self.node = Node::start(terms(words), 7, self.now, &mut self.log);
+                self.node = Node::start(settings(words), 7, self.now, &mut self.log);
             }
             ["inherits"] => self.node.inherit(&self.legacy),
             ["elder", host, open] => {
@@ -417,7 +417,7 @@
     let starts = lines.iter().filter(|words| is_start(words));
     for (given, part) in starts.zip(lines.split(is_start).skip(1)) {
         let mut log = Log::default();
-        let node = Node::start(terms(given), 7, Time(0), &mut log);
+        let node = Node::start(settings(given), 7, Time(0), &mut log);
         let mut player = Player {
             node,
             now: Time(0),
