--- a/crates/fleet/src/charter.rs
+++ b/crates/fleet/src/charter.rs
@@ -165,12 +165,12 @@
 #[serde(deny_unknown_fields)]
 pub struct TakeoverSettings {
     /// Seconds after its answer in which a call that comes again is recognised.
-    #[serde(default = "recall")]
+    #[serde(default = "default_recall_s")]
     pub recall_s: u32,
 }
 
 /// Longer than clients try again by themselves, and than most references are recalled.
-fn recall() -> u32 {
+fn default_recall_s() -> u32 {
     30
 }
 
--- a/crates/fleet/src/hosts.rs
+++ b/crates/fleet/src/hosts.rs
@@ -24,7 +24,7 @@
 
 /// What the list says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Listed {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     pub place: Place,
-    pub listed: Listed,
+    pub listed: EndpointState,
     pub held: Option<Held>,
 }
 
 impl Host {
     pub fn is_out(&self) -> bool {
-        let listed_out = self.listed != Listed::Ready && !planted(Plant::ListNotCounted);
+        let listed_out = self.listed != EndpointState::Ready && !planted(Plant::ListNotCounted);
         listed_out || self.held.is_some()
     }
 
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostLine {
     pub host: UnitName,
-    pub said: Option<(Place, Listed)>,
+    pub said: Option<(Place, EndpointState)>,
 }
 
 impl State {
@@ -184,7 +184,7 @@
 #[derive(Default)]
 pub struct Listing {
     /// Of each host, what is said of it and since when.
-    lines: BTreeMap<UnitName, (Place, Listed, Moment)>,
+    lines: BTreeMap<UnitName, (Place, EndpointState, Moment)>,
     /// It is told of changes now. Danger: a list that stands still shows a deploy's first host only.
     fresh: bool,
 }
@@ -210,7 +210,7 @@
 
 impl Fleet {
     /// The whole list as the node has it now.
-    pub fn hosts_listed(&mut self, now: Moment, lines: Vec<(UnitName, Place, Listed)>) {
+    pub fn hosts_listed(&mut self, now: Moment, lines: Vec<(UnitName, Place, EndpointState)>) {
         self.now = now;
         let mut before = std::mem::take(&mut self.listing.lines);
         for (name, place, listed) in lines {
@@ -221,8 +221,8 @@
             self.listing.lines.insert(name, (place, listed, since));
         }
         for (name, (place, was, since)) in before {
-            let since = if was == Listed::Gone { since } else { now };
-            self.listing.lines.insert(name, (place, Listed::Gone, since));
+            let since = if was == EndpointState::Gone { since } else { now };
+            self.listing.lines.insert(name, (place, EndpointState::Gone, since));
         }
         self.listing.fresh = true;
     }
@@ -304,16 +304,20 @@
         let unknown: Vec<(UnitName, Place)> =
             unknown.map(|(name, host)| (name.clone(), host.place.clone())).collect();
         for (name, place) in unknown {
-            self.listing.lines.insert(name, (place, Listed::Gone, self.now));
+            self.listing.lines.insert(name, (place, EndpointState::Gone, self.now));
         }
         for (name, (place, listed, since)) in &self.listing.lines {
             let stood = self.now.ms_since(*since);
             let known = self.state.hosts.get(name);
             let said = match (known, listed) {
-                (None, Listed::Gone) => continue,
-                (Some(known), Listed::Gone) if known.listed == Listed::Gone && stood >= forget_ms => None,
+                (None, EndpointState::Gone) => continue,
+                (Some(known), EndpointState::Gone)
+                    if known.listed == EndpointState::Gone && stood >= forget_ms =>
+                {
+                    None
+                }
                 // Danger: one that flaps between ready and draining would look back each time.
-                (_, Listed::Ready) if stood < READY_MS => continue,
+                (_, EndpointState::Ready) if stood < READY_MS => continue,
                 (Some(known), listed) if known.listed == *listed && known.place == *place => continue,
                 _ => Some((place.clone(), *listed)),
             };
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use glendeck_fleet::charter::{Act, OnHalt, UnitName};
-use glendeck_fleet::hosts::{Hold, Listed};
+use glendeck_fleet::hosts::{EndpointState, Hold};
 use glendeck_fleet::plant::Plant;
 use glendeck_fleet::state::{Command, Course, Standing};
 use test_case::test_case;
@@ -54,11 +54,11 @@
     }
     for _ in 0..world.roll(4) {
         let (at, of, lasts) = (when(world), world.roll(HOSTS) as usize, world.roll(40_000));
-        world.fault(at, Fault::Listed(of, Listed::Draining));
+        world.fault(at, Fault::EndpointState(of, EndpointState::Draining));
         if world.roll(2) == 0 {
-            world.fault(at + lasts / 2, Fault::Listed(of, Listed::Gone));
+            world.fault(at + lasts / 2, Fault::EndpointState(of, EndpointState::Gone));
         }
-        world.fault(at + lasts, Fault::Listed(of, Listed::Ready));
+        world.fault(at + lasts, Fault::EndpointState(of, EndpointState::Ready));
     }
     if world.roll(3) == 0 {
         let (at, node) = (when(world), world.roll(nodes as u64) as usize);
@@ -474,7 +474,7 @@
             let mut world = World::new(seed, charter(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
-            world.strike_now(Fault::Listed(1, Listed::Draining));
+            world.strike_now(Fault::EndpointState(1, EndpointState::Draining));
             world.run_until(50_000);
             let leader = world.leader()?;
             // Of the same zone.
@@ -794,7 +794,7 @@
     world.run_until(17_000);
     assert!(world.done("drain") && world.conns_at(1) > 0, "{:?}", world.answers);
     // Another of its zone has to wait, one of another zone need not; the list's own count too.
-    world.strike_now(Fault::Listed(2, Listed::Draining));
+    world.strike_now(Fault::EndpointState(2, EndpointState::Draining));
     world.run_until(20_000);
     for (unit, id) in [(4, "same zone"), (5, "the list's zone")] {
         world.order_now(leader, id, Command::Drain { unit: host(unit) });
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -6,7 +6,7 @@
 
 use glendeck_fleet::charter::{Act, Amount, Charter, OnHalt, Place, Plan, UnitName};
 use glendeck_fleet::engine::Voter;
-use glendeck_fleet::hosts::{HostLine, Listed};
+use glendeck_fleet::hosts::{EndpointState, HostLine};
 use glendeck_fleet::message::{
     Beat, Chair, Echo, Envelope, Fact, Hello, Message, News, Reach, Told, VERSION, Witness,
 };
@@ -76,9 +76,9 @@
             "hosts",
             Command::Hosts {
                 lines: vec![
-                    HostLine { host: unit("h1"), said: Some((place(), Listed::Ready)) },
-                    HostLine { host: unit("h2"), said: Some((place(), Listed::Draining)) },
-                    HostLine { host: unit("h3"), said: Some((place(), Listed::Gone)) },
+                    HostLine { host: unit("h1"), said: Some((place(), EndpointState::Ready)) },
+                    HostLine { host: unit("h2"), said: Some((place(), EndpointState::Draining)) },
+                    HostLine { host: unit("h3"), said: Some((place(), EndpointState::Gone)) },
                     HostLine { host: unit("h4"), said: None },
                 ],
             },
--- a/crates/fleet/tests/world/hosts.rs
+++ b/crates/fleet/tests/world/hosts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use glendeck_fleet::charter::{Amount, HostSettings, Limit, Limits, Place, UnitName};
-use glendeck_fleet::hosts::{Hold, Listed};
+use glendeck_fleet::hosts::{EndpointState, Hold};
 use glendeck_fleet::state::{Cause, Permit};
 
 use super::{Event, MS, World};
@@ -21,14 +21,14 @@
 const FIRST_WORD_MS: u64 = 4_000;
 
 pub struct SimHost {
-    pub listed: Listed,
+    pub listed: EndpointState,
     since: u64,
 }
 
 /// One node's side.
 #[derive(Default)]
 pub struct Side {
-    list: Vec<Listed>,
+    list: Vec<EndpointState>,
     /// It is told nothing.
     stands: bool,
     keeps: BTreeSet<usize>,
@@ -71,15 +71,15 @@
 
 impl World {
     pub fn with_hosts(&mut self, count: usize) {
-        self.hosts.hosts = (0..count).map(|_| SimHost { listed: Listed::Ready, since: 0 }).collect();
+        self.hosts.hosts = (0..count).map(|_| SimHost { listed: EndpointState::Ready, since: 0 }).collect();
     }
 
     /// What the list says from here on.
-    pub fn list_says(&mut self, host: usize, listed: Listed) {
+    pub fn list_says(&mut self, host: usize, listed: EndpointState) {
         self.say(|| format!("the list shows h{host} as {listed:?}"));
         let now = self.now;
         let of = &mut self.hosts.hosts[host];
-        if (of.listed == Listed::Ready) != (listed == Listed::Ready) {
+        if (of.listed == EndpointState::Ready) != (listed == EndpointState::Ready) {
             of.since = now;
         }
         of.listed = listed;
@@ -117,7 +117,7 @@
         if self.procs[at].side.stands {
             return;
         }
-        let list: Vec<Listed> = self.hosts.hosts.iter().map(|host| host.listed).collect();
+        let list: Vec<EndpointState> = self.hosts.hosts.iter().map(|host| host.listed).collect();
         let lines = list.iter().enumerate().map(|(at, listed)| (name(at), place(at), *listed)).collect();
         self.procs[at].side.list = list;
         let now = self.clock(at);
@@ -149,7 +149,7 @@
         if !comes {
             side.conns[host] = side.conns[host].saturating_sub(1);
         } else if knows
-            && side.list.get(host) == Some(&Listed::Ready)
+            && side.list.get(host) == Some(&EndpointState::Ready)
             && !side.keeps.contains(&host)
             && side.conns[host] < 20
         {
@@ -230,8 +230,9 @@
         };
         let mut out: BTreeSet<usize> =
             self.procs.iter().filter(counts).flat_map(|process| process.side.keeps.iter().copied()).collect();
-        let long =
-            |host: &SimHost| host.listed != Listed::Ready && self.now > host.since + LIST_KNOWN_MS * MS;
+        let long = |host: &SimHost| {
+            host.listed != EndpointState::Ready && self.now > host.since + LIST_KNOWN_MS * MS
+        };
         out.extend((0..self.hosts.hosts.len()).filter(|at| long(&self.hosts.hosts[*at])));
         out.retain(|host| !beyond(host));
         self.hosts.most_kept = self.hosts.most_kept.max(out.len());
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -72,7 +72,7 @@
     /// An operator vouches for its disk.
     Trust(usize),
     /// What the list says of a host.
-    Listed(usize, glendeck_fleet::hosts::Listed),
+    EndpointState(usize, glendeck_fleet::hosts::EndpointState),
     /// This node's list stands still, or is told again.
     ListStands(usize, bool),
 }
@@ -755,7 +755,7 @@
                     self.strike(Fault::Link(from, to, LinkState::Up));
                 }
                 for host in 0..self.hosts.hosts.len() {
-                    self.list_says(host, glendeck_fleet::hosts::Listed::Ready);
+                    self.list_says(host, glendeck_fleet::hosts::EndpointState::Ready);
                 }
                 for at in 0..self.procs.len() {
                     self.list_stands(at, false);
@@ -770,7 +770,7 @@
                     }
                 }
             }
-            Fault::Listed(host, listed) => self.list_says(host, listed),
+            Fault::EndpointState(host, listed) => self.list_says(host, listed),
             Fault::ListStands(at, stands) => self.list_stands(at, stands),
             Fault::Gone(at) => self.end(at),
             Fault::Kill(at) => {
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -2,7 +2,7 @@
 
 use std::os::fd::OwnedFd;
 
-use glendeck::domain::{Call, CallId, Ending, Span, Time};
+use glendeck::domain::{AttemptOutcome, Call, CallId, Span, Time};
 use rustix::io::Errno;
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
@@ -252,7 +252,7 @@
             self.look_first(number);
         } else {
             let now = self.now;
-            self.tell(|node, port| node.call_taken(now, call, port));
+            self.tell(|node, port| node.call_arrived(now, call, port));
         }
     }
 
@@ -316,10 +316,10 @@
             Stage::Waiting | Stage::Returning => {
                 held.client = None;
                 self.drop_conn(id);
-                self.call_given_up(call);
+                self.give_up_call(call);
             }
             Stage::Open if !broke => {
-                held.stage = Stage::Ending;
+                held.stage = Stage::HalfClosed;
                 if let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn) {
                     if let Some(seat) = self.conns.get_mut(host.0) {
                         seat.conn.finish = true;
@@ -329,11 +329,11 @@
                 self.watch_conn(id);
                 self.deadlines.set(self.now + LINGER, Due::Linger(call));
             }
-            Stage::Ending if !broke => {}
-            Stage::Open | Stage::Ending => {
+            Stage::HalfClosed if !broke => {}
+            Stage::Open | Stage::HalfClosed => {
                 held.client = None;
                 self.drop_conn(id);
-                self.close_attempt(call, Ending::Recalled, true);
+                self.close_attempt(call, AttemptOutcome::Canceled, true);
             }
         }
         self.settle();
@@ -358,7 +358,7 @@
         false
     }
 
-    fn call_given_up(&mut self, call: CallId) {
+    fn give_up_call(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
         if held.stage == Stage::Returning {
             let conn = held.attempt.as_ref().map(|attempt| attempt.conn);
@@ -370,7 +370,7 @@
             return;
         }
         let now = self.now;
-        self.tell(|node, port| node.call_given_up(now, call, port));
+        self.tell(|node, port| node.client_left(now, call, port));
         if self.calls.get(call.0).is_some_and(|held| held.attempt.is_none()) {
             self.forget_call(call);
         }
@@ -382,19 +382,19 @@
         if let Some(client) = held.client.take() {
             self.last_words(client, b"");
         }
-        self.close_attempt(call, Ending::Recalled, true);
+        self.close_attempt(call, AttemptOutcome::Canceled, true);
         self.settle();
     }
 
     pub fn relay_to_host(&mut self, id: ConnId, call: CallId) {
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let open = matches!(held.stage, Stage::Open | Stage::Ending);
+        let open = matches!(held.stage, Stage::Open | Stage::HalfClosed);
         let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn).filter(|_| open) else {
             debug!(call = call.0, "a client did not wait for its host");
             held.client = None;
             self.answer_conn(id, Answer::Error);
-            self.call_given_up(call);
+            self.give_up_call(call);
             return self.settle();
         };
         let length = line::whole_lines(&seat.conn.inbox);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -7,9 +7,9 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use glendeck::domain::{Condition, Ending, Extent, HostId, Span, Time};
+use glendeck::domain::{AttemptOutcome, Condition, HostId, ListUpdate, Span, Time};
 use glendeck_fleet::charter::{Place, Plan, UnitName};
-use glendeck_fleet::hosts::Listed;
+use glendeck_fleet::hosts::EndpointState;
 use glendeck_fleet::message::Envelope;
 use glendeck_fleet::state::{Answer, AskId, Command, Life};
 use glendeck_fleet::{Action, Facts, Fleet, LONGEST_LOG, Moment, Seen, Setup};
@@ -81,7 +81,7 @@
     next_look: Time,
     most_links: usize,
     /// The list's hosts by the names that the fleet knows them by.
-    listed: BTreeMap<UnitName, (Place, Listed)>,
+    listed: BTreeMap<UnitName, (Place, EndpointState)>,
     /// Hosts that the fleet wants out, and how often one connection goes there.
     kept_from: BTreeMap<HostId, UnitName>,
     ease_every: Span,
@@ -250,15 +250,15 @@
     /// The list as it came, by name.
     pub fn tell_fleet_hosts(&mut self, told: &Told, json: &Value) {
         let Some(membership) = &mut self.membership else { return };
-        if told.extent == Extent::Whole {
+        if told.update == ListUpdate::Complete {
             membership.listed.clear();
         }
         for entry in json["endpoints"].as_array().into_iter().flatten() {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
             let listed = match list::condition(entry) {
-                Some(Condition::Ready) => Listed::Ready,
-                Some(Condition::Draining) => Listed::Draining,
-                Some(Condition::Gone) => Listed::Gone,
+                Some(Condition::Ready) => EndpointState::Ready,
+                Some(Condition::Draining) => EndpointState::Draining,
+                Some(Condition::Gone) => EndpointState::Gone,
                 None => continue,
             };
             let cell = entry["group"].as_u64().map(|cell| cell.to_string()).unwrap_or_default();
@@ -293,7 +293,7 @@
             self.deadlines.set(self.now + first, Due::Ease);
         }
         let (now, lines) = (self.now, self.hosts.keep_from(ids));
-        self.tell(|node, port| node.list_told(now, Extent::Changes, &lines, port));
+        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &lines, port));
     }
 
     pub fn ease_off(&mut self) {
@@ -304,7 +304,7 @@
         }
         self.deadlines.set(self.now + membership.ease_every, Due::Ease);
         if let Some(call) = self.hosts.next_eased() {
-            self.move_client(call, Ending::Recalled);
+            self.move_client(call, AttemptOutcome::Canceled);
         }
     }
 
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use glendeck::domain::{
-    AttemptNumber, Call, CallId, Cell, ClassId, Condition, Ending, Extent, GroupId, HostId, HostLegacy, Kind,
-    Legacy, Listed, Size, Span, SubjectId, TenantId, Time, Weight, Zone,
+    AttemptNumber, AttemptOutcome, Call, CallId, Cell, ClassId, Condition, Endpoint, GroupId, HostId,
+    HostSnapshot, Kind, ListUpdate, NodeSnapshot, Size, Span, SubjectId, TenantId, Time, Weight, Zone,
 };
 use rustix::io::Errno;
 use rustix::net::{
@@ -32,7 +32,7 @@
 use crate::service::{Attempt, AttemptEnd, ConnId, Due, Held, Phase, Role, Service, Stage};
 
 /// What the next process says first, and what stands before the message; another version says another number.
-const HEIR: &str = "HEIR 1";
+const SUCCESSOR_HELLO: &str = "HEIR 1";
 const STANDING: &str = "STANDING 1";
 const SERVING: &str = "SERVING";
 /// It has been replaced in its turn: its end leaves the clients to others.
@@ -62,14 +62,14 @@
 pub struct Handover {
     /// Where the next process asks.
     door: Option<UnixListener>,
-    heir: Option<ConnId>,
+    successor: Option<ConnId>,
     /// The next process has been told what is known; from then on it hears of changes.
-    heir_told: bool,
+    successor_notified: bool,
     /// The next process has said that it serves.
-    heir_serves: bool,
+    successor_serves: bool,
     /// And that another serves in its place.
     succeeded: bool,
-    elder: Option<ConnId>,
+    predecessor: Option<ConnId>,
     /// This process has told the one before that it serves.
     took_over: bool,
     /// The list's service had its time to answer before this process takes over.
@@ -87,24 +87,24 @@
 
 impl Handover {
     pub fn is_replaced(&self) -> bool {
-        self.heir_serves
+        self.successor_serves
     }
 
     /// The process before this one still runs.
     pub fn follows(&self) -> bool {
-        self.elder.is_some()
+        self.predecessor.is_some()
     }
 
     /// The process before this one still takes the clients.
     pub fn waits(&self) -> bool {
-        self.elder.is_some() && !self.took_over
+        self.predecessor.is_some() && !self.took_over
     }
 }
 
 /// All that a process tells the next, but for the socket.
 pub struct Standing {
     pub list: Told,
-    pub node: Legacy,
+    pub node: NodeSnapshot,
     pub drained: bool,
     /// The zones' and traffic classes' names by their numbers there. Danger: a process whose settings were changed
     /// while it served has them in another order than its file.
@@ -136,7 +136,7 @@
         let asked = (|| {
             line.set_read_timeout(Some(PATIENCE))?;
             line.set_write_timeout(Some(PATIENCE))?;
-            line.write_all(format!("{HEIR}\n").as_bytes())?;
+            line.write_all(format!("{SUCCESSOR_HELLO}\n").as_bytes())?;
             receive(&mut line)
         })();
         let (listener, message) = match asked {
@@ -252,7 +252,7 @@
         let host = HostId(whole(of, "host")?);
         let zone = u16::try_from(whole(of, "zone")?).ok()?;
         addresses.push((host, of.get("address")?.as_str()?.parse().ok()?));
-        lines.push(Listed {
+        lines.push(Endpoint {
             host,
             // Zones are numbered by the settings; one that these do not name is no zone of ours.
             zone: Zone(match &theirs {
@@ -273,7 +273,7 @@
             },
         });
     }
-    let mut node = Legacy {
+    let mut node = NodeSnapshot {
         mean_load: number(&json, "mean_load")?,
         arrival: number(&json, "arrival")?,
         held: number(&json, "held")?,
@@ -281,7 +281,7 @@
         size: number(&json, "size")?,
         usual_size: number(&json, "usual_size")?,
         setup: number(&json, "setup")?,
-        ..Legacy::default()
+        ..NodeSnapshot::default()
     };
     for mean in json.get("of_type")?.as_array()? {
         node.of_type.push(mean.as_f64()?);
@@ -295,7 +295,7 @@
         node.loads.push((SubjectId(subject.as_u64()?), load.as_f64()?));
     }
     for of in json.get("hosts")?.as_array()? {
-        node.hosts.push(HostLegacy {
+        node.hosts.push(HostSnapshot {
             host: HostId(whole(of, "host")?),
             open: number(of, "open")?,
             smoothed: number(of, "smoothed")?,
@@ -311,7 +311,7 @@
             nominal: of.get("nominal").and_then(Value::as_f64).filter(|size| size.is_finite()).map(Size),
         });
     }
-    let list = Told { index: whole(&json, "index")?, extent: Extent::Whole, lines, addresses };
+    let list = Told { index: whole(&json, "index")?, update: ListUpdate::Complete, lines, addresses };
     let drained = json.get("drained")?.as_bool()?;
     Some(Standing {
         list,
@@ -327,7 +327,7 @@
 
     /// Danger: a file of a process that was killed is in the way, and one that serves must not be cut off
     /// before the new socket listens: it is bound beside and moved over.
-    pub fn await_heir(&mut self) {
+    pub fn listen_for_successor(&mut self) {
         let Some(folder) = self.startup.folder.as_deref() else { return };
         let path = path(folder, self.startup.listen);
         let beside = path.with_extension("new");
@@ -335,7 +335,7 @@
         let bound = UnixListener::bind(&beside).and_then(|door| {
             door.set_nonblocking(true)?;
             std::fs::rename(&beside, &path)?;
-            self.watch_heirs(&door)?;
+            self.watch_successor_socket(&door)?;
             Ok(door)
         });
         match bound {
@@ -345,18 +345,18 @@
         }
     }
 
-    pub fn accept_heir(&mut self) {
+    pub fn accept_successor(&mut self) {
         let Some(Ok((line, _))) = self.handover.door.as_ref().map(UnixListener::accept) else { return };
         // One at a time: another is turned away by the close.
-        if self.handover.heir.is_none() && line.set_nonblocking(true).is_ok() {
-            self.handover.heir = self.add_conn(Conn::new(line.into(), false), Role::Heir);
+        if self.handover.successor.is_none() && line.set_nonblocking(true).is_ok() {
+            self.handover.successor = self.add_conn(Conn::new(line.into(), false), Role::Successor);
         }
     }
 
-    pub fn heir_came(&mut self, id: ConnId, got: Got) {
+    pub fn successor_readable(&mut self, id: ConnId, got: Got) {
         let Got::Bytes(n) = got else {
             return if matches!(got, Got::End) {
-                self.heir_gone(id)
+                self.successor_gone(id)
             };
         };
         let Some(seat) = self.conns.get_mut(id.0) else { return };
@@ -364,49 +364,51 @@
         while let Some(seat) = self.conns.get_mut(id.0) {
             let Some(length) = first_line(&seat.conn.inbox) else {
                 return if seat.conn.inbox.len() > LONGEST {
-                    self.heir_gone(id)
+                    self.successor_gone(id)
                 };
             };
             let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
             match said.trim_ascii_end() {
-                said if said == HEIR.as_bytes() => self.hand_over(id),
+                said if said == SUCCESSOR_HELLO.as_bytes() => self.hand_over(id),
                 said if said == SERVING.as_bytes() => self.replaced(),
                 said if said == SUCCEEDED.as_bytes() => self.handover.succeeded = true,
                 _ => {
                     warn!("the next process is of another version");
-                    return self.heir_gone(id);
+                    return self.successor_gone(id);
                 }
             }
         }
     }
 
     fn hand_over(&mut self, id: ConnId) {
-        let (Some(node), Some(index)) = (self.legacy(), self.list.index()) else { return self.heir_gone(id) };
+        let (Some(node), Some(index)) = (self.snapshot(), self.list.index()) else {
+            return self.successor_gone(id);
+        };
         let drained = matches!(self.phase, Phase::Draining { .. });
         let (zones, types) = (self.startup.zones.clone(), self.startup.names.traffic.clone());
         let message =
             encode(&Standing { list: self.hosts.told(index), node, drained, zones, types }).to_string();
         let head = format!("{STANDING} {}\n", message.len());
         let uses = self.descriptors();
-        let Some(listener) = &self.listener else { return self.heir_gone(id) };
+        let Some(listener) = &self.listener else { return self.successor_gone(id) };
         let rest = match self.send_sockets(id, &head, &[listener.as_fd()]) {
             Ok(rest) => rest,
             Err(fault) => {
                 warn!(%fault, "cannot hand over");
-                return self.heir_gone(id);
+                return self.successor_gone(id);
             }
         };
         info!(calls = self.calls.len(), "handing over to the next process");
-        self.handover.heir_told = true;
+        self.handover.successor_notified = true;
         self.say_on(id, &format!("{rest}{message}USES {uses}\n"));
     }
 
     /// The next process serves: from here on it takes the clients.
     fn replaced(&mut self) {
         info!(calls = self.calls.len(), "replaced: the next process takes the clients");
-        self.handover.heir_serves = true;
-        if let Some(elder) = self.handover.elder {
-            self.say_on(elder, &format!("{SUCCEEDED}\n"));
+        self.handover.successor_serves = true;
+        if let Some(predecessor) = self.handover.predecessor {
+            self.say_on(predecessor, &format!("{SUCCEEDED}\n"));
         }
         self.handover.door = None;
         self.listen_for(false);
@@ -416,17 +418,17 @@
     }
 
     /// Danger: the next process may end before it serves, or after; then nobody would take the clients.
-    pub fn heir_gone(&mut self, id: ConnId) {
+    pub fn successor_gone(&mut self, id: ConnId) {
         self.drop_conn(id);
-        if self.handover.heir != Some(id) {
+        if self.handover.successor != Some(id) {
             return;
         }
-        (self.handover.heir, self.handover.heir_told) = (None, false);
+        (self.handover.successor, self.handover.successor_notified) = (None, false);
         // Danger: two upgrades in a row, and the process before both took clients again beside the last one.
         if self.handover.succeeded {
             return;
         }
-        if !std::mem::take(&mut self.handover.heir_serves) {
+        if !std::mem::take(&mut self.handover.successor_serves) {
             return info!("the next process has gone");
         }
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
@@ -437,7 +439,7 @@
             self.phase = Phase::Serving;
         }
         self.listen_for(true);
-        self.await_heir();
+        self.listen_for_successor();
     }
 
     /// Told to end: what is open goes over, and so do clients that have not opened anything yet.
@@ -456,7 +458,7 @@
 
     /// As much as the line takes; the rest when it has room again.
     pub fn hand_on(&mut self) {
-        let Some(id) = self.handover.heir.filter(|_| self.handover.heir_serves) else { return };
+        let Some(id) = self.handover.successor.filter(|_| self.handover.successor_serves) else { return };
         while self.conns.get(id.0).is_some_and(|seat| seat.conn.unsent() == 0) {
             let sent = match (self.handover.calls.front(), self.handover.idle.front()) {
                 (Some(call), _) => self.hand_call(id, *call),
@@ -505,9 +507,9 @@
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended.push_back(AttemptEnd { call, attempt: no, ending: Ending::Recalled, last: true });
+        self.ended.push_back(AttemptEnd { call, attempt: no, outcome: AttemptOutcome::Canceled, last: true });
         self.say_on(id, &rest);
-        self.tell_heir(host);
+        self.notify_successor(host);
         self.settle();
         Ok(())
     }
@@ -545,16 +547,16 @@
     }
 
     /// What is open at a host has changed.
-    pub fn tell_heir(&mut self, host: HostId) {
-        let Some(id) = self.handover.heir.filter(|_| self.handover.heir_told) else { return };
+    pub fn notify_successor(&mut self, host: HostId) {
+        let Some(id) = self.handover.successor.filter(|_| self.handover.successor_notified) else { return };
         let said = format!("AT {:x} {}\nUSES {}\n", host.0, self.hosts.open_at(host), self.descriptors());
         self.say_on(id, &said);
     }
 
     // Towards the process before.
 
-    pub fn follow_elder(&mut self, line: UnixStream) {
-        self.handover.elder = self.add_conn(Conn::new(line.into(), false), Role::Elder);
+    pub fn follow_predecessor(&mut self, line: UnixStream) {
+        self.handover.predecessor = self.add_conn(Conn::new(line.into(), false), Role::Predecessor);
         info!("following the process before");
         self.deadlines.set(self.now + LIST_PATIENCE, Due::TakeOver);
     }
@@ -564,16 +566,16 @@
         if self.handover.door.is_some() {
             return;
         }
-        self.await_heir();
+        self.listen_for_successor();
         self.handover.took_over = true;
         self.listen_for(true);
-        if let Some(id) = self.handover.elder {
+        if let Some(id) = self.handover.predecessor {
             self.say_on(id, &format!("{SERVING}\n"));
         }
     }
 
     /// Danger: plain reading would lose the sockets that come with the lines.
-    pub fn elder_readable(&mut self, id: ConnId) {
+    pub fn predecessor_readable(&mut self, id: ConnId) {
         for _ in 0..READS {
             let Some(seat) = self.conns.get_mut(id.0) else { return };
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
@@ -583,7 +585,7 @@
                 Ok(got) if got.bytes > 0 => got.bytes,
                 Err(Errno::AGAIN) => return,
                 Err(Errno::INTR) => continue,
-                _ => return self.elder_gone(id),
+                _ => return self.predecessor_gone(id),
             };
             for message in control.drain() {
                 if let RecvAncillaryMessage::ScmRights(fds) = message {
@@ -591,15 +593,15 @@
                 }
             }
             seat.conn.inbox.extend_from_slice(&self.scratch[..got]);
-            self.elder_lines(id);
+            self.predecessor_lines(id);
         }
     }
 
-    fn elder_lines(&mut self, id: ConnId) {
+    fn predecessor_lines(&mut self, id: ConnId) {
         while let Some(seat) = self.conns.get_mut(id.0) {
             let Some(length) = first_line(&seat.conn.inbox) else {
                 return if seat.conn.inbox.len() > LONGEST_MESSAGE {
-                    self.elder_gone(id)
+                    self.predecessor_gone(id)
                 };
             };
             let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
@@ -607,7 +609,9 @@
             match said.split_whitespace().collect::<Vec<_>>()[..] {
                 ["AT", host, open] => {
                     if let (Ok(host), Ok(open)) = (u64::from_str_radix(host, 16), open.parse::<u32>()) {
-                        self.tell(|node, _| node.elder_at(Some(HostId(host)), f64::from(open)));
+                        self.tell(|node, _| {
+                            node.set_predecessor_connections(Some(HostId(host)), f64::from(open))
+                        });
                     }
                 }
                 ["USES", uses] => self.handover.other_uses = uses.parse().unwrap_or(0),
@@ -683,7 +687,7 @@
         }
         self.hosts.opened(at, number);
         let (now, call) = (self.now, Call { id: number, ..call });
-        self.tell(|node, _| node.connection_found(now, call, at));
+        self.tell(|node, _| node.existing_connection(now, call, at));
         if asked.is_some() {
             self.deadlines.set(now, Due::Silence(number));
         }
@@ -696,11 +700,11 @@
     }
 
     /// The process before has ended, or will not be heard: what it held is gone, and the socket is ours.
-    pub fn elder_gone(&mut self, id: ConnId) {
+    pub fn predecessor_gone(&mut self, id: ConnId) {
         self.drop_conn(id);
         info!("the process before has gone");
-        (self.handover.elder, self.handover.other_uses) = (None, 0);
-        self.tell(|node, _| node.elder_at(None, 0.0));
+        (self.handover.predecessor, self.handover.other_uses) = (None, 0);
+        self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
         self.listen_for(self.accepts());
         self.ready_now();
     }
@@ -712,7 +716,7 @@
 
     fn standing() -> Standing {
         let host = HostId(7);
-        let listed = Listed {
+        let listed = Endpoint {
             host,
             zone: Zone(1),
             cell: Cell(2),
@@ -721,7 +725,7 @@
             kind: Some(Kind(7)),
             up_since: Some(Time(9)),
         };
-        let of = HostLegacy {
+        let of = HostSnapshot {
             host,
             open: 3.0,
             smoothed: 0.5,
@@ -733,15 +737,15 @@
             answers: 0.001,
             nominal: Some(Size(2.5)),
         };
-        let node = Legacy {
-            hosts: vec![of, HostLegacy { limit: Some(4.0), ..of }],
+        let node = NodeSnapshot {
+            hosts: vec![of, HostSnapshot { limit: Some(4.0), ..of }],
             loads: vec![(SubjectId(u64::MAX), 0.25)],
             of_type: vec![0.1, 0.2],
             arrival: 2.0,
-            ..Legacy::default()
+            ..NodeSnapshot::default()
         };
         let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
-        let list = Told { index: 41, extent: Extent::Whole, lines: vec![listed], addresses };
+        let list = Told { index: 41, update: ListUpdate::Complete, lines: vec![listed], addresses };
         let (zones, types) = (vec!["x".into(), "y".into()], vec!["chat".into(), "pay".into()]);
         Standing { list, node, drained: true, zones, types }
     }
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use glendeck::domain::{AttemptNumber, CallId, Condition, Ending, Extent, HostId, Listed, News, Span, Time};
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, CallId, Condition, Endpoint, HostId, ListUpdate, News, Span, Time,
+};
 use rustc_hash::FxHashMap;
 use rustix::io::Errno;
 use tracing::{debug, warn};
@@ -32,7 +34,7 @@
     address: SocketAddr,
     condition: Condition,
     /// What the list said of it last.
-    listed: Option<Listed>,
+    listed: Option<Endpoint>,
     /// Calls whose connection is open there.
     open: BTreeSet<CallId>,
 }
@@ -59,7 +61,7 @@
             known.condition = line.condition;
             known.listed = Some(*line);
         }
-        if told.extent == Extent::Whole {
+        if told.update == ListUpdate::Complete {
             let listed: BTreeSet<HostId> = told.lines.iter().map(|line| line.host).collect();
             for (_, known) in self.0.iter_mut().filter(|(host, _)| !listed.contains(host)) {
                 known.condition = Condition::Gone;
@@ -69,13 +71,13 @@
     }
 
     /// What the decisions are told of a line: a host that the fleet wants out drains, whatever the list says.
-    pub fn overlaid(&self, line: &Listed) -> Listed {
+    pub fn overlaid(&self, line: &Endpoint) -> Endpoint {
         let out = line.condition == Condition::Ready && self.1.contains(&line.host);
-        Listed { condition: if out { Condition::Draining } else { line.condition }, ..*line }
+        Endpoint { condition: if out { Condition::Draining } else { line.condition }, ..*line }
     }
 
     /// Takes in whom the fleet wants out, and hands back the lines that mean something else now.
-    pub fn keep_from(&mut self, hosts: BTreeSet<HostId>) -> Vec<Listed> {
+    pub fn keep_from(&mut self, hosts: BTreeSet<HostId>) -> Vec<Endpoint> {
         let before = std::mem::replace(&mut self.1, hosts);
         let changed = before.symmetric_difference(&self.1);
         changed.filter_map(|host| self.0.get(host)?.listed).map(|line| self.overlaid(&line)).collect()
@@ -103,11 +105,11 @@
     /// The list as it is known now.
     pub fn told(&self, index: u64) -> Told {
         let listed = self.0.values().filter(|known| known.condition != Condition::Gone);
-        let lines: Vec<(Listed, SocketAddr)> =
+        let lines: Vec<(Endpoint, SocketAddr)> =
             listed.filter_map(|known| Some((known.listed?, known.address))).collect();
         let addresses = lines.iter().map(|(line, address)| (line.host, *address)).collect();
         let lines = lines.into_iter().map(|(line, _)| line).collect();
-        Told { index, extent: Extent::Whole, lines, addresses }
+        Told { index, update: ListUpdate::Complete, lines, addresses }
     }
 
     pub fn open_at(&self, host: HostId) -> usize {
@@ -147,7 +149,7 @@
             return self.ended.push_back(AttemptEnd {
                 call: id,
                 attempt: no,
-                ending: Ending::NeverSent,
+                outcome: AttemptOutcome::NeverSent,
                 last: true,
             });
         }
@@ -158,8 +160,8 @@
             Err(fault) => {
                 // Danger: a want of descriptors here would make every host look bad.
                 let ours = matches!(fault, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM);
-                let ending = if ours { Ending::NeverSent } else { Ending::Unreachable };
-                return self.ended.push_back(AttemptEnd { call: id, attempt: no, ending, last: false });
+                let outcome = if ours { AttemptOutcome::NeverSent } else { AttemptOutcome::Unreachable };
+                return self.ended.push_back(AttemptEnd { call: id, attempt: no, outcome, last: false });
             }
         };
         self.attempts_out += 1;
@@ -192,7 +194,7 @@
             // that has begun to drain since the attempt was decided on. One that was open there before belongs there.
             let closed = held.stage == Stage::Waiting && !self.hosts.is_ready(attempt.host);
             if closed || !self.client_waits(call) {
-                self.end_attempt(call, Ending::NeverSent, None);
+                self.end_attempt(call, AttemptOutcome::NeverSent, None);
                 return self.settle();
             }
             self.send_line(id, call);
@@ -222,7 +224,7 @@
     pub fn attempt_deadline(&mut self, id: CallId, no: AttemptNumber, connecting_only: bool) {
         let Some(held) = self.calls.get(id.0) else { return };
         let Some(attempt) = held.attempt.as_ref().filter(|attempt| attempt.no == no) else { return };
-        if matches!(held.stage, Stage::Open | Stage::Ending) {
+        if matches!(held.stage, Stage::Open | Stage::HalfClosed) {
             return;
         }
         // A number may be given twice, to an attempt that never went and to one that did.
@@ -232,28 +234,29 @@
         }
         let connecting = self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.connecting);
         if connecting || !connecting_only {
-            let ending = if attempt.line_gone { Ending::TimedOut } else { Ending::Unreachable };
-            self.end_attempt(id, ending, None);
+            let outcome =
+                if attempt.line_gone { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
+            self.end_attempt(id, outcome, None);
         }
     }
 
     /// The attempt of a call that is not open has ended; `answer` is what the client gets of it, if it is final.
-    pub fn end_attempt(&mut self, id: CallId, ending: Ending, answer: Option<&[u8]>) {
+    pub fn end_attempt(&mut self, id: CallId, outcome: AttemptOutcome, answer: Option<&[u8]>) {
         let Some(held) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = held.attempt.take() else { return };
-        if let Some(kept) = held.kept.as_mut().filter(|_| attempt.line_out && !ending.never_ran()) {
+        if let Some(kept) = held.kept.as_mut().filter(|_| attempt.line_out && !outcome.never_ran()) {
             kept.ran.get_or_insert((attempt.host, attempt.sent));
         }
-        debug!(call = id.0, attempt = attempt.no.0, host = attempt.host.0, ?ending, "leg ended");
+        debug!(call = id.0, attempt = attempt.no.0, host = attempt.host.0, ?outcome, "leg ended");
         self.attempts_out -= 1;
         if held.stage == Stage::Returning {
             // Nothing was decided of this one: it belongs where it was.
-            if ending.never_ran() && held.call.guard > self.now + AGAIN {
+            if outcome.never_ran() && held.call.guard > self.now + AGAIN {
                 self.deadlines.set(self.now + AGAIN, Due::Again(id));
             } else {
                 self.answer_call(
                     id,
-                    if ending.never_ran() { line::Answer::Busy(None) } else { line::Answer::Error },
+                    if outcome.never_ran() { line::Answer::Busy(None) } else { line::Answer::Error },
                 );
             }
             return self.drop_conn(attempt.conn);
@@ -265,7 +268,7 @@
             self.last_words(client, &answer);
         }
         self.drop_conn(attempt.conn);
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, ending, last });
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last });
     }
 
     pub fn return_to_host(&mut self, id: CallId) {
@@ -296,8 +299,8 @@
     pub fn cancel_attempt(&mut self, id: CallId, no: AttemptNumber) {
         let Some(held) = self.calls.get(id.0) else { return };
         let out = held.attempt.as_ref().is_some_and(|attempt| attempt.no == no);
-        if out && !matches!(held.stage, Stage::Open | Stage::Ending) {
-            self.end_attempt(id, Ending::Recalled, None);
+        if out && !matches!(held.stage, Stage::Open | Stage::HalfClosed) {
+            self.end_attempt(id, AttemptOutcome::Canceled, None);
         }
     }
 
@@ -306,10 +309,11 @@
         let Some(held) = self.calls.get(call.0) else { return };
         let Some(attempt) = &held.attempt else { return };
         match held.stage {
-            Stage::Open | Stage::Ending => self.host_ended(call, true),
+            Stage::Open | Stage::HalfClosed => self.host_ended(call, true),
             _ => {
-                let ending = if attempt.line_gone { Ending::Broken } else { Ending::Unreachable };
-                self.end_attempt(call, ending, None);
+                let outcome =
+                    if attempt.line_gone { AttemptOutcome::Broken } else { AttemptOutcome::Unreachable };
+                self.end_attempt(call, outcome, None);
             }
         }
         self.settle();
@@ -324,7 +328,7 @@
                 self.host_lines(id, call);
             }
             Got::End => match self.calls.get(call.0).map(|held| held.stage) {
-                Some(Stage::Open | Stage::Ending) => {
+                Some(Stage::Open | Stage::HalfClosed) => {
                     self.host_ended(call, false);
                     self.settle();
                 }
@@ -337,14 +341,14 @@
     fn host_lines(&mut self, id: ConnId, call: CallId) {
         while let Some(held) = self.calls.get(call.0) {
             let Some(seat) = self.conns.get(id.0) else { return };
-            if matches!(held.stage, Stage::Open | Stage::Ending) {
+            if matches!(held.stage, Stage::Open | Stage::HalfClosed) {
                 self.relay_to_client(id, call);
                 return;
             }
             let Some(length) = line::first_line(&seat.conn.inbox) else {
                 if seat.conn.inbox.len() >= line::LONGEST {
                     warn!("a host sent a line that is too long");
-                    self.end_attempt(call, Ending::Error, None);
+                    self.end_attempt(call, AttemptOutcome::Error, None);
                     self.settle();
                 }
                 return;
@@ -354,13 +358,13 @@
             match line::word(&said) {
                 Word::Up => self.attempt_open(id, call, &said),
                 Word::Load(load) => self.tell_load(call, load),
-                Word::Bye => self.end_attempt(call, Ending::Completed, Some(&said)),
-                Word::Move => self.end_attempt(call, Ending::Recalled, None),
-                Word::Busy => self.end_attempt(call, Ending::Full, None),
-                Word::Error => self.end_attempt(call, Ending::Error, None),
+                Word::Bye => self.end_attempt(call, AttemptOutcome::Completed, Some(&said)),
+                Word::Move => self.end_attempt(call, AttemptOutcome::Canceled, None),
+                Word::Busy => self.end_attempt(call, AttemptOutcome::Rejected, None),
+                Word::Error => self.end_attempt(call, AttemptOutcome::Error, None),
                 Word::Pong | Word::Other => {
                     warn!(said = %String::from_utf8_lossy(&said).trim_end(), "a host said something unknown");
-                    self.end_attempt(call, Ending::Error, None);
+                    self.end_attempt(call, AttemptOutcome::Error, None);
                 }
             }
             self.settle();
@@ -378,7 +382,7 @@
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let (Some(client), Some(attempt)) = (held.client, &held.attempt) else {
             // The client has gone meanwhile, and the attempt could not be recalled.
-            return self.end_attempt(call, Ending::Recalled, None);
+            return self.end_attempt(call, AttemptOutcome::Canceled, None);
         };
         let returning = held.stage == Stage::Returning;
         held.stage = Stage::Open;
@@ -397,10 +401,10 @@
         }
         self.pump(client);
         self.hosts.opened(host, call);
-        self.tell_heir(host);
+        self.notify_successor(host);
         let now = self.now;
         if returning {
-            self.tell(|node, _| node.connection_found(now, of, host));
+            self.tell(|node, _| node.existing_connection(now, of, host));
         } else {
             self.tell(|node, port| node.attempt_established(now, call, no, took, port));
         }
@@ -458,13 +462,13 @@
     /// The host's side of an open connection has ended: so does the client's, in the same way.
     pub fn host_ended(&mut self, id: CallId, broke: bool) {
         let Some(held) = self.calls.get_mut(id.0) else { return };
-        let ending = match (held.last, held.stage) {
-            (Some(Word::Bye), _) => Ending::Completed,
-            (Some(Word::Move), _) | (_, Stage::Ending) => Ending::Recalled,
-            _ => Ending::Broken,
+        let outcome = match (held.last, held.stage) {
+            (Some(Word::Bye), _) => AttemptOutcome::Completed,
+            (Some(Word::Move), _) | (_, Stage::HalfClosed) => AttemptOutcome::Canceled,
+            _ => AttemptOutcome::Broken,
         };
         let (client, spoke) = (held.client.take(), held.last.is_some());
-        self.close_attempt(id, ending, false);
+        self.close_attempt(id, outcome, false);
         let Some(client) = client else { return };
         if broke && !spoke {
             self.reset_conn(client);
@@ -474,18 +478,18 @@
     }
 
     /// Ends the host's side of an open connection and books it.
-    pub fn close_attempt(&mut self, id: CallId, ending: Ending, reset: bool) {
+    pub fn close_attempt(&mut self, id: CallId, outcome: AttemptOutcome, reset: bool) {
         let Some(attempt) = self.calls.get_mut(id.0).and_then(|held| held.attempt.take()) else { return };
-        debug!(call = id.0, host = attempt.host.0, ?ending, "ended");
+        debug!(call = id.0, host = attempt.host.0, ?outcome, "ended");
         self.attempts_out -= 1;
         self.hosts.closed(attempt.host, id);
-        self.tell_heir(attempt.host);
+        self.notify_successor(attempt.host);
         match (reset, self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.read_ended)) {
             (true, _) => self.reset_conn(attempt.conn),
             (_, true) => self.drop_conn(attempt.conn),
             _ => self.last_words(attempt.conn, b""),
         }
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, ending, last: true });
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last: true });
     }
 
     /// Danger: a machine that vanished says nothing, and its connections stay open for ever.
@@ -499,7 +503,7 @@
         }
         if held.stage == Stage::Open {
             debug!(call = id.0, "silent");
-            self.move_client(id, Ending::Broken);
+            self.move_client(id, AttemptOutcome::Broken);
         }
         self.settle();
     }
@@ -510,13 +514,13 @@
     }
 
     /// Sends the client away politely and ends the host's side.
-    pub fn move_client(&mut self, id: CallId, ending: Ending) {
+    pub fn move_client(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(held) = self.calls.get_mut(id.0).filter(|held| held.stage == Stage::Open) else { return };
         let Some(client) = held.client.take() else { return };
         let mut words = Vec::new();
         line::encode_answer(&line::Answer::Move, &mut words);
         self.last_words(client, &words);
-        self.close_attempt(id, ending, false);
+        self.close_attempt(id, outcome, false);
     }
 
     /// A host is about to leave: its clients are told to come again, one by one, before it goes.
@@ -546,29 +550,33 @@
         }
     }
 
-    pub fn probe_over(&mut self, id: ConnId, host: HostId, ending: Ending) {
+    pub fn probe_over(&mut self, id: ConnId, host: HostId, outcome: AttemptOutcome) {
         let asked = self.conns.get(id.0).map_or(self.now, |seat| seat.quiet_since);
         self.drop_conn(id);
         let (now, took) = (self.now, self.now.since(asked));
-        debug!(host = host.0, ?ending, took_us = took.0 / 1000, "probed");
-        self.tell(|node, port| node.probe_ended(now, host, ending, took, port));
+        debug!(host = host.0, ?outcome, took_us = took.0 / 1000, "probed");
+        self.tell(|node, port| node.probe_finished(now, host, outcome, took, port));
     }
 
     pub fn probe_came(&mut self, id: ConnId, host: HostId, got: Got) {
         match got {
             Got::NothingYet => {}
-            Got::End => self.probe_over(id, host, Ending::Broken),
+            Got::End => self.probe_over(id, host, AttemptOutcome::Broken),
             Got::Bytes(n) => {
                 let Some(seat) = self.conns.get_mut(id.0) else { return };
                 seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
                 let Some(length) = line::first_line(&seat.conn.inbox) else {
                     if seat.conn.inbox.len() >= line::LONGEST {
-                        self.probe_over(id, host, Ending::Error);
+                        self.probe_over(id, host, AttemptOutcome::Error);
                     }
                     return;
                 };
                 let well = line::word(&seat.conn.inbox[..length]) == Word::Pong;
-                self.probe_over(id, host, if well { Ending::Completed } else { Ending::Error });
+                self.probe_over(
+                    id,
+                    host,
+                    if well { AttemptOutcome::Completed } else { AttemptOutcome::Error },
+                );
             }
         }
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use glendeck::domain::{Cell, Condition, Extent, HostId, Kind, Listed, Span, Time, Weight, Zone};
+use glendeck::domain::{Cell, Condition, Endpoint, HostId, Kind, ListUpdate, Span, Time, Weight, Zone};
 use serde_json::Value;
 use tracing::{debug, warn};
 
@@ -23,8 +23,8 @@
 #[derive(Debug)]
 pub struct Told {
     pub index: u64,
-    pub extent: Extent,
-    pub lines: Vec<Listed>,
+    pub update: ListUpdate,
+    pub lines: Vec<Endpoint>,
     pub addresses: Vec<(HostId, SocketAddr)>,
 }
 
@@ -84,8 +84,8 @@
     let index = json.get("index").and_then(Value::as_u64).ok_or(ListFault::Missing("index"))?;
     let whole = json.get("snapshot").and_then(Value::as_bool).ok_or(ListFault::Missing("snapshot"))?;
     let entries = json.get("endpoints").and_then(Value::as_array).ok_or(ListFault::Missing("endpoints"))?;
-    let extent = if whole { Extent::Whole } else { Extent::Changes };
-    let mut told = Told { index, extent, lines: Vec::new(), addresses: Vec::new() };
+    let update = if whole { ListUpdate::Complete } else { ListUpdate::Delta };
+    let mut told = Told { index, update, lines: Vec::new(), addresses: Vec::new() };
     for entry in entries {
         // Danger: one entry that cannot be read must not keep the node from all others.
         match line(entry, zones) {
@@ -109,7 +109,7 @@
     }
 }
 
-fn line(entry: &Value, zones: &[String]) -> Result<(Listed, Option<SocketAddr>), ListFault> {
+fn line(entry: &Value, zones: &[String]) -> Result<(Endpoint, Option<SocketAddr>), ListFault> {
     let text = |key| entry.get(key).and_then(Value::as_str);
     let number = |key, absent| entry.get(key).map_or(Some(absent), Value::as_f64).filter(|n| *n >= 0.0);
     let condition = condition(entry).ok_or(ListFault::Bad("status"))?;
@@ -120,7 +120,7 @@
     // A zone that the settings do not name is no zone of ours.
     let zone = zones.iter().position(|zone| Some(zone.as_str()) == text("zone")).unwrap_or(zones.len());
     let since = number("since_ms", 0.0).ok_or(ListFault::Bad("since_ms"))?;
-    let listed = Listed {
+    let listed = Endpoint {
         host: host_id(text("name").ok_or(ListFault::Missing("name"))?),
         zone: Zone(zone as u16),
         cell: Cell(entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
@@ -147,7 +147,7 @@
     pub fn remember_list(&mut self, known: Told) {
         self.hosts.learn(&known);
         let now = self.now;
-        self.tell(|node, port| node.list_told(now, Extent::Remembered, &known.lines, port));
+        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.lines, port));
     }
 
     /// While a watch stands there is nothing to ask: what changes will be told, within [`TOLD_WITHIN`].
@@ -223,7 +223,7 @@
         self.list.stands = false;
         self.fleet_lost_list();
         let now = self.now;
-        self.tell(|node, port| node.list_failed(now, port));
+        self.tell(|node, port| node.watch_failed(now, port));
     }
 
     pub fn list_came(&mut self, id: ConnId, got: Got) {
@@ -262,7 +262,7 @@
         // Danger: a service that began anew counts from the start again; its whole list is the newest there is, and a
         // node that held on to its own version would never hear again. Changes to an older list are none.
         self.list.anew = false;
-        let whole = told.extent == Extent::Whole;
+        let whole = told.update == ListUpdate::Complete;
         let mine = self.list.index.filter(|mine| !whole && told.index < *mine);
         self.list.index = mine.or(Some(told.index));
         let wait = WATCH.times(LEAST_WATCH + (1.0 - LEAST_WATCH) * self.chance());
@@ -276,21 +276,26 @@
         if self.list.watch.is_none() {
             self.list.stands = false;
             let now = self.now;
-            self.tell(|node, port| node.list_failed(now, port));
+            self.tell(|node, port| node.watch_failed(now, port));
         }
     }
 
     fn take_news(&mut self, told: Told) {
-        debug!(index = told.index, whole = told.extent == Extent::Whole, lines = told.lines.len(), "list");
+        debug!(
+            index = told.index,
+            whole = told.update == ListUpdate::Complete,
+            lines = told.lines.len(),
+            "list"
+        );
         let left = self.hosts.learn(&told);
         self.list.heard = true;
         let now = self.now;
-        let lines: Vec<Listed> = told.lines.iter().map(|line| self.hosts.overlaid(line)).collect();
+        let lines: Vec<Endpoint> = told.lines.iter().map(|line| self.hosts.overlaid(line)).collect();
         // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and all
         // waiting calls every second.
         let known = std::mem::replace(&mut self.list.stands, true);
-        if !known || told.extent == Extent::Whole || !lines.is_empty() {
-            self.tell(|node, port| node.list_told(now, told.extent, &lines, port));
+        if !known || told.update == ListUpdate::Complete || !lines.is_empty() {
+            self.tell(|node, port| node.endpoints_changed(now, told.update, &lines, port));
         }
         for host in left {
             self.send_clients_away(host);
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -7,7 +7,9 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use glendeck::domain::{AttemptNumber, Call, CallId, Ending, HostId, Legacy, Span, Time, Token};
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, Call, CallId, HostId, NodeSnapshot, Span, Time, TimerToken,
+};
 use glendeck::port::Port;
 use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
@@ -79,8 +81,8 @@
     /// Someone at the operators' door.
     Admin,
     /// The process of this node after, or before this one.
-    Heir,
-    Elder,
+    Successor,
+    Predecessor,
     /// Another node of the fleet.
     Peer,
 }
@@ -104,7 +106,7 @@
     Returning,
     Open,
     /// The client has ended its side; the host may still have something to say.
-    Ending,
+    HalfClosed,
 }
 
 pub struct Attempt {
@@ -176,14 +178,14 @@
 pub struct AttemptEnd {
     pub call: CallId,
     pub attempt: AttemptNumber,
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// It answers the call, or the call has had its answer.
     pub last: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    Wake(Token),
+    Wake(TimerToken),
     Connect(CallId, AttemptNumber),
     Attempt(CallId, AttemptNumber),
     Again(CallId),
@@ -291,7 +293,7 @@
 const SIGNALS: u64 = u64::MAX - 1;
 const RELOADS: u64 = u64::MAX - 2;
 pub const DOOR: u64 = u64::MAX - 3;
-pub const HEIRS: u64 = u64::MAX - 4;
+pub const SUCCESSORS: u64 = u64::MAX - 4;
 pub const PEERS: u64 = u64::MAX - 5;
 pub const STORE: u64 = u64::MAX - 6;
 
@@ -396,13 +398,13 @@
             startup,
         };
         let (settings, seed, now) = (service.startup.settings.clone(), service.startup.seed, service.now);
-        let legacy = inherited.as_mut().and_then(|(_, told)| told.take());
-        let older = legacy
+        let snapshot = inherited.as_mut().and_then(|(_, told)| told.take());
+        let older = snapshot
             .as_ref()
-            .is_some_and(|legacy| known.as_ref().is_none_or(|known| known.index <= legacy.list.index));
-        let (known, legacy) = match legacy {
-            Some(legacy) if older => (Some(legacy.list), Some((legacy.node, legacy.drained))),
-            legacy => (known, legacy.map(|legacy| (legacy.node, legacy.drained))),
+            .is_some_and(|snapshot| known.as_ref().is_none_or(|known| known.index <= snapshot.list.index));
+        let (known, snapshot) = match snapshot {
+            Some(snapshot) if older => (Some(snapshot.list), Some((snapshot.node, snapshot.drained))),
+            snapshot => (known, snapshot.map(|snapshot| (snapshot.node, snapshot.drained))),
         };
         if let Some(known) = known {
             // What is known stands before the first question, which then asks for what came after it.
@@ -412,12 +414,12 @@
         } else {
             service.node = Some(Box::new(Node::start(settings, seed, now, &mut service)));
         }
-        if let Some((legacy, drained)) = legacy {
+        if let Some((snapshot, drained)) = snapshot {
             service.handover.drained = drained;
-            service.tell(|node, _| node.inherit(&legacy));
+            service.tell(|node, _| node.restore(&snapshot));
         }
         if let Some((line, _)) = inherited {
-            service.follow_elder(line);
+            service.follow_predecessor(line);
         }
         service.settle();
         service.join_fleet(machine.disk)?;
@@ -465,7 +467,7 @@
                 return;
             }
             DOOR => return self.accept_callers(),
-            HEIRS => return self.accept_heir(),
+            SUCCESSORS => return self.accept_successor(),
             PEERS => return self.accept_peers(),
             STORE => return self.store_says(),
             SIGNALS => {
@@ -520,7 +522,7 @@
             Role::Host(call) => self.calls.get(call.0).and_then(|held| held.client),
             Role::Closing => return self.closing_came(id),
             Role::Admin => return self.caller_over(id),
-            Role::Heir => return self.hand_on(),
+            Role::Successor => return self.hand_on(),
             _ => None,
         };
         if let Some(other) = other
@@ -542,8 +544,8 @@
             return;
         }
         let role = seat.role;
-        if role == Role::Elder {
-            return self.elder_readable(id);
+        if role == Role::Predecessor {
+            return self.predecessor_readable(id);
         }
         // A connection that has not opened needs room for one line.
         let most = if role == Role::Client(None) { LONGEST } else { MUCH };
@@ -557,9 +559,9 @@
             Role::Probe(host) => self.probe_came(id, host, got),
             Role::List(_) => self.list_came(id, got),
             Role::Admin => self.caller_came(id, got),
-            Role::Heir => self.heir_came(id, got),
+            Role::Successor => self.successor_readable(id, got),
             Role::Peer => self.peer_came(id, got),
-            Role::Elder => {}
+            Role::Predecessor => {}
             Role::Closing => {
                 if let Got::Bytes(n) = got {
                     seat.conn.discarded += n;
@@ -577,12 +579,12 @@
         match seat.role {
             Role::Client(call) => self.client_left(id, call, true),
             Role::Host(call) => self.host_lost(call),
-            Role::Probe(host) => self.probe_over(id, host, Ending::Unreachable),
+            Role::Probe(host) => self.probe_over(id, host, AttemptOutcome::Unreachable),
             Role::List(_) => self.list_lost(id),
             Role::Closing => self.drop_conn(id),
             Role::Admin => self.drop_caller(id),
-            Role::Heir => self.heir_gone(id),
-            Role::Elder => self.elder_gone(id),
+            Role::Successor => self.successor_gone(id),
+            Role::Predecessor => self.predecessor_gone(id),
             Role::Peer => self.peer_lost(id),
         }
     }
@@ -590,24 +592,24 @@
     fn fell_due(&mut self, due: Due) {
         let now = self.now;
         match due {
-            Due::Wake(token) => self.tell(|node, port| node.woken(now, token, port)),
+            Due::Wake(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
             Due::Connect(call, attempt) => self.attempt_deadline(call, attempt, true),
             Due::Attempt(call, attempt) => self.attempt_deadline(call, attempt, false),
             Due::Again(call) => self.return_to_host(call),
             Due::Silence(call) => self.check_silence(call),
             Due::Linger(call) => self.linger_over(call),
-            Due::Move(call) => self.move_client(call, Ending::Recalled),
+            Due::Move(call) => self.move_client(call, AttemptOutcome::Canceled),
             Due::Drain(no) => self.drain_clients(no),
             Due::DrainMove(no, call) => {
                 if self.is_drain(no) {
-                    self.move_client(call, Ending::Recalled);
+                    self.move_client(call, AttemptOutcome::Canceled);
                 }
             }
             Due::DrainEnd(no) => self.drain_ends(no),
             Due::Caller(id) => self.drop_caller(id),
             Due::Probe(id) => {
                 if let Some(Role::Probe(host)) = self.role(id) {
-                    self.probe_over(id, host, Ending::TimedOut);
+                    self.probe_over(id, host, AttemptOutcome::TimedOut);
                 }
             }
             Due::ListLimit(id) => self.list_limit(id),
@@ -702,7 +704,7 @@
                     let (settings, now) = (self.startup.settings.clone(), self.now);
                     info!(weights = ?settings.weights, nodes = settings.nodes, "settings changed");
                     self.figures.name(&self.startup.names.traffic);
-                    self.tell(|node, port| node.renew(now, settings, port));
+                    self.tell(|node, port| node.update_settings(now, settings, port));
                 }
                 // Danger: a host of a zone that had no number keeps a wrong one once there are more.
                 if moved || renewed.zones {
@@ -821,7 +823,7 @@
     fn drain_ends(&mut self, no: u32) {
         if self.is_drain(no) {
             for call in self.open_calls() {
-                self.move_client(call, Ending::Recalled);
+                self.move_client(call, AttemptOutcome::Canceled);
             }
             info!(calls = self.calls.len(), "drained");
         }
@@ -835,7 +837,7 @@
         }
         let left: Vec<CallId> = self.calls.iter().map(|(number, _)| CallId(number)).collect();
         for call in left {
-            self.move_client(call, Ending::Recalled);
+            self.move_client(call, AttemptOutcome::Canceled);
             // Its deadline is over by now, or it never had an attempt.
             let unopened = |held: &Held| matches!(held.stage, Stage::Waiting | Stage::Returning);
             if self.calls.get(call.0).is_some_and(unopened) {
@@ -930,8 +932,8 @@
         }
     }
 
-    pub fn watch_heirs(&mut self, door: &std::os::unix::net::UnixListener) -> Result<(), Errno> {
-        self.reactor.add(door, HEIRS, Flags::IN)
+    pub fn watch_successor_socket(&mut self, door: &std::os::unix::net::UnixListener) -> Result<(), Errno> {
+        self.reactor.add(door, SUCCESSORS, Flags::IN)
     }
 
     pub fn add_conn(&mut self, conn: Conn, role: Role) -> Option<ConnId> {
@@ -1003,8 +1005,8 @@
         self.node.is_none()
     }
 
-    pub fn legacy(&self) -> Option<Legacy> {
-        self.node.as_ref().map(|node| node.legacy())
+    pub fn snapshot(&self) -> Option<NodeSnapshot> {
+        self.node.as_ref().map(|node| node.snapshot())
     }
 
     pub fn estate_of_node(&self, most: usize) -> glendeck::domain::Estate {
@@ -1020,16 +1022,16 @@
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
         loop {
-            if let Some(AttemptEnd { call, attempt, ending, last }) = self.ended.pop_front() {
-                node.attempt_ended(now, call, attempt, ending, last, self);
+            if let Some(AttemptEnd { call, attempt, outcome, last }) = self.ended.pop_front() {
+                node.attempt_ended(now, call, attempt, outcome, last, self);
                 if last {
                     self.forget_call(call);
                 }
             } else if let Some(host) = self.probes_failed.pop() {
-                node.probe_ended(now, host, Ending::Unreachable, Span::ZERO, self);
+                node.probe_finished(now, host, AttemptOutcome::Unreachable, Span::ZERO, self);
             } else if self.list_failures > 0 {
                 self.list_failures -= 1;
-                node.list_failed(now, self);
+                node.watch_failed(now, self);
             } else {
                 break;
             }
@@ -1048,16 +1050,16 @@
         self.answer_call(call, Answer::Busy(retry_after));
     }
 
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.answer_call(call, Answer::Error);
     }
 
-    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber) {
         self.cancel_attempt(call, attempt);
     }
 
-    fn move_away(&mut self, call: CallId) {
-        self.move_client(call, Ending::Recalled);
+    fn migrate(&mut self, call: CallId) {
+        self.move_client(call, AttemptOutcome::Canceled);
     }
 
     fn probe(&mut self, host: HostId) {
@@ -1066,13 +1068,13 @@
 
     /// The watch brings whatever changes, and a lost one is opened again within its bound: a second question beside it
     /// would tell nothing more, and be one for each node that doubts.
-    fn fetch_list(&mut self) {}
+    fn fetch_endpoints(&mut self) {}
 
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.begin_watch();
     }
 
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.deadlines.set(time, Due::Wake(token));
     }
 }
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::Write as _;
 
-use glendeck::domain::{CallId, Ending, HostId, Idempotency, Span, Time};
+use glendeck::domain::{AttemptOutcome, CallId, HostId, Idempotency, Span, Time};
 use glendeck_fleet::Moment;
 use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::message::Chair;
@@ -159,7 +159,7 @@
         match membership.fleet.chair() {
             Chair::Sits(_) => {
                 if let Some(left) = work.inherits.take() {
-                    work.takeover.inherit(now, left);
+                    work.takeover.restore(now, left);
                     info!(
                         records = work.takeover.keeper.held(),
                         "takes over what the process before kept for others"
@@ -329,7 +329,7 @@
         if let Some(client) = client {
             self.answer_conn(client, answer);
         }
-        self.end_attempt(call, Ending::NeverSent, None);
+        self.end_attempt(call, AttemptOutcome::NeverSent, None);
         self.settle();
     }
 
@@ -342,7 +342,9 @@
         self.attempts_out -= 1;
         self.drop_conn(attempt.conn);
         let now = self.now;
-        self.tell(|node, port| node.attempt_ended(now, call, attempt.no, Ending::NeverSent, true, port));
+        self.tell(|node, port| {
+            node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port)
+        });
         if let Some(held) = self.calls.get_mut(call.0) {
             held.attempts = 0;
         }
@@ -366,6 +368,6 @@
         held.call.before = before;
         debug!(call = call.0, before = ?before.map(|(host, _)| host.0), "comes again");
         let call = held.call;
-        self.tell(|node, port| node.call_taken(now, call, port));
+        self.tell(|node, port| node.call_arrived(now, call, port));
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 
 use glendeck::domain::{
-    Idempotency, RetryBudget, Scope, Settings, Span, TrafficClass, Warming, Weights, Zone,
+    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, Weights, Zone,
 };
 use rustc_hash::FxHashMap;
 use serde_json::Value;
@@ -166,7 +166,7 @@
         reports_message_times: pairs.flag_or("extra.tellsDelay", false)?,
         retry_after,
         poll_interval,
-        warming: Warming {
+        slow_start: SlowStart {
             from: pairs.number("safety.coldFrom")?,
             after: pairs.span("safety.warmAfterMs")?,
             multiple: pairs.number("safety.fallMultiple")?,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -163,16 +163,16 @@
         }
     }
 
-    fn ending(&self, at: usize) -> Result<Ending, Fault> {
+    fn outcome(&self, at: usize) -> Result<AttemptOutcome, Fault> {
         Ok(match self.u8(at) {
-            0 => Ending::Completed,
-            1 => Ending::Error,
-            2 => Ending::Full,
-            3 => Ending::TimedOut,
-            4 => Ending::Unreachable,
-            5 => Ending::Broken,
-            6 => Ending::Recalled,
-            7 => Ending::NeverSent,
+            0 => AttemptOutcome::Completed,
+            1 => AttemptOutcome::Error,
+            2 => AttemptOutcome::Rejected,
+            3 => AttemptOutcome::TimedOut,
+            4 => AttemptOutcome::Unreachable,
+            5 => AttemptOutcome::Broken,
+            6 => AttemptOutcome::Canceled,
+            7 => AttemptOutcome::NeverSent,
             _ => return Err(self.code(at, "outcome")),
         })
     }
@@ -219,7 +219,7 @@
         })
     }
 
-    fn list(&self, lines: &mut Vec<Listed>) -> Result<(), Fault> {
+    fn list(&self, lines: &mut Vec<Endpoint>) -> Result<(), Fault> {
         lines.clear();
         for line in self.tail(10, LIST_LINE, "the host list")?.chunks_exact(LIST_LINE) {
             let word = |at: usize| u16::from_be_bytes([line[at], line[at + 1]]);
@@ -239,7 +239,7 @@
             if !weight.is_finite() || weight < 0.0 {
                 return Err(self.value(10, "share in the host list", weight));
             }
-            lines.push(Listed {
+            lines.push(Endpoint {
                 host: host(std::array::from_fn(|i| line[8 + i])),
                 zone: Zone(word(6)),
                 cell: Cell(word(4)),
@@ -262,7 +262,7 @@
 pub struct Tier {
     /// Each with how many traffic classes it knows.
     nodes: FxHashMap<u32, Option<(usize, Node)>>,
-    lines: Vec<Listed>,
+    lines: Vec<Endpoint>,
 }
 
 impl Tier {
@@ -308,41 +308,41 @@
         let (call, attempt) = (CallId(record.u64(5)), |at| AttemptNumber(record.u16(at)));
         match record.u8(0) {
             2 => {
-                let extent = match record.u8(5) {
+                let update = match record.u8(5) {
                     1 => {
-                        node.list_failed(now, out);
+                        node.watch_failed(now, out);
                         return Ok(());
                     }
-                    2 => Extent::Whole,
-                    3 => Extent::Remembered,
-                    4 => Extent::Changes,
+                    2 => ListUpdate::Complete,
+                    3 => ListUpdate::Cached,
+                    4 => ListUpdate::Delta,
                     _ => return Err(record.code(5, "list form")),
                 };
                 record.list(&mut self.lines)?;
-                node.list_told(now, extent, &self.lines, out);
+                node.endpoints_changed(now, update, &self.lines, out);
             }
             3 => {
                 let call = record.call(25, 26, 34, 36, 21, 13)?;
                 if !knows(&call) {
                     return Err(record.code(25, "traffic type"));
                 }
-                node.call_taken(now, call, out);
+                node.call_arrived(now, call, out);
             }
             11 => {
                 let call = record.call(57, 23, 13, 31, 39, 15)?;
                 if !knows(&call) {
                     return Err(record.code(57, "traffic type"));
                 }
-                node.connection_found(now, call, record.host(51));
+                node.existing_connection(now, call, record.host(51));
             }
             4 => node.attempt_established(now, call, attempt(13), record.span(21)?, out),
             5 => {
-                let (ending, ended) = (record.ending(21)?, record.u8(30) != 0);
-                node.attempt_ended(now, call, attempt(13), ending, ended, out);
+                let (outcome, ended) = (record.outcome(21)?, record.u8(30) != 0);
+                node.attempt_ended(now, call, attempt(13), outcome, ended, out);
             }
-            6 => node.call_given_up(now, call, out),
-            7 => node.woken(now, Token(record.u32(5)), out),
-            8 => node.probe_ended(now, record.host(13), record.ending(19)?, record.span(5)?, out),
+            6 => node.client_left(now, call, out),
+            7 => node.timer_fired(now, TimerToken(record.u32(5)), out),
+            8 => node.probe_finished(now, record.host(13), record.outcome(19)?, record.span(5)?, out),
             9 => {
                 record.tail(9, 1, "the message")?;
             }
@@ -396,15 +396,15 @@
         self.record(13, &[&call.0.to_be_bytes(), &ms(retry_after.unwrap_or_default().0)]);
     }
 
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.record(7, &[&call.0.to_be_bytes()]);
     }
 
-    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber) {
         self.record(9, &[&call.0.to_be_bytes(), &attempt.0.to_be_bytes()]);
     }
 
-    fn move_away(&mut self, call: CallId) {
+    fn migrate(&mut self, call: CallId) {
         self.record(10, &[&call.0.to_be_bytes()]);
     }
 
@@ -412,15 +412,15 @@
         self.record(3, &[&address(&host)]);
     }
 
-    fn fetch_list(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.record(2, &[]);
     }
 
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.record(11, &[&[1]]);
     }
 
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.record(8, &[&ms(time.0), &token.0.to_be_bytes()]);
     }
 }
--- a/crates/takeover/src/keeper.rs
+++ b/crates/takeover/src/keeper.rs
@@ -93,7 +93,7 @@
 
     /// Danger: nobody here knows how long it took from one process to the next. When things went is not known any more,
     /// and all that depends on it is over.
-    pub(crate) fn inherit(&mut self, now: Moment, left: Left) {
+    pub(crate) fn restore(&mut self, now: Moment, left: Left) {
         self.trusts = left.remembers;
         for (work, record) in left.records.into_iter().take(MOST) {
             of_work(&mut self.records, work).push(Record {
@@ -250,11 +250,11 @@
     pub(crate) fn tick(&mut self, now: Moment) {
         while let Some((at, work)) = self.due.front().copied().filter(|(at, _)| *at <= now) {
             self.due.pop_front();
-            let recall = self.recall_ms;
+            let recall_ms = self.recall_ms;
             let Some(records) = self.records.get_mut(&work) else { continue };
             let before = records.len();
             // What answered early has been kept longer than it has to be: one date each is enough.
-            records.retain(|record| record.kept.plus_ms(self.longest_ms + LEFT_ALONE_MS + recall) > at);
+            records.retain(|record| record.kept.plus_ms(self.longest_ms + LEFT_ALONE_MS + recall_ms) > at);
             self.count -= before - records.len();
             if records.is_empty() {
                 self.records.remove(&work);
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -267,8 +267,8 @@
     }
 
     /// What the process before left when it ended as planned, and nobody else can have had since.
-    pub fn inherit(&mut self, now: Moment, left: Left) {
-        self.keeper.inherit(now, left);
+    pub fn restore(&mut self, now: Moment, left: Left) {
+        self.keeper.restore(now, left);
     }
 
     pub fn view(&self) -> &View {
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -397,7 +397,7 @@
         let life = Life(node.life * 10 + at as u64);
         let mut takeover = Takeover::new(moment, name(at), life, seed, RECALL, 3_000);
         if let Some(left) = node.left.take() {
-            takeover.inherit(moment, left);
+            takeover.restore(moment, left);
         }
         node.takeover = Some(takeover);
         (node.stopped, node.held) = (false, vec![]);
--- a/src/book.rs
+++ b/src/book.rs
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Copy)]
 pub(crate) struct Ended {
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// The call has its final answer, by this ending or before it.
     pub final_answer: bool,
     pub host: usize,
@@ -264,8 +264,8 @@
         self.broke *= left;
     }
 
-    pub fn legacy(&self, loads: &Loads) -> Legacy {
-        Legacy {
+    pub fn snapshot(&self, loads: &Loads) -> NodeSnapshot {
+        NodeSnapshot {
             mean_load: loads.mean,
             of_type: loads.of_type.clone(),
             arrival: self.arrival,
@@ -274,11 +274,11 @@
             size: self.size,
             usual_size: self.usual_size,
             setup: self.setup,
-            ..Legacy::default()
+            ..NodeSnapshot::default()
         }
     }
 
-    pub fn inherit(&mut self, loads: &mut Loads, from: &Legacy) {
+    pub fn restore(&mut self, loads: &mut Loads, from: &NodeSnapshot) {
         loads.mean = from.mean_load;
         // Traffic types that the settings did not have before begin anew.
         for (mean, before) in loads.of_type.iter_mut().zip(&from.of_type) {
@@ -448,7 +448,7 @@
     pub attempts: Vec<usize>,
     pub setting_up: u32,
     /// Connections that the process of this node before this one still has here.
-    pub elder: f64,
+    pub predecessor: f64,
     pub told_load: f64,
     pub told: u32,
     pub work: f64,
@@ -531,7 +531,7 @@
 
     /// The node's connections here.
     pub fn stand(&self) -> f64 {
-        self.attempts.len() as f64 + self.elder
+        self.attempts.len() as f64 + self.predecessor
     }
 
     pub fn smooth(&mut self, alpha: f64, elapsed: f64) {
@@ -539,8 +539,8 @@
         self.work_before = self.work;
     }
 
-    pub fn legacy(&self) -> HostLegacy {
-        HostLegacy {
+    pub fn snapshot(&self) -> HostSnapshot {
+        HostSnapshot {
             host: self.id,
             open: self.stand(),
             smoothed: self.smoothed,
@@ -554,8 +554,8 @@
         }
     }
 
-    pub fn inherit(&mut self, from: &HostLegacy, now: Time) {
-        (self.elder, self.smoothed, self.strain) = (from.open, from.smoothed, from.strain);
+    pub fn restore(&mut self, from: &HostSnapshot, now: Time) {
+        (self.predecessor, self.smoothed, self.strain) = (from.open, from.smoothed, from.strain);
         (self.limit, self.held, self.answers) =
             (from.limit.unwrap_or(f64::INFINITY), from.held, from.answers);
         (self.answer, self.weight_before) = (from.answers, from.open);
@@ -578,10 +578,10 @@
     }
 
     /// Share of its capacity that it has for certain by now.
-    pub fn warmth(&self, warming: &Warming, now: Time) -> f64 {
+    pub fn warmth(&self, slow_start: &SlowStart, now: Time) -> f64 {
         let Some(up) = self.up_since else { return 1.0 };
-        let done = now.since(up).seconds() / warming.after.seconds().max(1e-9);
-        warming.from + (1.0 - warming.from) * done.min(1.0)
+        let done = now.since(up).seconds() / slow_start.after.seconds().max(1e-9);
+        slow_start.from + (1.0 - slow_start.from) * done.min(1.0)
     }
 
     /// What it holds for us now, in connections of the mean load.
@@ -608,7 +608,7 @@
         0.5 * (took + last) / usual
     }
 
-    pub fn new(line: &Listed, smoothed: f64, now: Time) -> Host {
+    pub fn new(line: &Endpoint, smoothed: f64, now: Time) -> Host {
         Host {
             id: line.host,
             zone: line.zone,
@@ -622,7 +622,7 @@
             listed_up: None,
             attempts: Vec::new(),
             setting_up: 0,
-            elder: 0.0,
+            predecessor: 0.0,
             told_load: 0.0,
             told: 0,
             work: 0.0,
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -90,7 +90,7 @@
     /// Index of a node of the same tier.
     Peer(u32);
     /// Names an alarm of the instance.
-    Token(u32);
+    TimerToken(u32);
 }
 
 /// What running a call twice would do.
@@ -122,29 +122,29 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Completed,
     Error,
     /// Turned away unseen: a full queue, or draining.
-    Full,
+    Rejected,
     TimedOut,
     /// No connection came about.
     Unreachable,
     /// The connection broke while the attempt was out.
     Broken,
-    Recalled,
+    Canceled,
     NeverSent,
 }
 
-impl Ending {
+impl AttemptOutcome {
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::Unreachable | Ending::NeverSent)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent)
     }
 }
 
 /// One line of the host list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     pub host: HostId,
     pub zone: Zone,
     pub cell: Cell,
@@ -176,11 +176,11 @@
 
 /// Whether a list names all hosts or only those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum ListUpdate {
     /// The whole list as last seen, maybe stale.
-    Remembered,
-    Whole,
-    Changes,
+    Cached,
+    Complete,
+    Delta,
 }
 
 /// A call as it reaches the node, or a connection that was open when the node started.
@@ -222,14 +222,14 @@
 
 /// How a cold host warms up and what pushes it over.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warming {
+pub struct SlowStart {
     pub from: f64,
     pub after: Span,
     pub multiple: f64,
     pub window: Span,
 }
 
-impl Warming {
+impl SlowStart {
     /// What a cold host stands a second that by rule may be sent so much: it falls past N + 2 root of N + 2 in the window, N being
     /// what is allowed in it. One less, which is (root of N + 1) squared: what comes due on an edge counts twice.
     pub fn stands(&self, allowed: f64) -> f64 {
@@ -265,7 +265,7 @@
     pub retry_after: Option<Span>,
     /// The list must be asked for, at least this often without a subscription.
     pub poll_interval: Option<Span>,
-    pub warming: Warming,
+    pub slow_start: SlowStart,
     /// Without one, as many as a call may have.
     pub retry_budget: Option<RetryBudget>,
     /// A listed start may be off by so much, either way.
@@ -307,7 +307,7 @@
 
 /// What one process of a node leaves to the next, of one host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HostLegacy {
+pub struct HostSnapshot {
     pub host: HostId,
     /// Connections that still stand there.
     pub open: f64,
@@ -327,8 +327,8 @@
 
 /// What one process of a node leaves to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Legacy {
-    pub hosts: Vec<HostLegacy>,
+pub struct NodeSnapshot {
+    pub hosts: Vec<HostSnapshot>,
     pub loads: Vec<(SubjectId, f64)>,
     pub mean_load: f64,
     pub of_type: Vec<f64>,
--- a/src/port.rs
+++ b/src/port.rs
@@ -4,7 +4,7 @@
 //! time and a [`Port`] on which the node says what to do, in order. One call gets one `reject`, one `release`
 //! or the completion that the host's own answer brings.
 
-use crate::domain::{AttemptNumber, CallId, HostId, Span, Time, Token};
+use crate::domain::{AttemptNumber, CallId, HostId, Span, Time, TimerToken};
 
 pub trait Port {
     /// Send an attempt. It times out after `within`.
@@ -12,15 +12,15 @@
     /// Final answer: a new try does no harm, after `retry_after` if that is given.
     fn reject(&mut self, call: CallId, retry_after: Option<Span>);
     /// Final answer without any assurance.
-    fn release(&mut self, call: CallId);
+    fn fail(&mut self, call: CallId);
     /// Stop waiting for an attempt.
-    fn recall(&mut self, call: CallId, attempt: AttemptNumber);
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber);
     /// End an open connection politely; its client comes again.
-    fn move_away(&mut self, call: CallId);
+    fn migrate(&mut self, call: CallId);
     fn probe(&mut self, host: HostId);
     /// Ask for the whole host list once.
-    fn fetch_list(&mut self);
+    fn fetch_endpoints(&mut self);
     /// Ask to be sent the changes of the host list from now on.
-    fn follow_list(&mut self);
-    fn wake_at(&mut self, time: Time, token: Token);
+    fn watch_endpoints(&mut self);
+    fn set_timer(&mut self, time: Time, token: TimerToken);
 }
--- a/src/renewal.rs
+++ b/src/renewal.rs
@@ -15,7 +15,7 @@
     /// Other settings count from now on. Calls in hand keep the deadline and the attempts that they have; hosts
     /// keep what is known of them, their cold budgets and set-asides too. Types keep their numbers: the settings
     /// may name more of them than before, not fewer.
-    pub fn renew(&mut self, now: Time, settings: Settings, port: &mut dyn Port) {
+    pub fn update_settings(&mut self, now: Time, settings: Settings, port: &mut dyn Port) {
         self.now = now;
         let (asked, live) = (self.settings.poll_interval.is_some(), self.settings.weights == Weights::Live);
         if settings.retry_budget != self.settings.retry_budget {
@@ -39,14 +39,14 @@
                 // Danger: a fleet is told its settings together, and would ask in step.
                 let at = now + list_spread(&self.settings).times(self.chance());
                 self.asking = Asking::new(true, false, at);
-                port.wake_at(at, ASK);
+                port.set_timer(at, ASK);
             }
             _ => {}
         }
     }
 
-    fn learn_sizes(&mut self, legacy: &Legacy) {
-        for (of, size) in legacy.hosts.iter().filter_map(|of| Some((of, of.nominal?))) {
+    fn learn_sizes(&mut self, snapshot: &NodeSnapshot) {
+        for (of, size) in snapshot.hosts.iter().filter_map(|of| Some((of, of.nominal?))) {
             if let Some(host) = self.host_no.get(&of.host).copied() {
                 let to = &mut self.hosts[host];
                 let weight = to.nominal.0 / (1.0 + to.told_held.unwrap_or(0.0));
@@ -58,34 +58,37 @@
     }
 
     /// What the next process has to know to go on from here.
-    pub fn legacy(&self) -> Legacy {
+    pub fn snapshot(&self) -> NodeSnapshot {
         let open = self.calls.iter().filter_map(|(_, held)| held.call.subject.zip(held.load));
         let loads = self.remembered.all().chain(open).collect();
-        Legacy {
-            hosts: self.hosts.iter().map(Host::legacy).collect(),
+        NodeSnapshot {
+            hosts: self.hosts.iter().map(Host::snapshot).collect(),
             loads,
-            ..self.rates.legacy(&self.loads)
+            ..self.rates.snapshot(&self.loads)
         }
     }
 
     /// Danger: a process that begins with nothing takes hosts for empty and known to be well, sends cold ones
     /// a second budget, and holds the clients that the old one sends over for another node's.
-    pub fn inherit(&mut self, legacy: &Legacy) {
-        let known = legacy.hosts.iter().filter_map(|of| Some((*self.host_no.get(&of.host)?, of)));
-        known.for_each(|(host, of)| self.hosts[host].inherit(of, self.now));
+    pub fn restore(&mut self, snapshot: &NodeSnapshot) {
+        let known = snapshot.hosts.iter().filter_map(|of| Some((*self.host_no.get(&of.host)?, of)));
+        known.for_each(|(host, of)| self.hosts[host].restore(of, self.now));
         if self.settings.weights == Weights::Live {
-            self.learn_sizes(legacy);
+            self.learn_sizes(snapshot);
         }
-        legacy.loads.iter().for_each(|(subject, load)| self.remembered.keep(Some(*subject), Some(*load)));
-        self.rates.inherit(&mut self.loads, legacy);
+        snapshot.loads.iter().for_each(|(subject, load)| self.remembered.keep(Some(*subject), Some(*load)));
+        self.rates.restore(&mut self.loads, snapshot);
         // Past the time in which means are those of all seconds so far.
         self.seconds = 50;
         self.doubt();
     }
 
     /// How many connections the process before has at a host now; without a host, at all of them.
-    pub fn elder_at(&mut self, host: Option<HostId>, n: f64) {
-        self.hosts.iter_mut().filter(|to| host.is_none_or(|host| host == to.id)).for_each(|to| to.elder = n);
+    pub fn set_predecessor_connections(&mut self, host: Option<HostId>, n: f64) {
+        self.hosts
+            .iter_mut()
+            .filter(|to| host.is_none_or(|host| host == to.id))
+            .for_each(|to| to.predecessor = n);
     }
 
     /// What its clients come back to, should this node be lost: at most so much of each, of loads what is furthest from
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -14,9 +14,9 @@
 use crate::domain::*;
 use crate::port::Port;
 
-const SECOND: Token = Token(0);
-const HELD: Token = Token(1);
-pub(crate) const ASK: Token = Token(2);
+const SECOND: TimerToken = TimerToken(0);
+const HELD: TimerToken = TimerToken(1);
+pub(crate) const ASK: TimerToken = TimerToken(2);
 
 /// What a host pays once for a group, in connections. What it is nobody tells: tried from 1 to 9.
 const GROUP: f64 = 5.0;
@@ -79,13 +79,13 @@
         let (settings, mut rng) = (weighed(settings), WyRand::new_seed(seed));
         // Nodes that start together tick at different moments, so that their moves do not coincide.
         let offset = Span::ms(1000).times(f64::from(rng.generate::<f32>()));
-        port.wake_at(now + offset, SECOND);
+        port.set_timer(now + offset, SECOND);
         let asks = settings.poll_interval.is_some();
         let spread = list_spread(&settings).times(f64::from(rng.generate::<f32>()));
         let at_once = asks && spread == Span::ZERO;
         match (asks, at_once) {
-            (_, true) => port.follow_list(),
-            (true, _) => port.wake_at(now + spread, ASK),
+            (_, true) => port.watch_endpoints(),
+            (true, _) => port.set_timer(now + spread, ASK),
             _ => {}
         }
         Node {
@@ -250,7 +250,7 @@
 
     /// Half the multiple of what usually comes over what wants a host now, as far as others are open.
     fn calm(&self) -> f64 {
-        let usual = 0.5 * self.settings.warming.multiple * self.fleet.open * self.rates.arrival * 5.0;
+        let usual = 0.5 * self.settings.slow_start.multiple * self.fleet.open * self.rates.arrival * 5.0;
         let wants = self.rates.tried.max(1.0) + (self.waiting.held.len() + self.waiting.turn.len()) as f64;
         (usual / wants).min(1.0)
     }
@@ -329,7 +329,7 @@
             let spread = 0.5 + 0.5 * self.chance();
             port.reject(id, self.settings.retry_after.map(|most| most.times(spread)));
         } else {
-            port.release(id);
+            port.fail(id);
         }
         self.drop_call(no);
     }
@@ -355,7 +355,7 @@
         let due = self.now + self.left(no).clamp(self.settings.tick, Span::ms(40).max(self.settings.tick));
         if self.waiting.wake.is_none_or(|wake| due < wake) {
             self.waiting.wake = Some(due);
-            port.wake_at(due, HELD);
+            port.set_timer(due, HELD);
         }
     }
 
@@ -529,7 +529,7 @@
 
     /// Share of its capacity that a host has for certain by now.
     fn warmth(&self, host: usize) -> f64 {
-        self.hosts[host].warmth(&self.settings.warming, self.now)
+        self.hosts[host].warmth(&self.settings.slow_start, self.now)
     }
 
     fn is_trusted(&self, host: usize) -> bool {
@@ -574,7 +574,7 @@
         self.count_load(no, host, -1.0);
         self.groups.count(self.calls[no].call.group, host, -1);
         let call = &mut self.calls[no];
-        if !ended.ending.never_ran() && call.ran.is_none() {
+        if !ended.outcome.never_ran() && call.ran.is_none() {
             call.ran = Some((host, call.sent));
         }
         if !ended.final_answer {
@@ -585,11 +585,11 @@
 
     fn learn(&mut self, no: usize, ended: Ended, _: &mut dyn Port) -> Back {
         let host = ended.host;
-        if !ended.was_set_up && matches!(ended.ending, Ending::Error | Ending::TimedOut) {
+        if !ended.was_set_up && matches!(ended.outcome, AttemptOutcome::Error | AttemptOutcome::TimedOut) {
             self.set_up_in(no, None);
         }
-        match (ended.ending, ended.was_set_up) {
-            (Ending::Broken, true) => {
+        match (ended.outcome, ended.was_set_up) {
+            (AttemptOutcome::Broken, true) => {
                 // Danger: a host that died takes all its connections along; the list says so seconds later.
                 // Three within a second that are a third of what it held are no chance.
                 self.cut_limit(host, self.weight(host));
@@ -600,10 +600,14 @@
                     self.set_aside(host);
                 }
             }
-            (Ending::Error | Ending::TimedOut | Ending::Unreachable | Ending::Broken, false) => {
-                self.judge(host, true)
-            }
-            (Ending::Full, _) => {
+            (
+                AttemptOutcome::Error
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::Broken,
+                false,
+            ) => self.judge(host, true),
+            (AttemptOutcome::Rejected, _) => {
                 // Danger: a host that turns calls away at once empties, scores low and draws every call.
                 let spread = 0.75 + 0.5 * self.chance();
                 let to = &mut self.hosts[host];
@@ -735,7 +739,7 @@
         if self.seconds.is_multiple_of(5) {
             self.move_one(port);
         }
-        port.wake_at(self.now + Span::ms(1000), SECOND);
+        port.set_timer(self.now + Span::ms(1000), SECOND);
     }
 
     /// Danger: a host past what it can do serves nobody in time, drops connections, and these come back as
@@ -798,7 +802,7 @@
             }
             above -= moved;
             self.calls[no].leaving = true;
-            port.move_away(self.calls[no].call.id);
+            port.migrate(self.calls[no].call.id);
         }
     }
 
@@ -848,13 +852,13 @@
         });
         self.rates.weigh(stand, shares, size, first);
         self.sizes.weigh(&self.hosts, f64::from(self.settings.nodes), stand, first.max(0.06));
-        let window = self.settings.warming.window.times(1.0 - 0.5 * self.settings.bound_together());
+        let window = self.settings.slow_start.window.times(1.0 - 0.5 * self.settings.bound_together());
         for host in 0..self.hosts.len() {
             let warmth = self.warmth(host);
             if warmth < 1.0 {
                 // Twice what a host carries came to half of the limit; many nodes use up theirs: once.
                 let part = self.hosts[host].nominal.0 / shares.max(1e-6) * self.rates.arrival;
-                let arrive = self.settings.warming.multiple * warmth * part * (2.0 - self.settings.many());
+                let arrive = self.settings.slow_start.multiple * warmth * part * (2.0 - self.settings.many());
                 // Danger: in a rush all nodes use theirs in full: 32 pushed a host over, each by one call.
                 let usual = self.settings.many() * self.rates.held * self.warming_fill(host);
                 let rate = arrive.max(self.calm().max(0.67 * warmth) * usual);
@@ -868,8 +872,8 @@
     /// unit. Danger: with a call in ten seconds, most nodes let lapse what they saved up by their arrivals,
     /// and hosts that came back stay empty. Three times the multiple of what fills one once in its warm-up.
     fn warming_fill(&self, host: usize) -> f64 {
-        let warming = &self.settings.warming;
-        3.0 * warming.multiple * self.hosts[host].nominal.0 / warming.after.seconds().max(1e-9)
+        let slow_start = &self.settings.slow_start;
+        3.0 * slow_start.multiple * self.hosts[host].nominal.0 / slow_start.after.seconds().max(1e-9)
     }
 
     /// This node's part of what a cold host stands of all nodes together, told by what hosts hold where half
@@ -878,7 +882,7 @@
     fn warming_bound(&self, host: usize) -> f64 {
         let nodes = f64::from(self.settings.nodes.max(1));
         let allowed = self.warming_fill(host) / 3.0 * self.warmth(host) * self.rates.held * nodes;
-        self.settings.warming.stands(allowed) / (nodes * self.settings.bound_together().max(1e-9))
+        self.settings.slow_start.stands(allowed) / (nodes * self.settings.bound_together().max(1e-9))
     }
 
     /// Danger: a host that started of late looks like any other to a node with less than a connection a host.
@@ -912,7 +916,7 @@
         }
         if let Some(no) = self.random_open(top) {
             self.calls[no].leaving = true;
-            port.move_away(self.calls[no].call.id);
+            port.migrate(self.calls[no].call.id);
         }
     }
 
@@ -922,7 +926,7 @@
 
     // What happens.
 
-    pub fn call_taken(&mut self, now: Time, call: Call, port: &mut dyn Port) {
+    pub fn call_arrived(&mut self, now: Time, call: Call, port: &mut dyn Port) {
         self.now = now;
         self.further.taken(&self.settings, now);
         self.rates.arrivals += u32::from(!call.returning && !call.mid_flow);
@@ -972,7 +976,7 @@
         self.settings.few() * self.rates.taken_over(self.calls.len()) / self.calls.len().max(1) as f64
     }
 
-    pub fn connection_found(&mut self, now: Time, call: Call, host: HostId) {
+    pub fn existing_connection(&mut self, now: Time, call: Call, host: HostId) {
         self.now = now;
         let Some(host) = self.host_no.get(&host).copied() else { return };
         let no = self.take_in(call);
@@ -1018,18 +1022,18 @@
         now: Time,
         call: CallId,
         attempt: AttemptNumber,
-        ending: Ending,
+        outcome: AttemptOutcome,
         final_answer: bool,
         port: &mut dyn Port,
     ) {
         self.now = now;
         let Some((no, host)) = self.outstanding_attempt(call, attempt) else { return };
         let was_set_up = self.calls[no].set_up;
-        self.pass_back(no, Ended { ending, final_answer, host, was_set_up }, port);
+        self.pass_back(no, Ended { outcome, final_answer, host, was_set_up }, port);
     }
 
     /// The client left: nothing is owed, and the attempt that is still out need not go on.
-    pub fn call_given_up(&mut self, now: Time, call: CallId, port: &mut dyn Port) {
+    pub fn client_left(&mut self, now: Time, call: CallId, port: &mut dyn Port) {
         self.now = now;
         let Some(no) = self.call_no.get(&call).copied() else { return };
         if self.calls[no].out.is_none() {
@@ -1037,7 +1041,7 @@
         }
         self.calls[no].answered = true;
         if self.settings.can_cancel && !self.calls[no].set_up {
-            port.recall(call, AttemptNumber(self.calls[no].attempts - 1));
+            port.cancel(call, AttemptNumber(self.calls[no].attempts - 1));
         }
     }
 
@@ -1061,7 +1065,7 @@
         }
     }
 
-    pub fn woken(&mut self, now: Time, token: Token, port: &mut dyn Port) {
+    pub fn timer_fired(&mut self, now: Time, token: TimerToken, port: &mut dyn Port) {
         self.now = now;
         match token {
             SECOND => self.every_second(port),
@@ -1073,19 +1077,26 @@
             }
             ASK if now >= self.asking.ask_at && !self.asking.following && !self.asking.asked => {
                 self.asking.asked = true;
-                port.follow_list();
+                port.watch_endpoints();
             }
             _ => {}
         }
     }
 
-    pub fn probe_ended(&mut self, now: Time, host: HostId, how: Ending, took: Span, port: &mut dyn Port) {
+    pub fn probe_finished(
+        &mut self,
+        now: Time,
+        host: HostId,
+        how: AttemptOutcome,
+        took: Span,
+        port: &mut dyn Port,
+    ) {
         self.now = now;
         let Some(host) = self.host_no.get(&host).copied() else { return };
         let to = &mut self.hosts[host];
         let Some(aside) = &mut to.aside else {
             // Danger: a host that hangs still takes connections, and each call there waits out an attempt.
-            if how != Ending::Completed {
+            if how != AttemptOutcome::Completed {
                 self.judge(host, true);
             } else if !self.settings.reports_message_times {
                 let slower =
@@ -1094,7 +1105,7 @@
             }
             return;
         };
-        if how == Ending::Completed {
+        if how == AttemptOutcome::Completed {
             aside.answers += 1;
             aside.next_probe = now + Span::ms(500);
             if aside.answers >= 2 {
@@ -1108,12 +1119,18 @@
 
     // The host list.
 
-    pub fn list_told(&mut self, now: Time, extent: Extent, lines: &[Listed], port: &mut dyn Port) {
+    pub fn endpoints_changed(
+        &mut self,
+        now: Time,
+        update: ListUpdate,
+        lines: &[Endpoint],
+        port: &mut dyn Port,
+    ) {
         self.now = now;
-        if extent != Extent::Remembered && self.asking.asked {
+        if update != ListUpdate::Cached && self.asking.asked {
             self.asking.answered();
         }
-        if extent != Extent::Changes {
+        if update != ListUpdate::Delta {
             for to in &mut self.hosts {
                 if !lines.iter().any(|line| line.host == to.id) {
                     to.condition = Condition::Gone;
@@ -1161,7 +1178,7 @@
     }
 
     /// An unheard-from host's load starts at the others' mean.
-    fn add_host(&mut self, line: &Listed) {
+    fn add_host(&mut self, line: &Endpoint) {
         let mean = self.hosts.iter().map(|to| to.smoothed).sum::<f64>() / self.hosts.len().max(1) as f64;
         self.host_no.insert(line.host, self.hosts.len());
         let at = self.sorted.partition_point(|host| self.hosts[*host].id < line.host);
@@ -1185,7 +1202,7 @@
         let none_ready = !self.hosts.iter().any(|to| to.condition == Condition::Ready);
         if self.hosts.is_empty() && self.asking.is_new() {
             self.asking.asked = true;
-            port.follow_list();
+            port.watch_endpoints();
         }
         if !(self.doubts_itself || none_ready) {
             self.asking.doubt_wait = Span::ms(1000);
@@ -1193,16 +1210,16 @@
         } else if self.now >= self.asking.fetch_at {
             self.asking.doubt_wait = self.asking.doubt_wait.times(2.0).min(poll_interval.times(0.5));
             self.asking.fetch_at = self.now + self.asking.doubt_wait.times(0.75 + 0.5 * self.chance());
-            port.fetch_list();
+            port.fetch_endpoints();
         }
         if self.asking.asked && self.now.since(self.asking.ask_at) > poll_interval.times(0.5) {
             self.asking.ask_at = self.now;
-            port.follow_list();
+            port.watch_endpoints();
         }
     }
 
     /// Danger: nodes that ask again in step keep the list's service crowded. The waits grow and differ.
-    pub fn list_failed(&mut self, now: Time, port: &mut dyn Port) {
+    pub fn watch_failed(&mut self, now: Time, port: &mut dyn Port) {
         self.now = now;
         (self.asking.asked, self.asking.following) = (false, false);
         self.asking.refusals += 1;
@@ -1211,6 +1228,6 @@
         let wait = Span::ms(250).times(f64::from(1u32 << self.asking.refusals.min(6))).min(longest);
         let wait = wait.max(list_spread(&self.settings));
         self.asking.ask_at = now + wait.times(0.5 + 0.5 * self.chance());
-        port.wake_at(self.asking.ask_at, ASK);
+        port.set_timer(self.asking.ask_at, ASK);
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -24,7 +24,7 @@
     Send(CallId, HostId),
     Answered(CallId),
     Move(CallId),
-    Wake(Time, Token),
+    Wake(Time, TimerToken),
 }
 
 #[derive(Default)]
@@ -37,27 +37,27 @@
     fn reject(&mut self, call: CallId, _: Option<Span>) {
         self.0.push(Act::Answered(call));
     }
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.0.push(Act::Answered(call));
     }
-    fn recall(&mut self, _: CallId, _: AttemptNumber) {}
-    fn move_away(&mut self, call: CallId) {
+    fn cancel(&mut self, _: CallId, _: AttemptNumber) {}
+    fn migrate(&mut self, call: CallId) {
         self.0.push(Act::Move(call));
     }
     fn probe(&mut self, _: HostId) {}
-    fn fetch_list(&mut self) {}
-    fn follow_list(&mut self) {}
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn fetch_endpoints(&mut self) {}
+    fn watch_endpoints(&mut self) {}
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.0.push(Act::Wake(time, token));
     }
 }
 
 enum Event {
-    Wake(usize, Token),
+    Wake(usize, TimerToken),
     /// A client comes, for the first time or again.
     Come(bool),
     SetUp(usize, CallId, AttemptNumber, Time),
-    End(usize, CallId, AttemptNumber, Ending),
+    End(usize, CallId, AttemptNumber, AttemptOutcome),
     /// Hosts are lost, and come back cold.
     Lose(usize),
     Start(usize),
@@ -98,7 +98,7 @@
         reports_message_times: false,
         retry_after: None,
         poll_interval: None,
-        warming: Warming { from: FROM, after: AFTER, multiple: MULTIPLE, window: WINDOW },
+        slow_start: SlowStart { from: FROM, after: AFTER, multiple: MULTIPLE, window: WINDOW },
         retry_budget: None,
         start_uncertainty: Span::ZERO,
         cross_zone_price: 0.0,
@@ -149,7 +149,7 @@
 
     fn list(&mut self) {
         let condition = |at: usize| if self.listed[at] { Condition::Ready } else { Condition::Gone };
-        let line = |at: usize| Listed {
+        let line = |at: usize| Endpoint {
             host: HostId(at as u64 + 1),
             zone: Zone(0),
             cell: Cell(0),
@@ -158,9 +158,9 @@
             kind: None,
             up_since: self.up_since[at],
         };
-        let lines: Vec<Listed> = (0..HOSTS).map(line).collect();
+        let lines: Vec<Endpoint> = (0..HOSTS).map(line).collect();
         for me in 0..self.nodes.len() {
-            self.tell(me, |node, now, acts| node.list_told(now, Extent::Whole, &lines, acts));
+            self.tell(me, |node, now, acts| node.endpoints_changed(now, ListUpdate::Complete, &lines, acts));
         }
     }
 
@@ -178,7 +178,7 @@
                         let event = Event::SetUp(me, call, no, Time(self.now));
                         self.at(took, event);
                     } else {
-                        self.at(5, Event::End(me, call, no, Ending::Unreachable));
+                        self.at(5, Event::End(me, call, no, AttemptOutcome::Unreachable));
                     }
                 }
                 Act::Answered(call) => {
@@ -188,7 +188,7 @@
                 }
                 Act::Move(call) => {
                     let Some((attempts, Some(_))) = self.calls.get(&(me, call)).copied() else { continue };
-                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), Ending::Recalled));
+                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), AttemptOutcome::Canceled));
                 }
                 Act::Wake(time, token) => {
                     self.at(time.since(Time(self.now)).0.div_ceil(MS), Event::Wake(me, token));
@@ -199,7 +199,7 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Wake(me, token) => self.tell(me, |node, now, acts| node.woken(now, token, acts)),
+            Event::Wake(me, token) => self.tell(me, |node, now, acts| node.timer_fired(now, token, acts)),
             Event::Come(returning) => {
                 let me = self.below(self.nodes.len() as u64) as usize;
                 let id = CallId(self.next);
@@ -217,7 +217,7 @@
                     before: None,
                 };
                 self.calls.insert((me, id), (0, None));
-                self.tell(me, |node, now, acts| node.call_taken(now, call, acts));
+                self.tell(me, |node, now, acts| node.call_arrived(now, call, acts));
             }
             Event::SetUp(me, call, no, sent) => {
                 let Some((attempts, Some(host))) = self.calls.get(&(me, call)).copied() else { return };
@@ -225,27 +225,27 @@
                     return;
                 }
                 if !self.listed[host] {
-                    return self.at(0, Event::End(me, call, no, Ending::Broken));
+                    return self.at(0, Event::End(me, call, no, AttemptOutcome::Broken));
                 }
                 let life = 1 + (LIFE_MS as f64 * -self.rng.generate::<f64>().max(1e-9).ln()) as u64;
-                self.at(life, Event::End(me, call, no, Ending::Completed));
+                self.at(life, Event::End(me, call, no, AttemptOutcome::Completed));
                 self.tell(me, |node, now, acts| {
                     node.attempt_established(now, call, no, now.since(sent), acts)
                 });
             }
-            Event::End(me, call, no, ending) => {
+            Event::End(me, call, no, outcome) => {
                 let Some((attempts, Some(_))) = self.calls.get(&(me, call)).copied() else { return };
                 if attempts != no.0 + 1 {
                     return;
                 }
-                let last = ending != Ending::Unreachable;
+                let last = outcome != AttemptOutcome::Unreachable;
                 if last {
                     self.calls.remove(&(me, call));
                 } else {
                     self.calls.insert((me, call), (attempts, None));
                 }
-                self.tell(me, |node, now, acts| node.attempt_ended(now, call, no, ending, last, acts));
-                if matches!(ending, Ending::Broken | Ending::Recalled) {
+                self.tell(me, |node, now, acts| node.attempt_ended(now, call, no, outcome, last, acts));
+                if matches!(outcome, AttemptOutcome::Broken | AttemptOutcome::Canceled) {
                     let again = 50 + self.below(500);
                     self.at(again, Event::Come(true));
                 }
@@ -256,7 +256,7 @@
                 let there: Vec<_> = self.calls.iter().filter(|(_, of)| of.1 == Some(host)).collect();
                 let there: Vec<_> = there.into_iter().map(|((me, call), of)| (*me, *call, of.0)).collect();
                 for (me, call, attempts) in there {
-                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), Ending::Broken));
+                    self.at(0, Event::End(me, call, AttemptNumber(attempts - 1), AttemptOutcome::Broken));
                 }
             }
             Event::Start(host) => {
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -36,13 +36,13 @@
 
 #[derive(Clone, Copy)]
 enum Event {
-    Alarm(Token),
+    Alarm(TimerToken),
     NewCall,
     ClientReturns(SubjectId, u8, Option<GroupId>),
     SetUp(CallId, u16, Span),
     LoadReport(CallId, u16),
     MessageTime(CallId, u16, HostId),
-    AttemptEnds(CallId, u16, Ending),
+    AttemptEnds(CallId, u16, AttemptOutcome),
     ClientLeaves(CallId),
     ProbeEnds(HostId),
     ListAnswered { pushes: bool },
@@ -65,7 +65,7 @@
     moved: Vec<CallId>,
     probed: Vec<HostId>,
     asked: Vec<bool>,
-    alarms: Vec<(Time, Token)>,
+    alarms: Vec<(Time, TimerToken)>,
 }
 
 impl Recorder {
@@ -88,15 +88,15 @@
         self.record(2, &[call.0, retry_after.map_or(u64::MAX, |wait| wait.0)]);
         self.ended.insert(call);
     }
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.record(3, &[call.0]);
         self.ended.insert(call);
     }
-    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber) {
         self.record(4, &[call.0, u64::from(attempt.0)]);
         self.recalled.push((call, attempt.0));
     }
-    fn move_away(&mut self, call: CallId) {
+    fn migrate(&mut self, call: CallId) {
         self.record(5, &[call.0]);
         self.moved.push(call);
     }
@@ -104,15 +104,15 @@
         self.record(6, &[host.0]);
         self.probed.push(host);
     }
-    fn fetch_list(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.record(7, &[]);
         self.asked.push(false);
     }
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.record(8, &[]);
         self.asked.push(true);
     }
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.record(9, &[time.0, u64::from(token.0)]);
         self.alarms.push((time, token));
     }
@@ -144,7 +144,7 @@
     settings: Settings,
     queue: BTreeMap<(Time, u64), Event>,
     queued: u64,
-    hosts: Vec<(Listed, Behaviour)>,
+    hosts: Vec<(Endpoint, Behaviour)>,
     clients: BTreeMap<CallId, Client>,
     next_call: u64,
     calls_per_second: f64,
@@ -184,7 +184,7 @@
         reports_message_times: chance(0.5),
         retry_after: chance(0.5).then_some(Span::ms(2_000)),
         poll_interval: chance(0.7).then_some(Span::ms(4_000)),
-        warming: Warming { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
+        slow_start: SlowStart { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
         retry_budget: chance(0.6).then_some(RetryBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
         start_uncertainty: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
         cross_zone_price: if chance(0.5) { 0.05 } else { 0.0 },
@@ -248,7 +248,7 @@
         let number = self.hosts.len() as u64;
         let cold = self.chance(0.2);
         let started = now - self.span(0, 5_000);
-        let line = Listed {
+        let line = Endpoint {
             host: HostId(number * 7 + 11),
             zone: Zone(self.rng.generate_range(0..3u16)),
             cell: Cell(self.rng.generate_range(0..4u16)),
@@ -284,7 +284,7 @@
     /// Returns the digest, and how often each kind of action was seen.
     fn play(mut self) -> (u64, [u64; 10]) {
         let lines = self.lines();
-        self.tell_list(Extent::Remembered, &lines);
+        self.tell_list(ListUpdate::Cached, &lines);
         self.after(Span::ZERO, Event::NewCall);
         self.after(Span::ms(1_500), Event::ListChanges);
         self.after(Span::ms(4_000), Event::HostsChangeBehaviour);
@@ -306,7 +306,7 @@
 
     fn happen(&mut self, now: Time, event: Event) {
         match event {
-            Event::Alarm(token) => self.node.woken(now, token, &mut self.recorder),
+            Event::Alarm(token) => self.node.timer_fired(now, token, &mut self.recorder),
             Event::NewCall => self.new_call(now),
             Event::ClientReturns(subject, traffic, group) => {
                 let call = self.draw_call(now, subject, traffic, group, true);
@@ -324,10 +324,10 @@
                 );
             }
             Event::MessageTime(call, attempt, host) => self.message_time(now, call, attempt, host),
-            Event::AttemptEnds(call, attempt, ending) => self.attempt_ends(now, call, attempt, ending),
+            Event::AttemptEnds(call, attempt, outcome) => self.attempt_ends(now, call, attempt, outcome),
             Event::ClientLeaves(call) => {
                 if self.clients.contains_key(&call) {
-                    self.node.call_given_up(now, call, &mut self.recorder);
+                    self.node.client_left(now, call, &mut self.recorder);
                     if self.clients[&call].host.is_none() {
                         self.clients.remove(&call);
                     }
@@ -352,7 +352,7 @@
                 let nodes = self.settings.nodes;
                 self.settings = draw_settings(&mut self.rng, nodes);
                 self.settings.me = me;
-                self.node.renew(now, self.settings.clone(), &mut self.recorder);
+                self.node.update_settings(now, self.settings.clone(), &mut self.recorder);
             }
             Event::ProcessReplaced => self.replace_process(now),
             Event::NodeLost => self.lose_node(now),
@@ -400,7 +400,7 @@
 
     fn take_call(&mut self, now: Time, call: Call) {
         self.clients.insert(call.id, Client { call, attempts: 0, host: None, open: false });
-        self.node.call_taken(now, call, &mut self.recorder);
+        self.node.call_arrived(now, call, &mut self.recorder);
         if self.chance(0.05) {
             let after = self.span(1, 500);
             self.after(after, Event::ClientLeaves(call.id));
@@ -421,7 +421,7 @@
             self.after(Span::ms(300), Event::MessageTime(call, attempt, host));
         }
         let lasts = self.span(500, 12_000);
-        self.after(lasts, Event::AttemptEnds(call, attempt, Ending::Completed));
+        self.after(lasts, Event::AttemptEnds(call, attempt, AttemptOutcome::Completed));
     }
 
     fn message_time(&mut self, now: Time, call: CallId, attempt: u16, host: HostId) {
@@ -439,7 +439,7 @@
         self.after(Span::ms(1_000), Event::MessageTime(call, attempt, host));
     }
 
-    fn attempt_ends(&mut self, now: Time, call: CallId, attempt: u16, ending: Ending) {
+    fn attempt_ends(&mut self, now: Time, call: CallId, attempt: u16, outcome: AttemptOutcome) {
         let Some(client) = self.clients.get_mut(&call).filter(|client| client.attempts == attempt + 1) else {
             return;
         };
@@ -447,8 +447,8 @@
             return;
         }
         let was_open = std::mem::take(&mut client.open);
-        let last = ending == Ending::Completed || was_open;
-        self.node.attempt_ended(now, call, AttemptNumber(attempt), ending, last, &mut self.recorder);
+        let last = outcome == AttemptOutcome::Completed || was_open;
+        self.node.attempt_ended(now, call, AttemptNumber(attempt), outcome, last, &mut self.recorder);
         if last {
             let client = self.clients.remove(&call).expect("the client was just there");
             if self.chance(0.4) {
@@ -461,35 +461,37 @@
     }
 
     fn probe_ends(&mut self, now: Time, host: HostId) {
-        let (ending, took) = match self.behaviour(host) {
-            Behaviour::Well | Behaviour::Full | Behaviour::Breaks => (Ending::Completed, self.span(1, 4)),
-            Behaviour::Slow => (Ending::Completed, self.span(5, 60)),
-            Behaviour::Fails => (Ending::Error, Span::ms(3)),
-            Behaviour::Silent => (Ending::TimedOut, Span::ms(400)),
-            Behaviour::Unreachable => (Ending::Unreachable, Span::ms(1)),
+        let (outcome, took) = match self.behaviour(host) {
+            Behaviour::Well | Behaviour::Full | Behaviour::Breaks => {
+                (AttemptOutcome::Completed, self.span(1, 4))
+            }
+            Behaviour::Slow => (AttemptOutcome::Completed, self.span(5, 60)),
+            Behaviour::Fails => (AttemptOutcome::Error, Span::ms(3)),
+            Behaviour::Silent => (AttemptOutcome::TimedOut, Span::ms(400)),
+            Behaviour::Unreachable => (AttemptOutcome::Unreachable, Span::ms(1)),
         };
-        self.node.probe_ended(now, host, ending, took, &mut self.recorder);
+        self.node.probe_finished(now, host, outcome, took, &mut self.recorder);
     }
 
-    fn lines(&self) -> Vec<Listed> {
+    fn lines(&self) -> Vec<Endpoint> {
         self.hosts.iter().map(|(line, _)| *line).collect()
     }
 
-    fn tell_list(&mut self, extent: Extent, lines: &[Listed]) {
+    fn tell_list(&mut self, update: ListUpdate, lines: &[Endpoint]) {
         let now = self.recorder.now;
-        self.node.list_told(now, extent, lines, &mut self.recorder);
+        self.node.endpoints_changed(now, update, lines, &mut self.recorder);
     }
 
     fn list_answered(&mut self, now: Time, pushes: bool) {
         if self.chance(0.3) {
             if pushes {
-                self.node.list_failed(now, &mut self.recorder);
+                self.node.watch_failed(now, &mut self.recorder);
             }
             return;
         }
-        let lines: Vec<Listed> =
+        let lines: Vec<Endpoint> =
             self.lines().into_iter().filter(|line| line.condition != Condition::Gone).collect();
-        self.tell_list(Extent::Whole, &lines);
+        self.tell_list(ListUpdate::Complete, &lines);
     }
 
     fn list_changes(&mut self, now: Time) {
@@ -516,31 +518,31 @@
             self.add_host(now);
             changed.push(self.hosts.last().expect("a host was just added").0);
         }
-        self.tell_list(Extent::Changes, &changed);
+        self.tell_list(ListUpdate::Delta, &changed);
         self.after(Span::ms(1_500), Event::ListChanges);
     }
 
     /// The next process of the node takes over: what was open stays where it is, what waited is gone.
     fn replace_process(&mut self, now: Time) {
-        let legacy = self.node.legacy();
-        self.digest_legacy(&legacy);
+        let snapshot = self.node.snapshot();
+        self.digest_legacy(&snapshot);
         let seed = self.rng.generate::<u64>();
         self.queue.retain(|_, event| !matches!(event, Event::Alarm(_)));
         self.recorder.alarms.clear();
         self.node = Node::start(self.settings.clone(), seed, now, &mut self.recorder);
         let lines = self.lines();
-        self.tell_list(Extent::Whole, &lines);
-        self.node.inherit(&legacy);
-        self.node.elder_at(None, 0.0);
+        self.tell_list(ListUpdate::Complete, &lines);
+        self.node.restore(&snapshot);
+        self.node.set_predecessor_connections(None, 0.0);
         let clients = std::mem::take(&mut self.clients);
         for (_, client) in clients {
             let Some(host) = client.host.filter(|_| client.open) else { continue };
             let call = Call { id: CallId(self.next_call), mid_flow: true, ..client.call };
             self.next_call += 1;
-            self.node.connection_found(now, call, host);
+            self.node.existing_connection(now, call, host);
             self.clients.insert(call.id, Client { call, attempts: 1, host: Some(host), open: true });
             let lasts = self.span(500, 8_000);
-            self.after(lasts, Event::AttemptEnds(call.id, 0, Ending::Completed));
+            self.after(lasts, Event::AttemptEnds(call.id, 0, AttemptOutcome::Completed));
         }
     }
 
@@ -565,12 +567,12 @@
             self.clients.remove(&call);
         }
         for (call, attempt) in std::mem::take(&mut self.recorder.recalled) {
-            self.after(Span::ms(4), Event::AttemptEnds(call, attempt, Ending::Recalled));
+            self.after(Span::ms(4), Event::AttemptEnds(call, attempt, AttemptOutcome::Canceled));
         }
         for call in std::mem::take(&mut self.recorder.moved) {
             if let Some(client) = self.clients.get(&call) {
                 let attempt = client.attempts - 1;
-                self.after(Span::ms(25), Event::AttemptEnds(call, attempt, Ending::Completed));
+                self.after(Span::ms(25), Event::AttemptEnds(call, attempt, AttemptOutcome::Completed));
             }
         }
         for host in std::mem::take(&mut self.recorder.probed) {
@@ -596,23 +598,30 @@
                 self.after(took, Event::SetUp(call, attempt, took));
             }
             Behaviour::Well | Behaviour::Slow | Behaviour::Silent => {
-                self.after(within, Event::AttemptEnds(call, attempt, Ending::TimedOut));
+                self.after(within, Event::AttemptEnds(call, attempt, AttemptOutcome::TimedOut));
             }
             Behaviour::Breaks => {
                 self.after(took, Event::SetUp(call, attempt, took));
-                self.after(Span(took.0 + Span::ms(700).0), Event::AttemptEnds(call, attempt, Ending::Broken));
+                self.after(
+                    Span(took.0 + Span::ms(700).0),
+                    Event::AttemptEnds(call, attempt, AttemptOutcome::Broken),
+                );
+            }
+            Behaviour::Fails => {
+                self.after(Span::ms(8), Event::AttemptEnds(call, attempt, AttemptOutcome::Error))
+            }
+            Behaviour::Full => {
+                self.after(Span::ms(3), Event::AttemptEnds(call, attempt, AttemptOutcome::Rejected))
             }
-            Behaviour::Fails => self.after(Span::ms(8), Event::AttemptEnds(call, attempt, Ending::Error)),
-            Behaviour::Full => self.after(Span::ms(3), Event::AttemptEnds(call, attempt, Ending::Full)),
             Behaviour::Unreachable => {
-                self.after(Span::ms(2), Event::AttemptEnds(call, attempt, Ending::Unreachable));
+                self.after(Span::ms(2), Event::AttemptEnds(call, attempt, AttemptOutcome::Unreachable));
             }
         }
     }
 
     fn digest_state(&mut self) {
-        let legacy = self.node.legacy();
-        self.digest_legacy(&legacy);
+        let snapshot = self.node.snapshot();
+        self.digest_legacy(&snapshot);
         let avoided: Vec<u64> = self
             .hosts
             .iter()
@@ -623,9 +632,9 @@
         avoided.iter().for_each(|host| self.recorder.digest.add(*host));
     }
 
-    fn digest_legacy(&mut self, legacy: &Legacy) {
+    fn digest_legacy(&mut self, snapshot: &NodeSnapshot) {
         let digest = &mut self.recorder.digest;
-        for host in &legacy.hosts {
+        for host in &snapshot.hosts {
             digest.add(host.host.0);
             for number in [host.open, host.smoothed, host.strain, host.budget, host.held, host.answers] {
                 digest.add_float(number);
@@ -634,22 +643,22 @@
             digest.add_float(host.nominal.map_or(-1.0, |size| size.0));
             digest.add(u64::from(host.aside));
         }
-        let mut loads = legacy.loads.clone();
+        let mut loads = snapshot.loads.clone();
         loads.sort_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
         for (subject, load) in loads {
             digest.add(subject.0);
             digest.add_float(load);
         }
         let rates = [
-            legacy.mean_load,
-            legacy.arrival,
-            legacy.held,
-            legacy.usual_conns,
-            legacy.size,
-            legacy.usual_size,
-            legacy.setup,
+            snapshot.mean_load,
+            snapshot.arrival,
+            snapshot.held,
+            snapshot.usual_conns,
+            snapshot.size,
+            snapshot.usual_size,
+            snapshot.setup,
         ];
-        rates.iter().chain(&legacy.of_type).for_each(|number| digest.add_float(*number));
+        rates.iter().chain(&snapshot.of_type).for_each(|number| digest.add_float(*number));
     }
 
     fn digest_estate(&mut self, estate: &Estate) {
--- a/tests/lost_node.rs
+++ b/tests/lost_node.rs
@@ -30,7 +30,7 @@
 }
 
 enum Event {
-    Wake(usize, Token),
+    Wake(usize, TimerToken),
     Come(usize),
     Up(usize, CallId, AttemptNumber),
     Load(usize, CallId, AttemptNumber),
@@ -70,7 +70,7 @@
     Answer(CallId),
     Move(CallId),
     Probe(HostId),
-    Wake(Time, Token),
+    Wake(Time, TimerToken),
 }
 
 #[derive(Default)]
@@ -83,19 +83,19 @@
     fn reject(&mut self, call: CallId, _: Option<Span>) {
         self.0.push(Act::Answer(call));
     }
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.0.push(Act::Answer(call));
     }
-    fn recall(&mut self, _: CallId, _: AttemptNumber) {}
-    fn move_away(&mut self, call: CallId) {
+    fn cancel(&mut self, _: CallId, _: AttemptNumber) {}
+    fn migrate(&mut self, call: CallId) {
         self.0.push(Act::Move(call));
     }
     fn probe(&mut self, host: HostId) {
         self.0.push(Act::Probe(host));
     }
-    fn fetch_list(&mut self) {}
-    fn follow_list(&mut self) {}
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn fetch_endpoints(&mut self) {}
+    fn watch_endpoints(&mut self) {}
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.0.push(Act::Wake(time, token));
     }
 }
@@ -144,7 +144,7 @@
         reports_message_times: true,
         retry_after: None,
         poll_interval: None,
-        warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) },
+        slow_start: SlowStart { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) },
         retry_budget: None,
         start_uncertainty: Span::ZERO,
         cross_zone_price: 0.03,
@@ -202,8 +202,8 @@
     }
 
     fn list(&mut self) {
-        let lines: Vec<Listed> = (0..self.shape.hosts)
-            .map(|at| Listed {
+        let lines: Vec<Endpoint> = (0..self.shape.hosts)
+            .map(|at| Endpoint {
                 host: HostId(at as u64 + 1),
                 zone: Zone(0),
                 cell: Cell(0),
@@ -214,7 +214,7 @@
             })
             .collect();
         for at in 0..self.nodes.len() {
-            self.tell(at, |node, now, acts| node.list_told(now, Extent::Whole, &lines, acts));
+            self.tell(at, |node, now, acts| node.endpoints_changed(now, ListUpdate::Complete, &lines, acts));
         }
     }
 
@@ -287,24 +287,24 @@
                 }
                 Act::Move(call) => {
                     let Some(client) = self.calls[at].get(&call).map(|held| held.client) else { continue };
-                    self.end(client, Ending::Recalled);
+                    self.end(client, AttemptOutcome::Canceled);
                     self.comes_again(client);
                 }
                 Act::Probe(host) => {
-                    let how = Ending::Completed;
-                    self.tell(at, |node, now, acts| node.probe_ended(now, host, how, Span::ms(2), acts));
+                    let how = AttemptOutcome::Completed;
+                    self.tell(at, |node, now, acts| node.probe_finished(now, host, how, Span::ms(2), acts));
                 }
             }
         }
     }
 
     /// Its connection ends at its node and host.
-    fn end(&mut self, client: usize, ending: Ending) {
+    fn end(&mut self, client: usize, outcome: AttemptOutcome) {
         let Some((at, call)) = self.clients[client].at.take() else { return };
         (self.clients[client].open, self.clients[client].host) = (false, None);
         if let Some(held) = self.calls[at].remove(&call) {
             self.tell(at, |node, now, acts| {
-                node.attempt_ended(now, call, AttemptNumber(held.attempt - 1), ending, true, acts);
+                node.attempt_ended(now, call, AttemptNumber(held.attempt - 1), outcome, true, acts);
             });
         }
     }
@@ -333,7 +333,7 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Wake(at, token) => self.tell(at, |node, now, acts| node.woken(now, token, acts)),
+            Event::Wake(at, token) => self.tell(at, |node, now, acts| node.timer_fired(now, token, acts)),
             Event::Come(client) => self.come(client),
             Event::Up(at, call, attempt) => self.up(at, call, attempt),
             Event::Load(at, call, attempt) => {
@@ -350,12 +350,12 @@
                 };
                 self.hosts[held.host].setting_up = self.hosts[held.host].setting_up.saturating_sub(1);
                 self.tell(at, |node, now, acts| {
-                    node.attempt_ended(now, call, attempt, Ending::TimedOut, false, acts)
+                    node.attempt_ended(now, call, attempt, AttemptOutcome::TimedOut, false, acts)
                 });
             }
             Event::Bye(client, times) => {
                 if self.clients[client].times == times && self.clients[client].open {
-                    self.end(client, Ending::Completed);
+                    self.end(client, AttemptOutcome::Completed);
                     // Another takes its place, somewhere else, soon.
                     self.clients[client].wants = false;
                     self.new_client(500);
@@ -392,7 +392,7 @@
         };
         self.clients[client].at = Some((at, id));
         self.calls[at].insert(id, OneCall { client, attempt: 0, host: 0 });
-        self.tell(at, |node, now, acts| node.call_taken(now, call, acts));
+        self.tell(at, |node, now, acts| node.call_arrived(now, call, acts));
     }
 
     fn up(&mut self, at: usize, call: CallId, attempt: AttemptNumber) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone)]
 enum Due {
-    Alarm(Time, Token),
+    Alarm(Time, TimerToken),
     Attempt(CallId, HostId, Span),
 }
 
@@ -34,25 +34,25 @@
         let wait = if retry_after.is_some() { " wait" } else { "" };
         self.new.push((format!("reject {}{wait}", call.0), None));
     }
-    fn release(&mut self, call: CallId) {
+    fn fail(&mut self, call: CallId) {
         self.new.push((format!("release {}", call.0), None));
     }
-    fn recall(&mut self, call: CallId, attempt: AttemptNumber) {
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber) {
         self.new.push((format!("recall {} {}", call.0, attempt.0), None));
     }
-    fn move_away(&mut self, call: CallId) {
+    fn migrate(&mut self, call: CallId) {
         self.new.push((format!("move {}", call.0), None));
     }
     fn probe(&mut self, host: HostId) {
         self.new.push((format!("probe {}", self.name(host)), None));
     }
-    fn fetch_list(&mut self) {
+    fn fetch_endpoints(&mut self) {
         self.new.push(("fetch".into(), None));
     }
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.new.push(("follow".into(), None));
     }
-    fn wake_at(&mut self, time: Time, token: Token) {
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.new.push((format!("wake {}", token.0), Some(Due::Alarm(time, token))));
     }
 }
@@ -72,22 +72,22 @@
     /// How long hosts take to set an attempt up, where it is not 20 ms.
     setups: HashMap<HostId, Span>,
     /// What the process before left.
-    legacy: Legacy,
+    snapshot: NodeSnapshot,
 }
 
 fn seconds(text: &str) -> Span {
     Span::from_seconds(text.parse().unwrap_or_else(|_| panic!("{text:?} is no number of seconds")))
 }
 
-fn ending(text: &str) -> Ending {
+fn outcome(text: &str) -> AttemptOutcome {
     match text {
-        "completed" => Ending::Completed,
-        "error" => Ending::Error,
-        "full" => Ending::Full,
-        "timeout" => Ending::TimedOut,
-        "unreachable" => Ending::Unreachable,
-        "broken" => Ending::Broken,
-        "recalled" => Ending::Recalled,
+        "completed" => AttemptOutcome::Completed,
+        "error" => AttemptOutcome::Error,
+        "full" => AttemptOutcome::Rejected,
+        "timeout" => AttemptOutcome::TimedOut,
+        "unreachable" => AttemptOutcome::Unreachable,
+        "broken" => AttemptOutcome::Broken,
+        "recalled" => AttemptOutcome::Canceled,
         other => panic!("unknown ending {other:?}"),
     }
 }
@@ -129,7 +129,7 @@
         reports_message_times: !given.contains_key("unheard"),
         retry_after: given.get("come-back").map(|s| seconds(s)),
         poll_interval: given.get("ask-within").map(|s| seconds(s)),
-        warming: Warming { from: 0.2, after: Span::ms(20_000), multiple: 4.0, window: Span::ms(1000) },
+        slow_start: SlowStart { from: 0.2, after: Span::ms(20_000), multiple: 4.0, window: Span::ms(1000) },
         retry_budget: given.get("leg-budget").map(|text| {
             let (free, part) = text.split_once("+").unwrap();
             RetryBudget { free: free.parse().unwrap(), part: part.parse().unwrap(), span: Span::ms(10_000) }
@@ -183,7 +183,7 @@
                         &mut self.log,
                     );
                 } else {
-                    self.end(call, ending(&way), false);
+                    self.end(call, outcome(&way), false);
                 }
             }
         }
@@ -194,9 +194,9 @@
         self.due.insert((time.max(self.now + Span(1)), self.set), due);
     }
 
-    fn end(&mut self, call: CallId, ending: Ending, last: bool) {
+    fn end(&mut self, call: CallId, outcome: AttemptOutcome, last: bool) {
         let Some((attempt, _)) = self.attempts.remove(&call) else { return };
-        self.node.attempt_ended(self.now, call, AttemptNumber(attempt), ending, last, &mut self.log);
+        self.node.attempt_ended(self.now, call, AttemptNumber(attempt), outcome, last, &mut self.log);
     }
 
     fn run_to(&mut self, time: Time) {
@@ -204,8 +204,8 @@
             let due = self.due.remove(&(at, set)).unwrap();
             self.now = at;
             match due {
-                Due::Alarm(_, token) => self.node.woken(at, token, &mut self.log),
-                Due::Attempt(call, ..) => self.end(call, Ending::TimedOut, false),
+                Due::Alarm(_, token) => self.node.timer_fired(at, token, &mut self.log),
+                Due::Attempt(call, ..) => self.end(call, AttemptOutcome::TimedOut, false),
             }
             self.settle();
         }
@@ -243,9 +243,9 @@
         }
     }
 
-    fn line(&mut self, host: &str, condition: Condition, given: &HashMap<&str, &str>) -> Listed {
+    fn line(&mut self, host: &str, condition: Condition, given: &HashMap<&str, &str>) -> Endpoint {
         let number = |key: &str, absent: f64| given.get(key).map_or(absent, |n| n.parse().unwrap());
-        Listed {
+        Endpoint {
             host: self.host(host),
             zone: Zone(number("zone", 0.0) as u16),
             cell: Cell(number("cell", 0.0) as u16),
@@ -275,19 +275,19 @@
                     _ => Condition::Gone,
                 };
                 let lines: Vec<_> = hosts.split(',').map(|host| self.line(host, condition, &given)).collect();
-                self.node.list_told(self.now, Extent::Changes, &lines, &mut self.log);
+                self.node.endpoints_changed(self.now, ListUpdate::Delta, &lines, &mut self.log);
             }
             ["heir", ..] => {
-                self.legacy = self.node.legacy();
+                self.snapshot = self.node.snapshot();
                 (self.due, self.attempts, self.log.new) = Default::default();
                 self.node = Node::start(settings(words), 7, self.now, &mut self.log);
             }
-            ["inherits"] => self.node.inherit(&self.legacy),
+            ["inherits"] => self.node.restore(&self.snapshot),
             ["elder", host, open] => {
                 let host = self.host(host);
-                self.node.elder_at(Some(host), open.parse().unwrap());
+                self.node.set_predecessor_connections(Some(host), open.parse().unwrap());
             }
-            ["list", "failed"] => self.node.list_failed(self.now, &mut self.log),
+            ["list", "failed"] => self.node.watch_failed(self.now, &mut self.log),
             ["host", host, way] => {
                 let host = self.host(host);
                 self.ways.insert(host, (*way).to_owned());
@@ -297,21 +297,21 @@
                 for id in self.calls(calls) {
                     self.attempts.insert(id, (0, host));
                     self.sent.insert(id, 1);
-                    self.node.connection_found(self.now, self.call(id, &given), host);
+                    self.node.existing_connection(self.now, self.call(id, &given), host);
                 }
             }
             ["call", calls, ..] => {
                 for id in self.calls(calls) {
-                    self.node.call_taken(self.now, self.call(id, &given), &mut self.log);
+                    self.node.call_arrived(self.now, self.call(id, &given), &mut self.log);
                     self.settle();
                 }
             }
             ["end", calls, how, ..] => {
                 for id in self.calls(calls) {
-                    self.end(id, ending(how), words.contains(&"final"));
+                    self.end(id, outcome(how), words.contains(&"final"));
                 }
             }
-            ["leave", call] => self.node.call_given_up(self.now, self.calls(call)[0], &mut self.log),
+            ["leave", call] => self.node.client_left(self.now, self.calls(call)[0], &mut self.log),
             ["load", calls, load] => {
                 for id in self.calls(calls) {
                     let news = News::Load(load.parse().unwrap());
@@ -342,7 +342,7 @@
             ["probed", host, how] => {
                 let host = self.host(host);
                 let took = self.setups.get(&host).copied().unwrap_or(Span::ms(20));
-                self.node.probe_ended(self.now, host, ending(how), took, &mut self.log);
+                self.node.probe_finished(self.now, host, outcome(how), took, &mut self.log);
             }
             ["forget"] => self.done.clear(),
             ["expect", pattern @ .., "times", least, most] => {
@@ -429,7 +429,7 @@
             attempts: BTreeMap::new(),
             sent: HashMap::new(),
             setups: HashMap::new(),
-            legacy: Legacy::default(),
+            snapshot: NodeSnapshot::default(),
         };
         player.settle();
         for words in part.iter().filter(|words| !words.is_empty()) {
