--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use glendeck_fleet::charter::{Charter, Plan};
+use glendeck_fleet::policy::{FleetPolicy, Plan};
 
 use crate::Failure;
 
@@ -16,16 +16,16 @@
     read(path)
 }
 
-pub fn charter(path: &Path) -> Result<Charter, Failure> {
-    let charter: Charter = read(path)?;
-    charter.check().map_err(|fault| Failure::Wrong(format!("{}: {fault}", path.display())))?;
-    Ok(charter)
+pub fn policy(path: &Path) -> Result<FleetPolicy, Failure> {
+    let policy: FleetPolicy = read(path)?;
+    policy.check().map_err(|fault| Failure::Wrong(format!("{}: {fault}", path.display())))?;
+    Ok(policy)
 }
 
 /// What a plan would do to a fleet, a wave a line.
-pub fn waves(plan: &Plan, charter: &Charter) -> Result<String, Failure> {
-    plan.check(charter).map_err(|fault| Failure::Wrong(fault.to_string()))?;
-    let lines = plan.split(charter).into_iter().enumerate().map(|(at, wave)| {
+pub fn waves(plan: &Plan, policy: &FleetPolicy) -> Result<String, Failure> {
+    plan.check(policy).map_err(|fault| Failure::Wrong(fault.to_string()))?;
+    let lines = plan.split(policy).into_iter().enumerate().map(|(at, wave)| {
         let names: Vec<String> = wave.iter().map(ToString::to_string).collect();
         format!("wave {}: {}", at + 1, names.join(" "))
     });
@@ -34,15 +34,15 @@
 
 pub fn any(path: &Path, fleet: Option<&Path>) -> Result<String, Failure> {
     if let Some(fleet) = fleet {
-        return waves(&plan(path)?, &charter(fleet)?);
+        return waves(&plan(path)?, &policy(fleet)?);
     }
     let text = std::fs::read_to_string(path).unwrap_or_default();
     if text.lines().any(|line| line.trim_start().starts_with("version")) {
         plan(path)?;
         return Ok("a release; name its fleet with --fleet to see its waves".into());
     }
-    let charter = charter(path)?;
-    let of = charter.units.len() as u32;
-    let room = charter.limits.fleet.room(of);
-    Ok(format!("a fleet of {of} units with {} voters; at most {room} out at once", charter.voters.len()))
+    let policy = policy(path)?;
+    let of = policy.units.len() as u32;
+    let room = policy.limits.fleet.room(of);
+    Ok(format!("a fleet of {of} units with {} voters; at most {room} out at once", policy.voters.len()))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -208,8 +208,8 @@
         }
         What::Activate { node } => order("/v1/fleet/activate", json!({"unit": node})),
         What::Release(OfRelease::Check { plan, fleet }) => {
-            let (plan, charter) = (check::plan(plan)?, check::charter(fleet)?);
-            println!("{}", check::waves(&plan, &charter)?);
+            let (plan, policy) = (check::plan(plan)?, check::policy(fleet)?);
+            println!("{}", check::waves(&plan, &policy)?);
             Ok(())
         }
         What::Release(OfRelease::Start { plan }) => {
@@ -276,8 +276,8 @@
             println!("{text}");
             before = text;
         }
-        let course = &status["state"]["release"]["course"];
-        match (course.as_str(), course.get("Halted")) {
+        let release_state = &status["state"]["release"]["course"];
+        match (release_state.as_str(), release_state.get("Halted")) {
             (Some("Finished"), _) => return Ok(()),
             (_, Some(why)) => {
                 return Err(Failure::Refused(format!("halted: {}", why.as_str().unwrap_or_default())));
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -39,11 +39,11 @@
 /// Hosts that are out, by the list or by the group.
 pub fn hosts(status: &Value) -> String {
     let hosts = status["state"]["hosts"].as_object().cloned().unwrap_or_default();
-    let emptying = status["emptying"].as_array().cloned().unwrap_or_default();
+    let draining_hosts = status["emptying"].as_array().cloned().unwrap_or_default();
     let line = |name: &String, host: &Value| {
         let listed = host["listed"].as_str().unwrap_or_default().to_lowercase();
         let held = &host["held"];
-        let of = emptying.iter().find(|of| of["host"] == name.as_str()).cloned().unwrap_or_default();
+        let of = draining_hosts.iter().find(|of| of["host"] == name.as_str()).cloned().unwrap_or_default();
         let hold = match held["hold"].as_str() {
             None => "not held out".to_owned(),
             Some("Returning") => format!("taken back, not heard by all yet; permit {}", held["permit"]),
@@ -101,10 +101,10 @@
     if release.is_null() {
         return "no release".into();
     }
-    let course = &release["course"];
-    let course = match course.as_str() {
-        Some(course) => course.to_lowercase(),
-        None => format!("halted: {}", course["Halted"].as_str().unwrap_or_default()),
+    let release_state = &release["course"];
+    let release_state = match release_state.as_str() {
+        Some(release_state) => release_state.to_lowercase(),
+        None => format!("halted: {}", release_state["Halted"].as_str().unwrap_or_default()),
     };
     let back = if release["back"].is_null() { "" } else { ", leading back" };
     let waves = release["waves"].as_array().map_or(0, Vec::len);
@@ -121,7 +121,7 @@
         .collect();
     let out = if out.is_empty() { "nobody".into() } else { out.join("; ") };
     format!(
-        "release {} to {}{back}: {course}; wave {} of {waves}, {} of {all} units done; out: {out}",
+        "release {} to {}{back}: {release_state}; wave {} of {waves}, {} of {all} units done; out: {out}",
         release["number"],
         release["plan"]["version"].as_str().unwrap_or_default(),
         wave.min(waves as u64),
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/consensus.rs
@@ -14,14 +14,14 @@
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::state::{Command, Entry, Seat};
-use crate::{Key, Saved, Write, bytes};
+use crate::state::{Command, Entry, VoterSlot};
+use crate::{StoreKey, StoreWrite, StoredState, bytes};
 
 impl omnipaxos::storage::Entry for Entry {
     type Snapshot = NoSnapshot;
 }
 
-pub type Letter = EngineMessage<Entry>;
+pub type ConsensusMessage = EngineMessage<Entry>;
 
 #[derive(Default)]
 struct Memory {
@@ -31,13 +31,13 @@
     decided: usize,
     stop: Option<StopSign>,
     /// What is not on disk yet.
-    writes: Vec<Write>,
+    writes: Vec<StoreWrite>,
 }
 
 impl Memory {
     fn note(&mut self, from: usize) {
         for at in from..self.log.len() {
-            self.writes.push(Write::Log(at as u64, bytes(&self.log[at])));
+            self.writes.push(StoreWrite::Log(at as u64, bytes(&self.log[at])));
         }
     }
 }
@@ -79,7 +79,7 @@
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Entry>) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.log.truncate(from);
-        memory.writes.push(Write::Cut(from as u64));
+        memory.writes.push(StoreWrite::Cut(from as u64));
         memory.log.extend(entries);
         memory.note(from);
         Ok(())
@@ -88,14 +88,14 @@
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.promise = Some(ballot);
-        memory.writes.push(Write::Put(Key::Promise, bytes(&ballot)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Promise, bytes(&ballot)));
         Ok(())
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.decided = decided;
-        memory.writes.push(Write::Put(Key::Decided, bytes(&decided)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Decided, bytes(&decided)));
         Ok(())
     }
 
@@ -106,7 +106,7 @@
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.accepted = Some(ballot);
-        memory.writes.push(Write::Put(Key::Accepted, bytes(&ballot)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Accepted, bytes(&ballot)));
         Ok(())
     }
 
@@ -173,7 +173,7 @@
 pub enum Decided {
     Entry(Entry),
     /// The epoch is over; the next has these seats.
-    Reseat(Vec<Seat>),
+    Reconfigure(Vec<VoterSlot>),
 }
 
 /// A tick is 100 ms: heartbeats go out and are judged every 0.5 s. A loaded machine lets a process wait for a few
@@ -182,8 +182,8 @@
 pub const TICK_MS: u64 = 100;
 
 pub struct Voter {
-    pub seat: u64,
-    engine: Engine,
+    pub voter_slot: u64,
+    consensus: Engine,
     memory: Shared,
     /// Decided entries handed out so far.
     read: usize,
@@ -192,48 +192,48 @@
 
 impl Voter {
     /// Takes up a seat with what its store holds of this epoch.
-    pub fn new(epoch: u32, seat: u64, seats: &[Seat], saved: &Saved) -> Voter {
+    pub fn new(epoch: u32, voter_slot: u64, voter_slots: &[VoterSlot], saved: &StoredState) -> Voter {
         let memory = Memory {
             log: saved.log.iter().map_while(|entry| postcard::from_bytes(entry).ok()).collect(),
-            promise: saved.value(Key::Promise),
-            accepted: saved.value(Key::Accepted),
-            decided: saved.value(Key::Decided).unwrap_or(0),
+            promise: saved.value(StoreKey::Promise),
+            accepted: saved.value(StoreKey::Accepted),
+            decided: saved.value(StoreKey::Decided).unwrap_or(0),
             stop: None,
             writes: Vec::new(),
         };
         let memory = Shared(Rc::new(RefCell::new(memory)));
-        let nodes: Vec<u64> = seats.iter().map(|seat| seat.number).collect();
+        let nodes: Vec<u64> = voter_slots.iter().map(|voter_slot| voter_slot.number).collect();
         let config = OmniPaxosConfig {
             cluster_config: ClusterConfig { configuration_id: epoch, nodes, flexible_quorum: None },
             server_config: ServerConfig {
-                pid: seat,
+                pid: voter_slot,
                 election_tick_timeout: ELECTION_TICKS,
                 resend_message_tick_timeout: ELECTION_TICKS,
                 ..ServerConfig::default()
             },
         };
-        let engine = match config.build(memory.clone()) {
-            Ok(engine) if seats.len() > 1 => Engine::Many(Box::new(engine)),
+        let consensus = match config.build(memory.clone()) {
+            Ok(consensus) if voter_slots.len() > 1 => Engine::Many(Box::new(consensus)),
             _ => Engine::Alone,
         };
-        Voter { seat, engine, memory, read: 0, stopped: false }
+        Voter { voter_slot, consensus, memory, read: 0, stopped: false }
     }
 
     pub fn tick(&mut self) {
-        if let Engine::Many(engine) = &mut self.engine {
-            engine.tick();
+        if let Engine::Many(consensus) = &mut self.consensus {
+            consensus.tick();
         }
     }
 
-    pub fn take(&mut self, letter: Letter) {
-        if let EngineMessage::SequencePaxos(paxos) = &letter
+    pub fn take(&mut self, consensus_message: ConsensusMessage) {
+        if let EngineMessage::SequencePaxos(paxos) = &consensus_message
             && let PaxosMsg::AcceptSync(sync) = &paxos.msg
             && self.is_stale(sync)
         {
             return;
         }
-        if let Engine::Many(engine) = &mut self.engine {
-            engine.handle_incoming(letter);
+        if let Engine::Many(consensus) = &mut self.consensus {
+            consensus.handle_incoming(consensus_message);
         }
     }
 
@@ -249,49 +249,49 @@
     }
 
     /// What was under way to that seat may be lost.
-    pub fn reconnected(&mut self, seat: u64) {
-        if let Engine::Many(engine) = &mut self.engine {
-            engine.reconnected(seat);
+    pub fn reconnected(&mut self, voter_slot: u64) {
+        if let Engine::Many(consensus) = &mut self.consensus {
+            consensus.reconnected(voter_slot);
         }
     }
 
     pub fn propose(&mut self, entry: Entry) {
-        match &mut self.engine {
+        match &mut self.consensus {
             Engine::Alone if !self.stopped => {
                 let _ = self.memory.append_entry(entry);
             }
             Engine::Alone => {}
-            Engine::Many(engine) => drop(engine.append(entry)),
+            Engine::Many(consensus) => drop(consensus.append(entry)),
         }
     }
 
     /// Ends the epoch; the next has these seats. Danger: the library's own stop sign (0.2.4) counts twice where its
     /// follower's round is begun anew after it, and decided entries are passed over. An entry like any other ends an
     /// epoch here: what stands behind it in the log is void, for everyone alike.
-    pub fn reseat(&mut self, seats: &[Seat]) {
-        self.propose(Entry { id: None, command: Command::Reseat { seats: seats.to_vec() } });
+    pub fn reseat(&mut self, voter_slots: &[VoterSlot]) {
+        self.propose(Entry { id: None, command: Command::Reconfigure { voter_slots: voter_slots.to_vec() } });
     }
 
     /// It leads, and a majority follows as far as it knows.
     pub fn leads(&self) -> bool {
-        match &self.engine {
+        match &self.consensus {
             Engine::Alone => true,
-            Engine::Many(engine) => engine.get_current_leader() == Some((self.seat, true)),
+            Engine::Many(consensus) => consensus.get_current_leader() == Some((self.voter_slot, true)),
         }
     }
 
     pub fn leader(&self) -> Option<u64> {
-        match &self.engine {
-            Engine::Alone => Some(self.seat),
-            Engine::Many(engine) => engine.get_current_leader().map(|(leader, _)| leader),
+        match &self.consensus {
+            Engine::Alone => Some(self.voter_slot),
+            Engine::Many(consensus) => consensus.get_current_leader().map(|(leader, _)| leader),
         }
     }
 
     /// Something is accepted here that is not decided.
     pub fn has_undecided(&self) -> bool {
-        match &self.engine {
+        match &self.consensus {
             Engine::Alone => false,
-            Engine::Many(engine) => engine.get_accepted_idx() > engine.get_decided_idx(),
+            Engine::Many(consensus) => consensus.get_accepted_idx() > consensus.get_decided_idx(),
         }
     }
 
@@ -301,18 +301,18 @@
 
     /// What must be on disk before anything of this step leaves. Where only the decided index has changed there is
     /// nothing to wait for: lost, it is found out again.
-    pub fn take_writes(&mut self) -> (Vec<Write>, bool) {
+    pub fn take_writes(&mut self) -> (Vec<StoreWrite>, bool) {
         let writes = std::mem::take(&mut self.memory.0.borrow_mut().writes);
-        let binds = writes.iter().any(|write| !matches!(write, Write::Put(Key::Decided, _)));
+        let binds = writes.iter().any(|write| !matches!(write, StoreWrite::Put(StoreKey::Decided, _)));
         (writes, binds)
     }
 
-    pub fn take_letters(&mut self) -> Vec<Letter> {
-        let mut letters = Vec::new();
-        if let Engine::Many(engine) = &mut self.engine {
-            engine.take_outgoing_messages(&mut letters);
+    pub fn take_messages(&mut self) -> Vec<ConsensusMessage> {
+        let mut consensus_messages = Vec::new();
+        if let Engine::Many(consensus) = &mut self.consensus {
+            consensus.take_outgoing_messages(&mut consensus_messages);
         }
-        letters
+        consensus_messages
     }
 
     /// What has been decided since the last time. To be asked only when all writes so far are on disk.
@@ -320,10 +320,10 @@
         if self.stopped {
             return vec![];
         }
-        let entries: Vec<Entry> = match &self.engine {
+        let entries: Vec<Entry> = match &self.consensus {
             Engine::Alone => self.memory.0.borrow().log[self.read..].to_vec(),
-            Engine::Many(engine) => {
-                let entries = engine.read_decided_suffix(self.read).unwrap_or_default().into_iter();
+            Engine::Many(consensus) => {
+                let entries = consensus.read_decided_suffix(self.read).unwrap_or_default().into_iter();
                 entries
                     .map_while(|entry| if let LogEntry::Decided(entry) = entry { Some(entry) } else { None })
                     .collect()
@@ -332,8 +332,8 @@
         let mut decided = Vec::new();
         for entry in entries {
             self.read += 1;
-            if let Command::Reseat { seats } = entry.command {
-                decided.push(Decided::Reseat(seats));
+            if let Command::Reconfigure { voter_slots } = entry.command {
+                decided.push(Decided::Reconfigure(voter_slots));
                 self.stopped = true;
                 break;
             }
--- a/crates/fleet/src/plant.rs
+++ b/crates/fleet/src/fault_injection.rs
@@ -1,15 +1,15 @@
-//! Faults planted on purpose: a checker counts only once it has caught them. Without the feature `planted`, which only
+//! Faults injected on purpose: a checker counts only once it has caught them. Without the feature `injected`, which only
 //! tests switch on, there is none.
 
 /// What may be made wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// Limits do not count what is lost unplanned.
     LostNotCounted,
     /// A release's turns are granted while it is halted.
     TurnWhileHalted,
-    /// A permit that is no longer in force lets its unit begin.
-    OldPermitBegins,
+    /// A lease that is no longer in force lets its unit begin.
+    OldLeaseBegins,
     /// A halted release's units may still begin.
     HaltForgotten,
     /// After a loss of all processes a release goes on by itself.
@@ -32,23 +32,23 @@
     HostBackAtOnce,
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
+    static PLANTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a fault on this thread, or none.
-#[cfg(feature = "planted")]
-pub fn plant(fault: Option<Plant>) {
+#[cfg(feature = "fault-injection")]
+pub fn inject(fault: Option<InjectedFault>) {
     PLANTED.set(fault);
 }
 
-#[cfg(feature = "planted")]
-pub(crate) fn planted(fault: Plant) -> bool {
+#[cfg(feature = "fault-injection")]
+pub(crate) fn is_injected(fault: InjectedFault) -> bool {
     PLANTED.get() == Some(fault)
 }
 
-#[cfg(not(feature = "planted"))]
-pub(crate) fn planted(_: Plant) -> bool {
+#[cfg(not(feature = "fault-injection"))]
+pub(crate) fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/crates/fleet/src/hosts.rs
+++ b/crates/fleet/src/hosts.rs
@@ -7,11 +7,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Moment;
-use crate::charter::{HostSettings, Place, UnitName, scopes};
+use crate::Timestamp;
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::group::{Action, Fleet};
-use crate::plant::{Plant, planted};
-use crate::state::{Answer, Cause, Command, Permit, State, done, refused};
+use crate::policy::{HostSettings, Place, UnitName, scopes};
+use crate::state::{Cause, Command, CommandResult, Lease, State, done, refused};
 
 /// A host that was out counts as back after the list has shown it ready for so long; as long as a node that was lost.
 const READY_MS: u64 = 5_000;
@@ -32,7 +32,7 @@
 
 /// How far a host that is held out has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Hold {
+pub enum HoldState {
     /// Nodes open nothing new there, and what stands is eased off.
     Out,
     /// Every node has said that it holds nothing there. Whether that is still so is the leader's to say, [`Fleet::may_stop`]:
@@ -43,28 +43,29 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    pub permit: Permit,
+pub struct HostHold {
+    #[serde(rename = "permit")]
+    pub lease: Lease,
     pub cause: Cause,
-    pub hold: Hold,
+    pub hold: HoldState,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     pub place: Place,
     pub listed: EndpointState,
-    pub held: Option<Held>,
+    pub held: Option<HostHold>,
 }
 
 impl Host {
     pub fn is_out(&self) -> bool {
-        let listed_out = self.listed != EndpointState::Ready && !planted(Plant::ListNotCounted);
+        let listed_out = self.listed != EndpointState::Ready && !is_injected(InjectedFault::ListNotCounted);
         listed_out || self.held.is_some()
     }
 
     /// Nodes are to keep away from it.
     pub fn is_wanted_out(&self) -> bool {
-        self.held.is_some_and(|held| held.hold != Hold::Returning)
+        self.held.is_some_and(|held| held.hold != HoldState::Returning)
     }
 }
 
@@ -78,7 +79,7 @@
 impl State {
     /// Whether one more host may go out, or which limit stands against it.
     fn host_room(&self, name: &UnitName, host: &Host) -> Result<(), String> {
-        let settings = self.charter.as_ref().and_then(|charter| charter.hosts.as_ref());
+        let settings = self.policy.as_ref().and_then(|policy| policy.hosts.as_ref());
         let Some(settings) = settings else { return Err("the charter has no section for hosts".into()) };
         if host.held.is_some() {
             return Err(format!("{name} is out already"));
@@ -96,28 +97,28 @@
         Ok(())
     }
 
-    fn hold_host(&mut self, name: &UnitName, cause: Cause) -> Permit {
-        let permit = Permit(self.next_permit);
-        self.next_permit += 1;
+    fn hold_host(&mut self, name: &UnitName, cause: Cause) -> Lease {
+        let lease = Lease(self.next_lease);
+        self.next_lease += 1;
         if let Some(host) = self.hosts.get_mut(name) {
-            host.held = Some(Held { permit, cause, hold: Hold::Out });
+            host.held = Some(HostHold { lease, cause, hold: HoldState::Out });
         }
-        permit
+        lease
     }
 
-    pub(crate) fn drain_host(&mut self, name: &UnitName) -> Answer {
+    pub(crate) fn drain_host(&mut self, name: &UnitName) -> CommandResult {
         let Some(host) = self.hosts.get(name) else { return refused(format!("no unit or host {name}")) };
         match self.host_room(name, host) {
             Ok(()) => {
-                let permit = self.hold_host(name, Cause::Drain);
-                done(format!("{name} is eased off, permit {}", permit.0))
+                let lease = self.hold_host(name, Cause::Drain);
+                done(format!("{name} is eased off, permit {}", lease.0))
             }
             Err(why) => refused(why),
         }
     }
 
     /// Beyond the limits; the caller has seen to it that nothing else is.
-    pub(crate) fn hold_host_beyond(&mut self, name: &UnitName) -> Result<Permit, String> {
+    pub(crate) fn hold_host_beyond(&mut self, name: &UnitName) -> Result<Lease, String> {
         match self.hosts.get(name) {
             Some(host) if host.held.is_none() => Ok(self.hold_host(name, Cause::Override)),
             Some(_) => Err(format!("{name} is out already")),
@@ -125,12 +126,12 @@
         }
     }
 
-    pub(crate) fn activate_host(&mut self, name: &UnitName) -> Answer {
+    pub(crate) fn activate_host(&mut self, name: &UnitName) -> CommandResult {
         let Some(host) = self.hosts.get_mut(name) else { return refused(format!("no unit or host {name}")) };
         match &mut host.held {
-            Some(held) if held.hold != Hold::Returning => {
-                held.hold = Hold::Returning;
-                if planted(Plant::HostBackAtOnce) {
+            Some(held) if held.hold != HoldState::Returning => {
+                held.hold = HoldState::Returning;
+                if is_injected(InjectedFault::HostBackAtOnce) {
                     host.held = None;
                 }
                 done(format!("{name} is used again"))
@@ -139,7 +140,7 @@
         }
     }
 
-    pub(crate) fn take_lines(&mut self, lines: &[HostLine]) -> Answer {
+    pub(crate) fn take_lines(&mut self, lines: &[HostLine]) -> CommandResult {
         for HostLine { host, said } in lines {
             match said {
                 Some((place, listed)) => {
@@ -153,21 +154,21 @@
         done("noted")
     }
 
-    pub(crate) fn emptied(&mut self, name: &UnitName, permit: Permit) -> Answer {
+    pub(crate) fn emptied(&mut self, name: &UnitName, lease: Lease) -> CommandResult {
         let held = self.hosts.get_mut(name).and_then(|host| host.held.as_mut());
-        match held.filter(|held| held.permit == permit && held.hold == Hold::Out) {
+        match held.filter(|held| held.lease == lease && held.hold == HoldState::Out) {
             Some(held) => {
-                held.hold = Hold::Empty;
+                held.hold = HoldState::Empty;
                 done(format!("{name} may stop"))
             }
             None => refused("it stands otherwise by now"),
         }
     }
 
-    pub(crate) fn host_back(&mut self, name: &UnitName, permit: Permit) -> Answer {
+    pub(crate) fn host_back(&mut self, name: &UnitName, lease: Lease) -> CommandResult {
         let Some(host) = self.hosts.get_mut(name) else { return refused(format!("no host {name}")) };
         match host.held {
-            Some(held) if held.permit == permit && held.hold == Hold::Returning => {
+            Some(held) if held.lease == lease && held.hold == HoldState::Returning => {
                 host.held = None;
                 done(format!("{name} is back"))
             }
@@ -176,7 +177,7 @@
     }
 
     fn host_settings(&self) -> Option<&HostSettings> {
-        self.charter.as_ref()?.hosts.as_ref()
+        self.policy.as_ref()?.hosts.as_ref()
     }
 }
 
@@ -184,7 +185,7 @@
 #[derive(Default)]
 pub struct Listing {
     /// Of each host, what is said of it and since when.
-    lines: BTreeMap<UnitName, (Place, EndpointState, Moment)>,
+    lines: BTreeMap<UnitName, (Place, EndpointState, Timestamp)>,
     /// It is told of changes now. Danger: a list that stands still shows a deploy's first host only.
     fresh: bool,
 }
@@ -192,14 +193,14 @@
 /// What the leader remembers of hosts.
 #[derive(Default)]
 pub struct HostWatch {
-    looked: Option<Moment>,
+    looked: Option<Timestamp>,
     /// How each held host stands, and how far the log was then.
-    stands: BTreeMap<UnitName, (Held, u64)>,
+    stands: BTreeMap<UnitName, (HostHold, u64)>,
 }
 
 /// A host on its way out, as its leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Emptying<'a> {
+pub struct DrainingHost<'a> {
     pub host: &'a UnitName,
     /// Nodes that hold connections there, and how many.
     pub held_by: BTreeMap<&'a UnitName, u32>,
@@ -210,7 +211,7 @@
 
 impl Fleet {
     /// The whole list as the node has it now.
-    pub fn hosts_listed(&mut self, now: Moment, lines: Vec<(UnitName, Place, EndpointState)>) {
+    pub fn hosts_listed(&mut self, now: Timestamp, lines: Vec<(UnitName, Place, EndpointState)>) {
         self.now = now;
         let mut before = std::mem::take(&mut self.listing.lines);
         for (name, place, listed) in lines {
@@ -228,14 +229,14 @@
     }
 
     /// The list's service does not answer: what is known may be old.
-    pub fn list_lost(&mut self, now: Moment) {
+    pub fn list_lost(&mut self, now: Timestamp) {
         self.now = now;
         self.listing.fresh = false;
     }
 
     /// Whether an order that asks for a host may be put to the group now.
     pub(crate) fn may_hold_hosts(&self) -> bool {
-        self.listing.fresh || planted(Plant::ListNotCounted)
+        self.listing.fresh || is_injected(InjectedFault::ListNotCounted)
     }
 
     /// Tells the node which hosts to keep away from, and how fast to leave them, if that has changed.
@@ -257,7 +258,7 @@
             if !first {
                 // Danger: what the node has counted so far was counted while it still went there.
                 self.holds_count = false;
-                self.actions.push(Action::KeepFrom { hosts: out, every_ms });
+                self.actions.push(Action::AvoidHosts { hosts: out, every_ms });
             }
         }
     }
@@ -276,11 +277,11 @@
         }
         for (name, (held, applied)) in self.host_watch.stands.clone() {
             match held.hold {
-                Hold::Out if self.is_empty(&name, applied) => {
-                    self.propose_own(Command::Emptied { host: name, permit: held.permit });
+                HoldState::Out if self.is_empty(&name, applied) => {
+                    self.propose_own(Command::MarkHostEmpty { host: name, lease: held.lease });
                 }
-                Hold::Returning if self.all_have(applied) => {
-                    self.propose_own(Command::HostBack { host: name, permit: held.permit });
+                HoldState::Returning if self.all_have(applied) => {
+                    self.propose_own(Command::MarkHostReturned { host: name, lease: held.lease });
                 }
                 _ => {}
             }
@@ -327,19 +328,19 @@
             }
         }
         if !lines.is_empty() {
-            self.propose_own(Command::Hosts { lines });
+            self.propose_own(Command::UpdateHosts { lines });
         }
     }
 
     /// Every unit has said, knowing that the host is held out, that it holds nothing there.
     fn is_empty(&self, host: &UnitName, applied: u64) -> bool {
         self.state.units.iter().all(|(name, unit)| {
-            let passed_over = unit.dead || (unit.lost && planted(Plant::EmptyWithoutLost));
+            let passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyWithoutLost));
             let says = self.fresh(name).is_some_and(|heard| {
                 let none = |holds: &Vec<(UnitName, u32)>| !holds.iter().any(|(of, _)| of == host);
                 // Danger: one that knows more than this leader may use the host again, and has nothing to say of it.
-                let as_here = (applied..=self.state.applied).contains(&heard.beat.have.applied);
-                as_here && heard.beat.holds.as_ref().is_some_and(none)
+                let as_here = (applied..=self.state.applied).contains(&heard.heartbeat.have.applied);
+                as_here && heard.heartbeat.holds.as_ref().is_some_and(none)
             });
             passed_over || says
         })
@@ -348,9 +349,9 @@
     /// The host may stop: the group found it empty, and by all that is heard now it is.
     pub fn may_stop(&self, host: &UnitName) -> bool {
         let stands = self.host_watch.stands.get(host);
-        let known = stands.filter(|(held, _)| held.hold == Hold::Empty);
+        let known = stands.filter(|(held, _)| held.hold == HoldState::Empty);
         let agreed = self.state.hosts.get(host).and_then(|host| host.held).map(|held| held.hold);
-        let sound = self.leads() && self.hears_majority() && agreed == Some(Hold::Empty);
+        let sound = self.leads() && self.hears_majority() && agreed == Some(HoldState::Empty);
         sound && known.is_some_and(|(_, applied)| self.is_empty(host, *applied))
     }
 
@@ -358,21 +359,27 @@
     /// spares it.
     fn all_have(&self, applied: u64) -> bool {
         self.state.units.iter().all(|(name, unit)| {
-            unit.lost || self.fresh(name).is_some_and(|heard| heard.beat.have.applied >= applied)
+            unit.lost || self.fresh(name).is_some_and(|heard| heard.heartbeat.have.applied >= applied)
         })
     }
 
     /// Who still holds what at hosts that are to be empty.
-    pub(crate) fn emptying(&self) -> Vec<Emptying<'_>> {
+    pub(crate) fn draining_hosts(&self) -> Vec<DrainingHost<'_>> {
         if !self.leads() {
             return vec![];
         }
         let of = |host| {
             let holds = |name| {
                 let heard = self.fresh(name)?;
-                heard.beat.holds.iter().flatten().find(|(of, _)| of == host).map(|(_, count)| (name, *count))
+                heard
+                    .heartbeat
+                    .holds
+                    .iter()
+                    .flatten()
+                    .find(|(of, _)| of == host)
+                    .map(|(_, count)| (name, *count))
             };
-            Emptying {
+            DrainingHost {
                 host,
                 held_by: self.state.units.keys().filter_map(holds).collect(),
                 not_heard: self
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,48 +1,48 @@
 //! What a fleet of nodes decides together: who may be out, releases in waves, halts and the way back.
 //!
 //! No I/O and no clock: [`Fleet`] is told what happened and when, and says what is to be done. The same events give
-//! the same actions, to the byte. [`state::State`] is what is agreed; [`engine::Voter`] is one seat of the agreed log,
+//! the same actions, to the byte. [`state::State`] is what is agreed; [`consensus::Voter`] is one seat of the agreed log,
 //! on the library `omnipaxos`; `docs/fleet.md` says what is promised.
 
-pub mod charter;
-pub mod engine;
+pub mod consensus;
+pub mod fault_injection;
 mod group;
 pub mod hosts;
+mod leader_state;
 mod member;
 pub mod message;
-pub mod plant;
+pub mod policy;
 pub mod state;
-mod steward;
 
-pub use group::{Action, Facts, Fleet, LONGEST_LOG, Seen, Setup, View};
+pub use group::{Action, Fleet, FleetConfig, FleetView, LONGEST_LOG, NodeStatus, RequestResult};
 
 use serde::{Deserialize, Serialize};
 
 /// Nanoseconds on a clock that only rises and belongs to this process alone. Never a wall clock, and never compared
 /// with another process's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(pub u64);
+pub struct Timestamp(pub u64);
 
-impl Moment {
-    pub fn ms(ms: u64) -> Moment {
-        Moment(ms * 1_000_000)
+impl Timestamp {
+    pub fn ms(ms: u64) -> Timestamp {
+        Timestamp(ms * 1_000_000)
     }
 
     /// How long ago that was, in milliseconds; 0 if it is still to come.
-    pub fn ms_since(self, then: Moment) -> u64 {
+    pub fn ms_since(self, then: Timestamp) -> u64 {
         self.0.saturating_sub(then.0) / 1_000_000
     }
 
-    pub fn plus_ms(self, ms: u64) -> Moment {
-        Moment(self.0 + ms * 1_000_000)
+    pub fn plus_ms(self, ms: u64) -> Timestamp {
+        Timestamp(self.0 + ms * 1_000_000)
     }
 }
 
 /// What is to be on disk, in this order; a batch is there whole or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Write {
-    Put(Key, Vec<u8>),
-    Remove(Key),
+pub enum StoreWrite {
+    Put(StoreKey, Vec<u8>),
+    Remove(StoreKey),
     /// One entry of the log.
     Log(u64, Vec<u8>),
     /// Entries from this one on are gone.
@@ -51,59 +51,59 @@
 
 /// What the store holds beside the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Key {
-    Incarnation,
+pub enum StoreKey {
+    BootCount,
     /// Counts what was acknowledged: batches that votes rest on.
     Stamp,
     /// The seat held, if any.
-    Seat,
+    VoterSlot,
     /// The state at the beginning of the epoch.
     Base,
     Promise,
     Accepted,
     Decided,
     /// What peers were known to have acknowledged.
-    Witness,
+    DurableMark,
 }
 
-impl Key {
-    pub const ALL: [Key; 8] = [
-        Key::Incarnation,
-        Key::Stamp,
-        Key::Seat,
-        Key::Base,
-        Key::Promise,
-        Key::Accepted,
-        Key::Decided,
-        Key::Witness,
+impl StoreKey {
+    pub const ALL: [StoreKey; 8] = [
+        StoreKey::BootCount,
+        StoreKey::Stamp,
+        StoreKey::VoterSlot,
+        StoreKey::Base,
+        StoreKey::Promise,
+        StoreKey::Accepted,
+        StoreKey::Decided,
+        StoreKey::DurableMark,
     ];
 }
 
 /// What a store held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Saved {
-    pub values: std::collections::BTreeMap<Key, Vec<u8>>,
+pub struct StoredState {
+    pub values: std::collections::BTreeMap<StoreKey, Vec<u8>>,
     pub log: Vec<Vec<u8>>,
 }
 
-impl Saved {
+impl StoredState {
     /// What is there after these writes.
-    pub fn take(&mut self, writes: &[Write]) {
+    pub fn take(&mut self, writes: &[StoreWrite]) {
         for write in writes {
             match write {
-                Write::Put(key, value) => drop(self.values.insert(*key, value.clone())),
-                Write::Remove(key) => drop(self.values.remove(key)),
-                Write::Log(at, entry) => {
+                StoreWrite::Put(key, value) => drop(self.values.insert(*key, value.clone())),
+                StoreWrite::Remove(key) => drop(self.values.remove(key)),
+                StoreWrite::Log(at, entry) => {
                     self.log.truncate(*at as usize);
                     self.log.push(entry.clone());
                 }
-                Write::Cut(at) => self.log.truncate(*at as usize),
+                StoreWrite::Cut(at) => self.log.truncate(*at as usize),
             }
         }
     }
 
     /// A value that is there and can be read.
-    pub fn value<T: serde::de::DeserializeOwned>(&self, key: Key) -> Option<T> {
+    pub fn value<T: serde::de::DeserializeOwned>(&self, key: StoreKey) -> Option<T> {
         postcard::from_bytes(self.values.get(&key)?).ok()
     }
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::charter::UnitName;
-use crate::engine::Letter;
-use crate::state::{AskId, Command, Entry, Incarnation, Life, Permit, Rates, Seat, State};
+use crate::consensus::ConsensusMessage;
+use crate::policy::UnitName;
+use crate::state::{BootCount, CallCounts, Command, Entry, Incarnation, Lease, RequestId, State, VoterSlot};
 
 /// Changes with every change of what follows; other versions are not spoken with.
 pub const VERSION: u32 = 3;
@@ -15,53 +15,67 @@
     pub version: u32,
     pub group: String,
     pub name: UnitName,
-    pub life: Life,
+    pub incarnation: Incarnation,
 }
 
 /// What a voter has on disk for good, said with every message: each peer remembers the most it heard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Witness {
-    pub seat: u64,
+pub struct DurableMark {
+    pub voter_slot: u64,
     pub stamp: u64,
 }
 
 /// How far somebody knows what was agreed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Reach {
+pub struct LogPosition {
     pub epoch: u32,
     pub applied: u64,
 }
 
 /// How a node's store stands to its seat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Chair {
+pub enum VoterStatus {
     /// It has no store, or its store has failed it.
-    None,
+    NoStore,
     /// It has a store with nothing in it.
     Fresh,
     /// Its store lost or never had what peers know of it: it votes only under a new seat.
-    Forgot,
+    StateLost,
     /// It holds this seat, and asks whether anyone knows better.
-    Asks(u64),
-    Sits(u64),
+    Recovering(u64),
+    /// It votes.
+    Active(u64),
+}
+
+/// The words that the admin interface and its scripts know.
+impl std::fmt::Display for VoterStatus {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            VoterStatus::NoStore => f.write_str("none"),
+            VoterStatus::Fresh => f.write_str("fresh"),
+            VoterStatus::StateLost => f.write_str("forgot"),
+            VoterStatus::Recovering(voter_slot) => write!(f, "asks({voter_slot})"),
+            VoterStatus::Active(voter_slot) => write!(f, "sits({voter_slot})"),
+        }
+    }
 }
 
 /// Said by every node to every voter once a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
-    pub life: Life,
-    pub have: Reach,
+pub struct Heartbeat {
+    pub incarnation: Incarnation,
+    pub have: LogPosition,
     pub serving: bool,
-    /// Under which permit it is out.
-    pub out: Option<Permit>,
+    /// Under which lease it is out.
+    pub out: Option<Lease>,
     pub version: String,
-    pub rates: Rates,
+    pub call_counts: CallCounts,
     /// Connections and attempts at hosts that are wanted out; none are left at those that are not named. Not given while
     /// the node has not kept away from them since its last count.
     pub holds: Option<Vec<(UnitName, u32)>>,
-    pub chair: Chair,
-    pub incarnation: Incarnation,
-    /// The moment of the last word heard from the voter that this is said to, by that voter's own clock. Danger: a beat
+    pub voter_status: VoterStatus,
+    pub boot_count: BootCount,
+    /// The moment of the last word heard from the voter that this is said to, by that voter's own clock. Danger: a heartbeat
     /// that a stalled link brings late would make a unit look alive that is long gone; it counts as of this.
     pub echo: Option<Echo>,
 }
@@ -69,70 +83,70 @@
 /// A moment of one process, which means nothing to any other but to say it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub at: u64,
 }
 
 /// One step of what was agreed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Fact {
+pub enum LogStep {
     Entry(Entry),
-    Reseat(Vec<Seat>),
+    Reconfigure(Vec<VoterSlot>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum LogUpdate {
     /// Nothing that the other does not have.
     None,
     /// What came after this.
-    Since(Reach, Vec<Fact>),
+    Since(LogPosition, Vec<LogStep>),
     Whole(Box<State>),
 }
 
-/// A voter's answer to a beat, and pushed by the leader as things are decided.
+/// A voter's answer to a heartbeat, and pushed by the leader as things are decided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct HeartbeatReply {
     pub echo: Echo,
     /// Who leads, as far as it knows.
     pub leader: Option<UnitName>,
-    pub news: News,
+    pub log_update: LogUpdate,
     /// How far it knows what was agreed itself.
     pub applied: u64,
     /// What it knows the other to have acknowledged.
-    pub of_you: Option<Witness>,
+    pub of_you: Option<DurableMark>,
     /// It holds or held a seat: the group exists.
     pub founded: bool,
     /// How it stands itself.
-    pub chair: Chair,
+    pub voter_status: VoterStatus,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    Beat(Beat),
-    Told(Told),
+    Heartbeat(Heartbeat),
+    HeartbeatReply(HeartbeatReply),
     /// To whoever leads, or to somebody who may know.
-    Ask {
-        id: Option<AskId>,
+    Request {
+        id: Option<RequestId>,
         command: Command,
     },
-    Engine {
+    Consensus {
         epoch: u32,
-        letter: Letter,
+        consensus_message: ConsensusMessage,
     },
     /// The leader waits for this voter's word on something: it may have been lost.
-    Nudge,
+    Resync,
     /// Only what its envelope says: how far its sender's disk is.
-    Witnessed,
+    DurableMarkOnly,
     /// The leader asks the other voters whether they hear these.
-    Seek(Echo, Vec<UnitName>),
+    FindUnits(Echo, Vec<UnitName>),
     /// Each with how long ago, in ms, it was known to be there.
-    Found(Echo, Vec<(UnitName, Beat, u64)>),
+    UnitsFound(Echo, Vec<(UnitName, Heartbeat, u64)>),
 }
 
 /// One message with what its sender has on disk.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    pub witness: Option<Witness>,
+    pub witness: Option<DurableMark>,
     pub message: Message,
 }
 
--- a/crates/fleet/src/charter.rs
+++ b/crates/fleet/src/policy.rs
@@ -144,7 +144,7 @@
 /// What the group was founded on. All nodes are given the same; the log's counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Charter {
+pub struct FleetPolicy {
     /// A name that all its members give, so that two fleets at one address never mix.
     pub group: String,
     /// Nodes that hold the log: an odd number, best in zones of their own.
@@ -198,7 +198,7 @@
     600
 }
 
-/// What is wrong with a charter or a plan: the key, and why.
+/// What is wrong with a fleet policy or a plan: the key, and why.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {why}")]
 pub struct Faulty {
@@ -230,7 +230,7 @@
     ]
 }
 
-impl Charter {
+impl FleetPolicy {
     /// Every scope that holds this unit.
     pub fn scopes_of<'a>(&'a self, unit: &UnitName) -> Vec<Scope<'a>> {
         let Some(place) = self.units.get(unit) else { return vec![] };
@@ -304,7 +304,7 @@
 pub enum OnHalt {
     /// They stay as they are until the release goes on or back.
     #[default]
-    Hold,
+    HoldState,
     /// Those that still run take clients again.
     Return,
 }
@@ -381,11 +381,11 @@
 impl Plan {
     /// # Errors
     /// Names the key.
-    pub fn check(&self, charter: &Charter) -> Result<(), Faulty> {
+    pub fn check(&self, policy: &FleetPolicy) -> Result<(), Faulty> {
         if self.version.is_empty() {
             return Err(faulty("version", "is empty"));
         }
-        if let Some(stranger) = self.units.iter().find(|unit| !charter.units.contains_key(unit)) {
+        if let Some(stranger) = self.units.iter().find(|unit| !policy.units.contains_key(unit)) {
             return Err(faulty("units", format!("{stranger} is none of the fleet's units")));
         }
         if self.waves.is_empty() || self.waves.iter().any(|wave| wave.up(1000) == 0) {
@@ -401,12 +401,12 @@
     }
 
     /// Who goes in which wave. Zones and cells take turns, so that no wave is of one zone while others have units.
-    pub fn split(&self, charter: &Charter) -> Vec<Vec<UnitName>> {
+    pub fn split(&self, policy: &FleetPolicy) -> Vec<Vec<UnitName>> {
         let named: BTreeSet<&UnitName> =
-            if self.units.is_empty() { charter.units.keys().collect() } else { self.units.iter().collect() };
+            if self.units.is_empty() { policy.units.keys().collect() } else { self.units.iter().collect() };
         let mut places: BTreeMap<(&str, &str), Vec<&UnitName>> = BTreeMap::new();
         for unit in named {
-            if let Some(place) = charter.units.get(unit) {
+            if let Some(place) = policy.units.get(unit) {
                 places.entry((&place.zone, &place.cell)).or_default().push(unit);
             }
         }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -6,40 +6,41 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::charter::{Act, Charter, OnHalt, Plan, UnitName};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::hosts::{Host, HostLine};
-use crate::plant::{Plant, planted};
+use crate::policy::{Act, FleetPolicy, OnHalt, Plan, UnitName};
 
 /// Number of a leave to be out; it only rises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Permit(pub u64);
+pub struct Lease(pub u64);
 
 /// One process of a node, drawn anew at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
 /// How often a voter's store was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Incarnation(pub u64);
+pub struct BootCount(pub u64);
 
 /// Given by whoever asks; said again, the same question has the same answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct AskId(pub String);
+pub struct RequestId(pub String);
 
 /// Whose question, and which: a grant that answers another finds nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Nonce {
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     pub count: u64,
 }
 
 /// How calls ended at a node of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rates {
+pub struct CallCounts {
     pub calls: u32,
     pub failed: u32,
     pub busy: u32,
@@ -57,50 +58,54 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum UnitState {
     Serving,
     /// It counts as out, and may ask to begin.
     Granted {
-        permit: Permit,
+        #[serde(rename = "permit")]
+        lease: Lease,
         cause: Cause,
     },
     /// It may be out from here on.
     Begun {
-        permit: Permit,
+        #[serde(rename = "permit")]
+        lease: Lease,
         cause: Cause,
         nonce: Nonce,
-        before: Rates,
+        before: CallCounts,
     },
     /// It is to take clients again.
     Returning {
-        permit: Permit,
+        #[serde(rename = "permit")]
+        lease: Lease,
         cause: Cause,
     },
 }
 
-impl Standing {
-    pub fn permit(&self) -> Option<Permit> {
+impl UnitState {
+    pub fn lease(&self) -> Option<Lease> {
         match self {
-            Standing::Serving => None,
-            Standing::Granted { permit, .. }
-            | Standing::Begun { permit, .. }
-            | Standing::Returning { permit, .. } => Some(*permit),
+            UnitState::Serving => None,
+            UnitState::Granted { lease, .. }
+            | UnitState::Begun { lease, .. }
+            | UnitState::Returning { lease, .. } => Some(*lease),
         }
     }
 
     pub fn cause(&self) -> Option<Cause> {
         match self {
-            Standing::Serving => None,
-            Standing::Granted { cause, .. }
-            | Standing::Begun { cause, .. }
-            | Standing::Returning { cause, .. } => Some(*cause),
+            UnitState::Serving => None,
+            UnitState::Granted { cause, .. }
+            | UnitState::Begun { cause, .. }
+            | UnitState::Returning { cause, .. } => Some(*cause),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unit {
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub unit_state: UnitState,
     /// Nobody of the group hears it, or it was never seen to serve.
     pub lost: bool,
     /// How often it was called lost.
@@ -113,12 +118,12 @@
 
 impl Unit {
     pub fn is_out(&self) -> bool {
-        self.lost || self.standing != Standing::Serving
+        self.lost || self.unit_state != UnitState::Serving
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Course {
+pub enum ReleaseState {
     Running,
     Halted(String),
     Finished,
@@ -126,32 +131,34 @@
 
 /// A unit that a release has changed, or is to change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangedUnit {
     pub unit: UnitName,
     /// What it ran before.
     pub before: String,
-    pub rates: Rates,
+    #[serde(rename = "rates")]
+    pub call_counts: CallCounts,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     pub number: u64,
     pub plan: Plan,
-    pub course: Course,
+    #[serde(rename = "course")]
+    pub release_state: ReleaseState,
     /// Who goes when; on the way back, one wave of all that were changed, newest first.
     pub waves: Vec<Vec<UnitName>>,
     pub wave: usize,
     /// Of the waves so far, in the order of their coming back.
-    pub done: Vec<Changed>,
+    pub done: Vec<ChangedUnit>,
     /// Left out while they went to be changed.
-    pub began: BTreeMap<UnitName, Changed>,
+    pub began: BTreeMap<UnitName, ChangedUnit>,
     /// It leads back: what each unit is to run.
     pub back: Option<BTreeMap<UnitName, String>>,
 }
 
 impl Release {
     pub fn is_running(&self) -> bool {
-        self.course == Course::Running
+        self.release_state == ReleaseState::Running
     }
 
     /// What a unit is to run after this release.
@@ -174,18 +181,19 @@
 
 /// A voter's place in one epoch. Its number is never given twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct VoterSlot {
     pub number: u64,
     pub name: UnitName,
     /// Given anew to this process, after its disk had failed it; 0 for the seats of the founding.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
 }
 
 /// What an entry asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// The first of all.
-    Found(Box<Charter>),
+    Bootstrap(Box<FleetPolicy>),
     /// Nothing, but its being decided says that the state is the newest.
     Confirm,
     Drain {
@@ -199,103 +207,122 @@
     Activate {
         unit: UnitName,
     },
-    Start {
+    StartRelease {
         plan: Box<Plan>,
     },
     Halt {
         why: String,
     },
     Resume,
-    Back,
+    RollBack,
     /// The leader: it is this unit's turn.
-    Turn {
+    GrantTurn {
         release: u64,
         unit: UnitName,
     },
-    /// The unit: it goes out, unless the permit is gone.
-    Begin {
+    /// The unit: it goes out, unless the lease is gone.
+    BeginDrain {
         unit: UnitName,
-        permit: Permit,
+        lease: Lease,
         nonce: Nonce,
-        rates: Rates,
+        call_counts: CallCounts,
     },
     /// The leader: it was seen to serve for the time of watching.
-    Seen {
+    MarkServing {
         unit: UnitName,
-        permit: Option<Permit>,
+        lease: Option<Lease>,
         version: String,
     },
-    Lost {
+    MarkLost {
         unit: UnitName,
     },
     /// An operator: no process of this lost unit runs any more.
-    Dead {
+    ConfirmDead {
         unit: UnitName,
     },
     /// The leader: what its list says of hosts by now.
-    Hosts {
+    UpdateHosts {
         lines: Vec<HostLine>,
     },
     /// The leader: no node holds anything there.
-    Emptied {
+    MarkHostEmpty {
         host: UnitName,
-        permit: Permit,
+        lease: Lease,
     },
     /// The leader: all nodes have heard that they may use it.
-    HostBack {
+    MarkHostReturned {
         host: UnitName,
-        permit: Permit,
+        lease: Lease,
     },
     /// The leader: the wave has been watched.
-    Pass {
+    AdvanceWave {
         release: u64,
         wave: usize,
     },
     /// One voter's place goes to another node for good, once that is heard to have an empty store.
-    Replace {
+    ReplaceVoter {
         old: UnitName,
         new: UnitName,
     },
     /// The leader: the epoch ends, and the next has these seats.
-    Reseat {
-        seats: Vec<Seat>,
+    Reconfigure {
+        voter_slots: Vec<VoterSlot>,
     },
     /// The leader: which voters it hears, in which incarnations.
-    Reign {
-        voters: Vec<(UnitName, Incarnation)>,
+    LeaderStarted {
+        voters: Vec<(UnitName, BootCount)>,
     },
 }
 
 impl Command {
     /// Only the leader itself proposes these.
-    pub fn is_the_leaders(&self) -> bool {
-        use Command::{Emptied, Found, HostBack, Hosts, Lost, Pass, Reign, Reseat, Seen, Turn};
-        matches!(
-            self,
-            Found(_) | Lost { .. } | Pass { .. } | Reign { .. } | Reseat { .. } | Seen { .. } | Turn { .. }
-        ) || matches!(self, Emptied { .. } | HostBack { .. } | Hosts { .. })
+    pub fn is_leader_only(&self) -> bool {
+        match self {
+            Command::Bootstrap(_)
+            | Command::GrantTurn { .. }
+            | Command::MarkServing { .. }
+            | Command::MarkLost { .. }
+            | Command::UpdateHosts { .. }
+            | Command::MarkHostEmpty { .. }
+            | Command::MarkHostReturned { .. }
+            | Command::AdvanceWave { .. }
+            | Command::Reconfigure { .. }
+            | Command::LeaderStarted { .. } => true,
+            Command::Confirm
+            | Command::Drain { .. }
+            | Command::Override { .. }
+            | Command::Activate { .. }
+            | Command::StartRelease { .. }
+            | Command::Halt { .. }
+            | Command::Resume
+            | Command::RollBack
+            | Command::BeginDrain { .. }
+            | Command::ConfirmDead { .. }
+            | Command::ReplaceVoter { .. } => false,
+        }
     }
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    pub id: Option<AskId>,
+    pub id: Option<RequestId>,
     pub command: Command,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum CommandResult {
     Done(String),
     Refused(String),
 }
 
 /// An operator's doing beyond the limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Overridden {
+pub struct OverrideRecord {
     pub unit: UnitName,
     pub reason: String,
-    pub permit: Permit,
+    #[serde(rename = "permit")]
+    pub lease: Lease,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -305,22 +332,27 @@
     pub epoch: u32,
     /// Entries applied before this epoch.
     pub epoch_began: u64,
-    pub seats: Vec<Seat>,
+    #[serde(rename = "seats")]
+    pub voter_slots: Vec<VoterSlot>,
     /// How often another name has come to hold a seat.
-    pub seats_changed: u32,
-    pub next_seat: u64,
-    pub charter: Option<Charter>,
+    #[serde(rename = "seats_changed")]
+    pub voter_slots_changed: u32,
+    #[serde(rename = "next_seat")]
+    pub next_voter_slot: u64,
+    #[serde(rename = "charter")]
+    pub policy: Option<FleetPolicy>,
     pub units: BTreeMap<UnitName, Unit>,
     pub hosts: BTreeMap<UnitName, Host>,
-    pub next_permit: u64,
+    #[serde(rename = "next_permit")]
+    pub next_lease: u64,
     pub releases: u64,
     pub release: Option<Release>,
-    pub overrides: Vec<Overridden>,
+    pub overrides: Vec<OverrideRecord>,
     /// Which voter is to give its place to which node.
     replace: Option<(UnitName, UnitName)>,
     /// The voters' incarnations as leaders heard them.
-    pub voters: BTreeMap<UnitName, Incarnation>,
-    answers: VecDeque<(AskId, Answer)>,
+    pub voters: BTreeMap<UnitName, BootCount>,
+    answers: VecDeque<(RequestId, CommandResult)>,
 }
 
 /// Answers kept for those who ask again; more than operators and scripts ask in the minutes that they try again.
@@ -329,33 +361,37 @@
 /// Overrides kept to be shown.
 const OVERRIDES: usize = 32;
 
-pub(crate) fn done(text: impl Into<String>) -> Answer {
-    Answer::Done(text.into())
+pub(crate) fn done(text: impl Into<String>) -> CommandResult {
+    CommandResult::Done(text.into())
 }
 
-pub(crate) fn refused(text: impl Into<String>) -> Answer {
-    Answer::Refused(text.into())
+pub(crate) fn refused(text: impl Into<String>) -> CommandResult {
+    CommandResult::Refused(text.into())
 }
 
 impl State {
     /// Before the founding, with the first voters.
     pub fn before_founding(voters: &[UnitName]) -> State {
-        let seats: Vec<Seat> = voters
+        let voter_slots: Vec<VoterSlot> = voters
             .iter()
             .enumerate()
-            .map(|(at, name)| Seat { number: at as u64 + 1, name: name.clone(), life: Life(0) })
+            .map(|(at, name)| VoterSlot {
+                number: at as u64 + 1,
+                name: name.clone(),
+                incarnation: Incarnation(0),
+            })
             .collect();
         State {
             applied: 0,
             epoch: 1,
             epoch_began: 0,
-            next_seat: seats.len() as u64 + 1,
-            seats,
-            seats_changed: 0,
-            charter: None,
+            next_voter_slot: voter_slots.len() as u64 + 1,
+            voter_slots,
+            voter_slots_changed: 0,
+            policy: None,
             units: BTreeMap::new(),
             hosts: BTreeMap::new(),
-            next_permit: 1,
+            next_lease: 1,
             releases: 0,
             release: None,
             overrides: Vec::new(),
@@ -365,12 +401,12 @@
         }
     }
 
-    pub fn answer(&self, id: &AskId) -> Option<&Answer> {
+    pub fn answer(&self, id: &RequestId) -> Option<&CommandResult> {
         self.answers.iter().rev().find(|(known, _)| known == id).map(|(_, answer)| answer)
     }
 
-    pub fn seat_of(&self, name: &UnitName) -> Option<&Seat> {
-        self.seats.iter().find(|seat| seat.name == *name)
+    pub fn voter_slot_of(&self, name: &UnitName) -> Option<&VoterSlot> {
+        self.voter_slots.iter().find(|voter_slot| voter_slot.name == *name)
     }
 
     /// Units that may be out, that are lost, or may be on their way.
@@ -379,24 +415,24 @@
     }
 
     pub fn lost(&self) -> usize {
-        self.units.values().filter(|unit| unit.lost && unit.standing == Standing::Serving).count()
+        self.units.values().filter(|unit| unit.lost && unit.unit_state == UnitState::Serving).count()
     }
 
     /// Whether one more may go out, or which limit stands against it.
     fn room(&self, name: &UnitName) -> Result<(), String> {
-        let Some(charter) = &self.charter else { return Err("the group is not founded".into()) };
+        let Some(policy) = &self.policy else { return Err("the group is not founded".into()) };
         let Some(unit) = self.units.get(name) else { return Err(format!("no unit {name}")) };
-        if unit.standing != Standing::Serving {
+        if unit.unit_state != UnitState::Serving {
             return Err(format!("{name} is out already"));
         }
         if unit.lost {
             return Err(format!("{name} is not heard, or was not seen to serve yet"));
         }
-        let counts = |unit: &Unit| match planted(Plant::LostNotCounted) {
-            true => unit.standing != Standing::Serving,
+        let counts = |unit: &Unit| match is_injected(InjectedFault::LostNotCounted) {
+            true => unit.unit_state != UnitState::Serving,
             false => unit.is_out(),
         };
-        for (scope, limit, units) in charter.scopes_of(name) {
+        for (scope, limit, units) in policy.scopes_of(name) {
             let out = units.iter().filter(|name| self.units.get(name).is_some_and(counts)).count() as u32;
             let room = limit.room(units.len() as u32);
             if out + 1 > room {
@@ -411,25 +447,25 @@
 
     /// A zone's last units never go together, whatever the limits say, while there is another zone's to wait for.
     fn is_last_of_zone(&self, name: &UnitName) -> bool {
-        let Some(charter) = &self.charter else { return false };
-        let Some(place) = charter.units.get(name) else { return false };
+        let Some(policy) = &self.policy else { return false };
+        let Some(place) = policy.units.get(name) else { return false };
         let mut of_zone =
-            charter.units.iter().filter(|(_, other)| other.zone == place.zone).map(|(name, _)| name);
+            policy.units.iter().filter(|(_, other)| other.zone == place.zone).map(|(name, _)| name);
         of_zone.clone().count() > 1
             && of_zone.all(|other| other == name || self.units.get(other).is_some_and(Unit::is_out))
     }
 
-    fn grant(&mut self, name: &UnitName, cause: Cause) -> Permit {
-        let permit = Permit(self.next_permit);
-        self.next_permit += 1;
+    fn grant(&mut self, name: &UnitName, cause: Cause) -> Lease {
+        let lease = Lease(self.next_lease);
+        self.next_lease += 1;
         if let Some(unit) = self.units.get_mut(name) {
-            unit.standing = Standing::Granted { permit, cause };
+            unit.unit_state = UnitState::Granted { lease, cause };
         }
-        permit
+        lease
     }
 
     /// Takes one entry. The same entries in the same order give the same state, to the byte.
-    pub fn apply(&mut self, entry: &Entry) -> Option<Answer> {
+    pub fn apply(&mut self, entry: &Entry) -> Option<CommandResult> {
         self.applied += 1;
         if let Some(known) = entry.id.as_ref().and_then(|id| self.answer(id)) {
             return Some(known.clone());
@@ -437,7 +473,9 @@
         let answer = self.carry_out(&entry.command);
         if let Some(id) = &entry.id {
             // A refusal is not kept: asked again later, there may be room.
-            if matches!(answer, Answer::Done(_)) || matches!(entry.command, Command::Start { .. }) {
+            if matches!(answer, CommandResult::Done(_))
+                || matches!(entry.command, Command::StartRelease { .. })
+            {
                 self.answers.push_back((id.clone(), answer.clone()));
                 if self.answers.len() > ANSWERS {
                     self.answers.pop_front();
@@ -447,22 +485,22 @@
         Some(answer)
     }
 
-    fn carry_out(&mut self, command: &Command) -> Answer {
+    fn carry_out(&mut self, command: &Command) -> CommandResult {
         match command {
-            Command::Found(charter) => self.found(charter),
+            Command::Bootstrap(policy) => self.found(policy),
             Command::Confirm => done("confirmed"),
             Command::Drain { unit } if !self.units.contains_key(unit) => self.drain_host(unit),
             Command::Drain { unit } => match self.room(unit) {
                 Ok(()) => {
-                    let permit = self.grant(unit, Cause::Drain);
-                    done(format!("{unit} may go out, permit {}", permit.0))
+                    let lease = self.grant(unit, Cause::Drain);
+                    done(format!("{unit} may go out, permit {}", lease.0))
                 }
                 Err(why) => refused(why),
             },
             Command::Override { unit, reason } => self.go_beyond(unit, reason),
             Command::Activate { unit } if !self.units.contains_key(unit) => self.activate_host(unit),
             Command::Activate { unit } => self.activate(unit),
-            Command::Dead { unit } => match self.units.get_mut(unit) {
+            Command::ConfirmDead { unit } => match self.units.get_mut(unit) {
                 Some(of) if of.lost => {
                     of.dead = true;
                     done(format!("{unit} is taken for dead until it is seen again"))
@@ -470,17 +508,19 @@
                 Some(_) => refused(format!("{unit} is heard")),
                 None => refused(format!("no unit {unit}")),
             },
-            Command::Hosts { lines } => self.take_lines(lines),
-            Command::Emptied { host, permit } => self.emptied(host, *permit),
-            Command::HostBack { host, permit } => self.host_back(host, *permit),
-            Command::Start { plan } => self.start(plan),
+            Command::UpdateHosts { lines } => self.take_lines(lines),
+            Command::MarkHostEmpty { host, lease } => self.emptied(host, *lease),
+            Command::MarkHostReturned { host, lease } => self.host_back(host, *lease),
+            Command::StartRelease { plan } => self.start(plan),
             Command::Halt { why } => self.halt(why),
             Command::Resume => self.resume(),
-            Command::Back => self.go_back(),
-            Command::Turn { release, unit } => self.turn(*release, unit),
-            Command::Begin { unit, permit, nonce, rates } => self.begin(unit, *permit, *nonce, *rates),
-            Command::Seen { unit, permit, version } => self.seen(unit, *permit, version),
-            Command::Lost { unit } => match self.units.get_mut(unit) {
+            Command::RollBack => self.go_back(),
+            Command::GrantTurn { release, unit } => self.turn(*release, unit),
+            Command::BeginDrain { unit, lease, nonce, call_counts } => {
+                self.begin(unit, *lease, *nonce, *call_counts)
+            }
+            Command::MarkServing { unit, lease, version } => self.seen(unit, *lease, version),
+            Command::MarkLost { unit } => match self.units.get_mut(unit) {
                 Some(unit) => {
                     // What it had in hand is others' from here on.
                     unit.term += u64::from(!unit.lost);
@@ -489,28 +529,28 @@
                 }
                 None => refused("no such unit"),
             },
-            Command::Pass { release, wave } => self.pass(*release, *wave),
-            Command::Replace { old, new } => self.replace(old, new),
+            Command::AdvanceWave { release, wave } => self.pass(*release, *wave),
+            Command::ReplaceVoter { old, new } => self.replace(old, new),
             // Taken out by whoever reads the log, as the end of its epoch.
-            Command::Reseat { .. } => refused("no entry for this state"),
-            Command::Reign { voters } => self.reign(voters),
+            Command::Reconfigure { .. } => refused("no entry for this state"),
+            Command::LeaderStarted { voters } => self.reign(voters),
         }
     }
 
-    fn found(&mut self, charter: &Charter) -> Answer {
-        if self.charter.is_some() {
+    fn found(&mut self, policy: &FleetPolicy) -> CommandResult {
+        if self.policy.is_some() {
             return refused("the group is founded already");
         }
         // Danger: a unit that nobody has seen yet would count as serving, and another would be let out for it.
         let fresh =
-            Unit { standing: Standing::Serving, lost: true, term: 0, dead: false, version: String::new() };
-        self.units = charter.units.keys().map(|name| (name.clone(), fresh.clone())).collect();
-        self.charter = Some(charter.clone());
+            Unit { unit_state: UnitState::Serving, lost: true, term: 0, dead: false, version: String::new() };
+        self.units = policy.units.keys().map(|name| (name.clone(), fresh.clone())).collect();
+        self.policy = Some(policy.clone());
         done("founded")
     }
 
-    fn go_beyond(&mut self, name: &UnitName, reason: &str) -> Answer {
-        let over = |unit: &Unit| unit.standing.cause() == Some(Cause::Override);
+    fn go_beyond(&mut self, name: &UnitName, reason: &str) -> CommandResult {
+        let over = |unit: &Unit| unit.unit_state.cause() == Some(Cause::Override);
         let host_over = |host: &Host| host.held.is_some_and(|held| held.cause == Cause::Override);
         let units = self.units.iter().filter(|(_, unit)| over(unit)).map(|(name, _)| name);
         let mut hosts = self.hosts.iter().filter(|(_, host)| host_over(host)).map(|(name, _)| name);
@@ -521,55 +561,57 @@
             return refused("an override needs a reason");
         }
         match self.units.get(name) {
-            Some(unit) if unit.standing == Standing::Serving => {
-                let permit = self.grant(name, Cause::Override);
-                self.record(name, reason, permit)
+            Some(unit) if unit.unit_state == UnitState::Serving => {
+                let lease = self.grant(name, Cause::Override);
+                self.record(name, reason, lease)
             }
             Some(_) => refused(format!("{name} is out already")),
             None => match self.hold_host_beyond(name) {
-                Ok(permit) => self.record(name, reason, permit),
+                Ok(lease) => self.record(name, reason, lease),
                 Err(why) => refused(why),
             },
         }
     }
 
-    fn record(&mut self, name: &UnitName, reason: &str, permit: Permit) -> Answer {
-        self.overrides.push(Overridden { unit: name.clone(), reason: reason.to_owned(), permit });
+    fn record(&mut self, name: &UnitName, reason: &str, lease: Lease) -> CommandResult {
+        self.overrides.push(OverrideRecord { unit: name.clone(), reason: reason.to_owned(), lease });
         if self.overrides.len() > OVERRIDES {
             self.overrides.remove(0);
         }
-        done(format!("{name} may go out beyond the limits, permit {}", permit.0))
+        done(format!("{name} may go out beyond the limits, permit {}", lease.0))
     }
 
-    fn activate(&mut self, name: &UnitName) -> Answer {
+    fn activate(&mut self, name: &UnitName) -> CommandResult {
         let Some(unit) = self.units.get_mut(name) else { return refused(format!("no unit {name}")) };
-        match unit.standing.clone() {
-            Standing::Serving | Standing::Returning { .. } => done(format!("{name} is not held out")),
-            Standing::Granted { .. } => {
-                unit.standing = Standing::Serving;
+        match unit.unit_state.clone() {
+            UnitState::Serving | UnitState::Returning { .. } => done(format!("{name} is not held out")),
+            UnitState::Granted { .. } => {
+                unit.unit_state = UnitState::Serving;
                 done(format!("{name} never began"))
             }
-            Standing::Begun { permit, cause, .. } => {
-                unit.standing = Standing::Returning { permit, cause };
+            UnitState::Begun { lease, cause, .. } => {
+                unit.unit_state = UnitState::Returning { lease, cause };
                 done(format!("{name} takes clients again"))
             }
         }
     }
 
-    fn start(&mut self, plan: &Plan) -> Answer {
-        let Some(charter) = &self.charter else { return refused("the group is not founded") };
-        if let Err(fault) = plan.check(charter) {
+    fn start(&mut self, plan: &Plan) -> CommandResult {
+        let Some(policy) = &self.policy else { return refused("the group is not founded") };
+        if let Err(fault) = plan.check(policy) {
             return refused(fault.to_string());
         }
-        if let Some(release) = self.release.as_ref().filter(|release| release.course != Course::Finished) {
+        if let Some(release) =
+            self.release.as_ref().filter(|release| release.release_state != ReleaseState::Finished)
+        {
             return refused(format!("release {} is not finished", release.number));
         }
-        let waves = plan.split(charter);
+        let waves = plan.split(policy);
         self.releases += 1;
         self.release = Some(Release {
             number: self.releases,
             plan: plan.clone(),
-            course: Course::Running,
+            release_state: ReleaseState::Running,
             waves,
             wave: 0,
             done: Vec::new(),
@@ -579,24 +621,26 @@
         done(format!("release {}", self.releases))
     }
 
-    fn halt(&mut self, why: &str) -> Answer {
-        let Some(release) = self.release.as_mut().filter(|release| release.course != Course::Finished) else {
+    fn halt(&mut self, why: &str) -> CommandResult {
+        let Some(release) =
+            self.release.as_mut().filter(|release| release.release_state != ReleaseState::Finished)
+        else {
             return refused("no release goes on");
         };
-        if !matches!(release.course, Course::Halted(_)) {
-            release.course = Course::Halted(why.to_owned());
+        if !matches!(release.release_state, ReleaseState::Halted(_)) {
+            release.release_state = ReleaseState::Halted(why.to_owned());
         }
         let (number, on_halt) = (release.number, release.plan.on_halt);
         for unit in self.units.values_mut() {
-            match unit.standing.clone() {
-                // Whoever has not begun finds no permit from here on.
-                Standing::Granted { cause: Cause::Release(of), .. } if of == number => {
-                    unit.standing = Standing::Serving;
+            match unit.unit_state.clone() {
+                // Whoever has not begun finds no lease from here on.
+                UnitState::Granted { cause: Cause::Release(of), .. } if of == number => {
+                    unit.unit_state = UnitState::Serving;
                 }
-                Standing::Begun { permit, cause: cause @ Cause::Release(of), .. }
+                UnitState::Begun { lease, cause: cause @ Cause::Release(of), .. }
                     if of == number && on_halt == OnHalt::Return =>
                 {
-                    unit.standing = Standing::Returning { permit, cause };
+                    unit.unit_state = UnitState::Returning { lease, cause };
                 }
                 _ => {}
             }
@@ -604,10 +648,10 @@
         done("halted")
     }
 
-    fn resume(&mut self) -> Answer {
+    fn resume(&mut self) -> CommandResult {
         match self.release.as_mut() {
-            Some(release) if matches!(release.course, Course::Halted(_)) => {
-                release.course = Course::Running;
+            Some(release) if matches!(release.release_state, ReleaseState::Halted(_)) => {
+                release.release_state = ReleaseState::Running;
                 done(format!("release {} goes on", release.number))
             }
             _ => refused("no release is halted"),
@@ -615,7 +659,7 @@
     }
 
     /// The way back is a release of its own, under the same limits: newest first.
-    fn go_back(&mut self) -> Answer {
+    fn go_back(&mut self) -> CommandResult {
         let Some(release) = &self.release else { return refused("there was no release") };
         if release.is_running() {
             return refused(format!("release {} is running, halt it first", release.number));
@@ -623,7 +667,7 @@
         if release.back.is_some() {
             return refused(format!("release {} leads back already, resume it", release.number));
         }
-        let mut changed: Vec<&Changed> = release.done.iter().rev().collect();
+        let mut changed: Vec<&ChangedUnit> = release.done.iter().rev().collect();
         // Units that are still out may come back as either version.
         changed.splice(0..0, release.began.values());
         let back: BTreeMap<UnitName, String> =
@@ -639,12 +683,12 @@
         let number = self.releases;
         // Those that only drained are taken back at once: that lets nobody out.
         for unit in self.units.values_mut() {
-            match unit.standing.clone() {
-                Standing::Begun { permit, cause: Cause::Release(of), .. } if of == from => {
-                    unit.standing = Standing::Returning { permit, cause: Cause::Release(number) };
+            match unit.unit_state.clone() {
+                UnitState::Begun { lease, cause: Cause::Release(of), .. } if of == from => {
+                    unit.unit_state = UnitState::Returning { lease, cause: Cause::Release(number) };
                 }
-                Standing::Returning { permit, cause: Cause::Release(of) } if of == from => {
-                    unit.standing = Standing::Returning { permit, cause: Cause::Release(number) };
+                UnitState::Returning { lease, cause: Cause::Release(of) } if of == from => {
+                    unit.unit_state = UnitState::Returning { lease, cause: Cause::Release(number) };
                 }
                 _ => {}
             }
@@ -652,7 +696,7 @@
         self.release = Some(Release {
             number,
             plan,
-            course: if order.is_empty() { Course::Finished } else { Course::Running },
+            release_state: if order.is_empty() { ReleaseState::Finished } else { ReleaseState::Running },
             waves: vec![order],
             wave: 0,
             done: Vec::new(),
@@ -662,11 +706,11 @@
         done(format!("release {number} leads back"))
     }
 
-    fn turn(&mut self, number: u64, name: &UnitName) -> Answer {
+    fn turn(&mut self, number: u64, name: &UnitName) -> CommandResult {
         let Some(release) = self.release.as_ref().filter(|release| release.number == number) else {
             return refused("no such release");
         };
-        if !release.is_running() && !planted(Plant::TurnWhileHalted) {
+        if !release.is_running() && !is_injected(InjectedFault::TurnWhileHalted) {
             return refused("it does not run");
         }
         if !release.turns().any(|unit| unit == name) {
@@ -677,50 +721,56 @@
         }
         match self.room(name) {
             Ok(()) => {
-                let permit = self.grant(name, Cause::Release(number));
-                done(format!("permit {}", permit.0))
+                let lease = self.grant(name, Cause::Release(number));
+                done(format!("permit {}", lease.0))
             }
             Err(why) => refused(why),
         }
     }
 
-    fn begin(&mut self, name: &UnitName, permit: Permit, nonce: Nonce, rates: Rates) -> Answer {
+    fn begin(
+        &mut self,
+        name: &UnitName,
+        lease: Lease,
+        nonce: Nonce,
+        call_counts: CallCounts,
+    ) -> CommandResult {
         let Some(unit) = self.units.get_mut(name) else { return refused("no such unit") };
-        let (cause, before) = match &unit.standing {
-            Standing::Granted { permit: mine, cause } if *mine == permit => (*cause, rates),
+        let (cause, before) = match &unit.unit_state {
+            UnitState::Granted { lease: mine, cause } if *mine == lease => (*cause, call_counts),
             // Asked again, for want of an answer in time, or by the next process of a drained node. Danger: the next
             // process of one that left to be changed may know the log only up to its grant, and would leave again.
-            Standing::Begun { permit: mine, cause, before, nonce: begun } if *mine == permit => {
-                if matches!(cause, Cause::Release(_)) && begun.life != nonce.life {
+            UnitState::Begun { lease: mine, cause, before, nonce: begun } if *mine == lease => {
+                if matches!(cause, Cause::Release(_)) && begun.incarnation != nonce.incarnation {
                     return refused("another process of it has begun");
                 }
                 (*cause, *before)
             }
-            _ if planted(Plant::OldPermitBegins) => (Cause::Drain, rates),
+            _ if is_injected(InjectedFault::OldLeaseBegins) => (Cause::Drain, call_counts),
             _ => return refused("that permit is not in force"),
         };
         if let Cause::Release(number) = cause {
             let Some(release) = self.release.as_mut().filter(|release| release.number == number) else {
                 return refused("that release is over");
             };
-            if !release.is_running() && !planted(Plant::HaltForgotten) {
+            if !release.is_running() && !is_injected(InjectedFault::HaltForgotten) {
                 return refused("it is halted");
             }
             let version = unit.version.clone();
-            let fresh = Changed { unit: name.clone(), before: version, rates: before };
+            let fresh = ChangedUnit { unit: name.clone(), before: version, call_counts: before };
             release.began.entry(name.clone()).or_insert(fresh);
         }
-        unit.standing = Standing::Begun { permit, cause, nonce, before };
+        unit.unit_state = UnitState::Begun { lease, cause, nonce, before };
         done("begun")
     }
 
-    fn seen(&mut self, name: &UnitName, permit: Option<Permit>, version: &str) -> Answer {
+    fn seen(&mut self, name: &UnitName, lease: Option<Lease>, version: &str) -> CommandResult {
         let Some(unit) = self.units.get_mut(name) else { return refused("no such unit") };
-        if unit.standing.permit() != permit {
+        if unit.unit_state.lease() != lease {
             return refused("it stands otherwise by now");
         }
-        let cause = unit.standing.cause();
-        unit.standing = Standing::Serving;
+        let cause = unit.unit_state.cause();
+        unit.unit_state = UnitState::Serving;
         (unit.lost, unit.dead) = (false, false);
         unit.version = version.to_owned();
         let Some(Cause::Release(number)) = cause else { return done("serving") };
@@ -732,8 +782,11 @@
         // On the way back a unit may come to what it is to run without a turn of its own.
         let (drains, is_back) = (release.plan.act == Act::Drain, release.back.is_some());
         if drains || version == wanted {
-            let fallback =
-                Changed { unit: name.clone(), before: version.to_owned(), rates: Rates::default() };
+            let fallback = ChangedUnit {
+                unit: name.clone(),
+                before: version.to_owned(),
+                call_counts: CallCounts::default(),
+            };
             if !release.is_done(name) && (is_back || began.is_some()) {
                 release.done.push(began.unwrap_or(fallback));
             }
@@ -744,7 +797,7 @@
         done("serving")
     }
 
-    fn pass(&mut self, number: u64, wave: usize) -> Answer {
+    fn pass(&mut self, number: u64, wave: usize) -> CommandResult {
         let Some(release) = self.release.as_mut().filter(|release| release.number == number) else {
             return refused("no such release");
         };
@@ -753,37 +806,37 @@
         }
         release.wave += 1;
         if release.wave >= release.waves.len() {
-            release.course = Course::Finished;
+            release.release_state = ReleaseState::Finished;
         }
         done("passed")
     }
 
     /// Danger: after a loss of all processes at once nobody remembers what was going on when it happened, and a
     /// release that went on by itself could be what had brought it about. It stands halted where it stood.
-    fn reign(&mut self, voters: &[(UnitName, Incarnation)]) -> Answer {
+    fn reign(&mut self, voters: &[(UnitName, BootCount)]) -> CommandResult {
         let planned = |name: &UnitName| {
-            self.units.get(name).is_some_and(|unit| matches!(unit.standing, Standing::Begun { .. }))
+            self.units.get(name).is_some_and(|unit| matches!(unit.unit_state, UnitState::Begun { .. }))
         };
-        let anew = |(name, incarnation): &(UnitName, Incarnation)| {
-            self.voters.get(name).is_some_and(|known| known < incarnation)
+        let anew = |(name, boot_count): &(UnitName, BootCount)| {
+            self.voters.get(name).is_some_and(|known| known < boot_count)
         };
         // One that was to be started anew is no sign of a loss by itself: it may be the only voter there is.
         let all = voters.iter().all(anew) && voters.iter().any(|(name, _)| !planned(name));
-        for (name, incarnation) in voters {
-            self.voters.insert(name.clone(), *incarnation);
+        for (name, boot_count) in voters {
+            self.voters.insert(name.clone(), *boot_count);
         }
         let running = self.release.as_ref().is_some_and(Release::is_running);
-        if all && running && !planted(Plant::HaltNotKept) {
+        if all && running && !is_injected(InjectedFault::HaltNotKept) {
             return self.halt("all voters were started anew at once");
         }
         done("noted")
     }
 
-    fn replace(&mut self, old: &UnitName, new: &UnitName) -> Answer {
-        if self.seat_of(old).is_none() {
+    fn replace(&mut self, old: &UnitName, new: &UnitName) -> CommandResult {
+        if self.voter_slot_of(old).is_none() {
             return refused(format!("{old} holds no seat"));
         }
-        if self.seat_of(new).is_some() {
+        if self.voter_slot_of(new).is_some() {
             return refused(format!("{new} holds a seat already"));
         }
         if !self.units.contains_key(new) {
@@ -798,15 +851,22 @@
     }
 
     /// The next epoch's seats, one of them given anew.
-    pub fn reseat(&mut self, seats: Vec<Seat>) {
+    pub fn reseat(&mut self, voter_slots: Vec<VoterSlot>) {
         self.applied += 1;
         self.epoch += 1;
         self.epoch_began = self.applied;
-        self.next_seat = seats.iter().map(|seat| seat.number + 1).max().unwrap_or(1).max(self.next_seat);
-        let names = |seats: &[Seat]| seats.iter().map(|seat| seat.name.clone()).collect::<BTreeSet<_>>();
-        self.seats_changed += u32::from(names(&self.seats) != names(&seats));
-        self.seats = seats;
-        if self.replacing().is_some_and(|(_, new)| self.seat_of(new).is_some()) {
+        self.next_voter_slot = voter_slots
+            .iter()
+            .map(|voter_slot| voter_slot.number + 1)
+            .max()
+            .unwrap_or(1)
+            .max(self.next_voter_slot);
+        let names = |voter_slots: &[VoterSlot]| {
+            voter_slots.iter().map(|voter_slot| voter_slot.name.clone()).collect::<BTreeSet<_>>()
+        };
+        self.voter_slots_changed += u32::from(names(&self.voter_slots) != names(&voter_slots));
+        self.voter_slots = voter_slots;
+        if self.replacing().is_some_and(|(_, new)| self.voter_slot_of(new).is_some()) {
             self.replace = None;
         }
     }
--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -1,11 +1,13 @@
-//! The small core of permits and halts, all of its orders of events: two units of three that may go out one at a time,
+//! The small core of leases and halts, all of its orders of events: two units of three that may go out one at a time,
 //! a leader that grants at any moment, letters that come late, twice or never, operators that halt and resume.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-use glendeck_fleet::charter::{Act, Amount, Charter, Limit, Limits, OnHalt, Place, Plan, UnitName};
-use glendeck_fleet::state::{Command, Course, Entry, Life, Nonce, Permit, Rates, Standing, State};
+use glendeck_fleet::policy::{Act, Amount, FleetPolicy, Limit, Limits, OnHalt, Place, Plan, UnitName};
+use glendeck_fleet::state::{
+    CallCounts, Command, Entry, Incarnation, Lease, Nonce, ReleaseState, State, UnitState,
+};
 use stateright::{Checker, Model, Property};
 
 const UNITS: usize = 2;
@@ -18,9 +20,9 @@
 struct Unit {
     /// Entries of the log that it has heard.
     heard: usize,
-    life: u64,
+    incarnation: u64,
     count: u64,
-    asked: Option<(Permit, Nonce)>,
+    asked: Option<(Lease, Nonce)>,
     /// It asked less than 2 s ago.
     fresh: bool,
     out: bool,
@@ -32,7 +34,7 @@
     log: Vec<State>,
     units: Vec<Unit>,
     /// Begins on their way; what has arrived may arrive again.
-    letters: BTreeSet<(usize, Permit, Nonce)>,
+    consensus_messages: BTreeSet<(usize, Lease, Nonce)>,
     /// The release has been halted for 2 s or longer.
     long_halted: bool,
     went_late: bool,
@@ -45,7 +47,7 @@
         for state in &self.log {
             postcard::to_stdvec(state).unwrap().hash(to);
         }
-        (&self.units, &self.letters, self.long_halted, self.went_late).hash(to);
+        (&self.units, &self.consensus_messages, self.long_halted, self.went_late).hash(to);
     }
 }
 
@@ -54,15 +56,15 @@
     Turn(usize),
     Halt,
     Resume,
-    Arrive(usize, Permit, Nonce),
+    Arrive(usize, Lease, Nonce),
     Hear(usize),
     Ask(usize),
     GoOut(usize),
     /// Two seconds pass.
     Wait,
     /// It leaves and its next process serves.
-    Changed(usize),
-    Seen(usize),
+    ChangedUnit(usize),
+    RequestResult(usize),
 }
 
 /// What is left out of the program on purpose.
@@ -77,12 +79,12 @@
     spot.log.last().unwrap()
 }
 
-fn standing(state: &State, at: usize) -> &Standing {
-    &state.units[&name(at)].standing
+fn unit_state(state: &State, at: usize) -> &UnitState {
+    &state.units[&name(at)].unit_state
 }
 
 fn is_halted(state: &State) -> bool {
-    state.release.as_ref().is_some_and(|release| matches!(release.course, Course::Halted(_)))
+    state.release.as_ref().is_some_and(|release| matches!(release.release_state, ReleaseState::Halted(_)))
 }
 
 fn append(spot: &mut Spot, command: Command) {
@@ -97,7 +99,7 @@
 
     fn init_states(&self) -> Vec<Spot> {
         let place = Place { zone: String::new(), cell: String::new(), kind: String::new() };
-        let charter = Charter {
+        let policy = FleetPolicy {
             group: "g".into(),
             voters: vec![name(0)],
             limits: Limits {
@@ -115,25 +117,25 @@
             watch_s: 3,
             unit_limit_s: 60,
             act: Act::Exit,
-            on_halt: OnHalt::Hold,
+            on_halt: OnHalt::HoldState,
             gates: Default::default(),
         };
-        let mut state = State::before_founding(&charter.voters);
-        let mut all = vec![Command::Found(Box::new(charter))];
-        all.extend((0..UNITS + 1).map(|at| Command::Seen {
+        let mut state = State::before_founding(&policy.voters);
+        let mut all = vec![Command::Bootstrap(Box::new(policy))];
+        all.extend((0..UNITS + 1).map(|at| Command::MarkServing {
             unit: name(at),
-            permit: None,
+            lease: None,
             version: "v1".into(),
         }));
-        all.push(Command::Start { plan: Box::new(plan) });
+        all.push(Command::StartRelease { plan: Box::new(plan) });
         for command in all {
             state.apply(&Entry { id: None, command });
         }
-        let unit = Unit { heard: 0, life: 1, count: 0, asked: None, fresh: false, out: false };
+        let unit = Unit { heard: 0, incarnation: 1, count: 0, asked: None, fresh: false, out: false };
         vec![Spot {
             log: vec![state],
             units: vec![unit; UNITS],
-            letters: BTreeSet::new(),
+            consensus_messages: BTreeSet::new(),
             long_halted: false,
             went_late: false,
         }]
@@ -143,7 +145,9 @@
         let room = spot.log.len() < self.longest_log;
         if room {
             steps.extend([Step::Halt, Step::Resume]);
-            steps.extend(spot.letters.iter().map(|(at, permit, nonce)| Step::Arrive(*at, *permit, *nonce)));
+            steps.extend(
+                spot.consensus_messages.iter().map(|(at, lease, nonce)| Step::Arrive(*at, *lease, *nonce)),
+            );
         }
         steps.push(Step::Wait);
         for (at, unit) in spot.units.iter().enumerate() {
@@ -153,33 +157,33 @@
             if unit.heard + 1 < spot.log.len() {
                 steps.push(Step::Hear(at));
             }
-            let known = standing(&spot.log[unit.heard], at);
+            let known = unit_state(&spot.log[unit.heard], at);
             let may_ask = match known {
-                Standing::Granted { .. } => true,
-                Standing::Begun { nonce, .. } => nonce.life == Life(unit.life),
+                UnitState::Granted { .. } => true,
+                UnitState::Begun { nonce, .. } => nonce.incarnation == Incarnation(unit.incarnation),
                 _ => false,
             };
             if may_ask && !unit.out && unit.count < 2 {
                 steps.push(Step::Ask(at));
             }
             let begun = match known {
-                Standing::Begun { permit, nonce, .. } => unit.asked == Some((*permit, *nonce)),
-                Standing::Granted { .. } => self.out_on_grant,
+                UnitState::Begun { lease, nonce, .. } => unit.asked == Some((*lease, *nonce)),
+                UnitState::Granted { .. } => self.out_on_grant,
                 _ => false,
             };
             if begun && !unit.out && (unit.fresh || self.any_age || self.out_on_grant) {
                 steps.push(Step::GoOut(at));
             }
             // Without its guards a unit could leave for ever, and there would be no end to it.
-            if unit.out && unit.life < 3 {
-                steps.push(Step::Changed(at));
+            if unit.out && unit.incarnation < 3 {
+                steps.push(Step::ChangedUnit(at));
             }
-            let gone = match standing(agreed(spot), at) {
-                Standing::Begun { nonce, .. } => nonce.life != Life(unit.life),
+            let gone = match unit_state(agreed(spot), at) {
+                UnitState::Begun { nonce, .. } => nonce.incarnation != Incarnation(unit.incarnation),
                 _ => false,
             };
             if room && gone && !unit.out {
-                steps.push(Step::Seen(at));
+                steps.push(Step::RequestResult(at));
             }
         }
     }
@@ -187,21 +191,21 @@
     fn next_state(&self, before: &Spot, step: Step) -> Option<Spot> {
         let mut spot = before.clone();
         match step {
-            Step::Turn(at) => append(&mut spot, Command::Turn { release: 1, unit: name(at) }),
+            Step::Turn(at) => append(&mut spot, Command::GrantTurn { release: 1, unit: name(at) }),
             Step::Halt => append(&mut spot, Command::Halt { why: "h".into() }),
             Step::Resume => append(&mut spot, Command::Resume),
-            Step::Arrive(at, permit, nonce) => {
-                let rates = Rates::default();
-                append(&mut spot, Command::Begin { unit: name(at), permit, nonce, rates });
+            Step::Arrive(at, lease, nonce) => {
+                let call_counts = CallCounts::default();
+                append(&mut spot, Command::BeginDrain { unit: name(at), lease, nonce, call_counts });
             }
             Step::Hear(at) => spot.units[at].heard += 1,
             Step::Ask(at) => {
-                let permit = standing(&spot.log[spot.units[at].heard], at).permit()?;
+                let lease = unit_state(&spot.log[spot.units[at].heard], at).lease()?;
                 let unit = &mut spot.units[at];
                 unit.count += 1;
-                let nonce = Nonce { life: Life(unit.life), count: unit.count };
-                (unit.asked, unit.fresh) = (Some((permit, nonce)), true);
-                spot.letters.insert((at, permit, nonce));
+                let nonce = Nonce { incarnation: Incarnation(unit.incarnation), count: unit.count };
+                (unit.asked, unit.fresh) = (Some((lease, nonce)), true);
+                spot.consensus_messages.insert((at, lease, nonce));
             }
             Step::GoOut(at) => {
                 spot.units[at].out = true;
@@ -211,10 +215,10 @@
                 spot.units.iter_mut().for_each(|unit| unit.fresh = false);
                 spot.long_halted = is_halted(agreed(&spot));
             }
-            Step::Changed(at) => {
+            Step::ChangedUnit(at) => {
                 let unit = &mut spot.units[at];
                 *unit = Unit {
-                    life: unit.life + 1,
+                    incarnation: unit.incarnation + 1,
                     count: 0,
                     asked: None,
                     fresh: false,
@@ -222,9 +226,9 @@
                     ..unit.clone()
                 };
             }
-            Step::Seen(at) => {
-                let permit = standing(agreed(&spot), at).permit();
-                append(&mut spot, Command::Seen { unit: name(at), permit, version: "v2".into() });
+            Step::RequestResult(at) => {
+                let lease = unit_state(agreed(&spot), at).lease();
+                append(&mut spot, Command::MarkServing { unit: name(at), lease, version: "v2".into() });
             }
         }
         if !is_halted(agreed(&spot)) {
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -1,14 +1,14 @@
-//! Thousands of seeded schedules of faults in simulated time, the checker's own check by planted faults, and the hard
+//! Thousands of seeded schedules of faults in simulated time, the checker's own check by injected faults, and the hard
 //! cases one by one.
 
 mod world;
 
-use glendeck_fleet::charter::{Act, OnHalt, UnitName};
-use glendeck_fleet::hosts::{EndpointState, Hold};
-use glendeck_fleet::plant::Plant;
-use glendeck_fleet::state::{Command, Course, Standing};
+use glendeck_fleet::fault_injection::InjectedFault;
+use glendeck_fleet::hosts::{EndpointState, HoldState};
+use glendeck_fleet::policy::{Act, OnHalt, UnitName};
+use glendeck_fleet::state::{Command, ReleaseState, UnitState};
 use test_case::test_case;
-use world::{Fault, LinkState, World, charter, plan};
+use world::{Fault, LinkState, World, plan, policy};
 
 /// Faults fall between these, in seconds; after the last there is time to settle.
 const FIRST: u64 = 10;
@@ -68,12 +68,12 @@
 
 /// Orders that cross grants: halts and resumes in quick turn, while words to single nodes come late.
 fn draw_crossings(seed: u64, nodes: usize, voters: usize) -> World {
-    let mut world = World::new(seed, charter(nodes, voters));
+    let mut world = World::new(seed, policy(nodes, voters));
     let act = if world.roll(2) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
+    let on_halt = if world.roll(2) == 0 { OnHalt::HoldState } else { OnHalt::Return };
     let mut plan = plan("v2", act, on_halt);
     plan.gates.most_lost = world.roll(3) as u32 * 100;
-    world.order(8_000, 0, "start", Command::Start { plan });
+    world.order(8_000, 0, "start", Command::StartRelease { plan });
     let mut when = FIRST * 1_000;
     let mut no = 0;
     while when < LAST * 1_000 {
@@ -106,8 +106,8 @@
 
 /// What two voters of three have agreed is forgotten by one of them while the other is away.
 fn draw_forgetting(seed: u64, nodes: usize, voters: usize) -> World {
-    let mut world = World::new(seed, charter(nodes, voters));
-    world.order(7_000, 0, "start", Command::Start { plan: plan("v2", Act::Exit, OnHalt::Hold) });
+    let mut world = World::new(seed, policy(nodes, voters));
+    world.order(7_000, 0, "start", Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::HoldState) });
     let mut when = FIRST * 1_000;
     while when + 20_000 < LAST * 1_000 {
         let forgetful = world.roll(voters as u64) as usize;
@@ -162,20 +162,20 @@
 
 /// All kinds of faults at any time.
 fn draw_mixed(seed: u64, nodes: usize, voters: usize) -> World {
-    let mut world = World::new(seed, charter(nodes, voters));
+    let mut world = World::new(seed, policy(nodes, voters));
     let acts = if world.roll(4) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
+    let on_halt = if world.roll(2) == 0 { OnHalt::HoldState } else { OnHalt::Return };
     if world.roll(6) == 0 {
         world.serves_badly("v2");
     }
     let start = 8_000 + world.roll(8_000);
     let at = world.roll(nodes as u64) as usize;
-    world.order(start, at, "start", Command::Start { plan: plan("v2", acts, on_halt) });
+    world.order(start, at, "start", Command::StartRelease { plan: plan("v2", acts, on_halt) });
     if world.roll(2) == 0 {
         // Sent twice, and by another at another node.
         let at = world.roll(nodes as u64) as usize;
-        world.order(start + 300, at, "start", Command::Start { plan: plan("v2", acts, on_halt) });
-        world.order(start + 200, at, "other", Command::Start { plan: plan("v3", acts, on_halt) });
+        world.order(start + 300, at, "start", Command::StartRelease { plan: plan("v2", acts, on_halt) });
+        world.order(start + 200, at, "other", Command::StartRelease { plan: plan("v3", acts, on_halt) });
     }
     for at_ms in 0..(1 + world.roll(8)) {
         let when = FIRST * 1_000 + world.roll((LAST - FIRST) * 1_000);
@@ -184,7 +184,7 @@
         let command = match world.roll(8) {
             0 | 1 => halt("an operator"),
             2 => Command::Resume,
-            3 => Command::Back,
+            3 => Command::RollBack,
             4 | 5 => Command::Drain { unit },
             6 => Command::Activate { unit },
             _ => Command::Confirm,
@@ -300,7 +300,7 @@
         let state = world.newest().ok_or("no state")?.clone();
         for (unit, of) in &state.units {
             if of
-                .standing
+                .unit_state
                 .cause()
                 .is_some_and(|cause| !matches!(cause, glendeck_fleet::state::Cause::Release(_)))
             {
@@ -315,17 +315,19 @@
             }
         }
         if let Some(release) = &state.release
-            && matches!(release.course, Course::Halted(_))
+            && matches!(release.release_state, ReleaseState::Halted(_))
         {
-            let command = if release.back.is_none() && round > 1 { Command::Back } else { Command::Resume };
+            let command =
+                if release.back.is_none() && round > 1 { Command::RollBack } else { Command::Resume };
             world.order(at + 2, leader, &format!("end {round}"), command);
         }
         at += 40_000 + nodes as u64 * 3_000;
         world.run_until(at);
         check(world)?;
         let state = world.newest().ok_or("no state")?;
-        let all_back = state.units.values().all(|unit| unit.standing == Standing::Serving && !unit.lost);
-        let over = state.release.as_ref().is_none_or(|release| release.course == Course::Finished);
+        let all_back = state.units.values().all(|unit| unit.unit_state == UnitState::Serving && !unit.lost);
+        let over =
+            state.release.as_ref().is_none_or(|release| release.release_state == ReleaseState::Finished);
         let hosts_back = state.hosts.values().all(|host| !host.is_out());
         if all_back && over && hosts_back && world.really_out() == 0 {
             return Ok(());
@@ -333,8 +335,10 @@
     }
     let state = world.newest().ok_or("no state")?;
     let left: Vec<_> = state.out().collect();
-    let release =
-        state.release.as_ref().map(|of| (of.number, &of.course, of.wave, &of.waves, of.back.is_some()));
+    let release = state
+        .release
+        .as_ref()
+        .map(|of| (of.number, &of.release_state, of.wave, &of.waves, of.back.is_some()));
     let hosts: Vec<_> = state.hosts.iter().filter(|(_, host)| host.is_out()).collect();
     Err(format!("not over at {at} ms: {left:?}, {hosts:?}, release {release:?}, out {}", world.really_out()))
 }
@@ -384,13 +388,14 @@
 
 /// A release whose first unit has asked to begin, and does not hear what came of it. Who leads, and who asks.
 fn begin_unheard(seed: u64, act: Act) -> Option<(World, usize, usize)> {
-    let mut world = World::new(seed, charter(5, 3));
+    let mut world = World::new(seed, policy(5, 3));
     world.run_until(10_000);
-    let mut plan = plan("v2", act, OnHalt::Hold);
+    let mut plan = plan("v2", act, OnHalt::HoldState);
     plan.units = vec![name(3), name(4)];
-    world.order_now(0, "start", Command::Start { plan });
-    let asks =
-        |world: &World| (0..5).find(|at| matches!(world.standing(*at, *at), Some(Standing::Granted { .. })));
+    world.order_now(0, "start", Command::StartRelease { plan });
+    let asks = |world: &World| {
+        (0..5).find(|at| matches!(world.unit_state(*at, *at), Some(UnitState::Granted { .. })))
+    };
     if !world.run_to(3_000, |world| asks(world).is_some()) {
         return None;
     }
@@ -403,10 +408,10 @@
 }
 
 /// Schedules made for one danger each. The sound program passes all of them.
-fn script(fault: Plant, seed: u64) -> Option<World> {
+fn script(fault: InjectedFault, seed: u64) -> Option<World> {
     match fault {
         // Begun, halted, and heard of only much later.
-        Plant::AnyAge => {
+        InjectedFault::AnyAge => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
             world.order_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 4_000);
@@ -415,7 +420,7 @@
             Some(world)
         }
         // It hears late that it has begun, asks anew, and that arrives after the halt.
-        Plant::HaltForgotten => {
+        InjectedFault::HaltForgotten => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
             world.run_until(world.now_ms() + 2_500);
             world.around(unit, false, true, LinkState::Stalled);
@@ -428,17 +433,19 @@
             world.run_until(world.now_ms() + 6_000);
             Some(world)
         }
-        // It asks with a permit that is gone by the time it arrives.
-        Plant::OldPermitBegins => {
-            let mut world = World::new(seed, charter(5, 3));
+        // It asks with a lease that is gone by the time it arrives.
+        InjectedFault::OldLeaseBegins => {
+            let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
             let leader = world.leader()?;
             let unit = (0..5).find(|at| *at != leader)?;
             world.around(unit, false, true, LinkState::Stalled);
-            let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
+            let mut plan = plan("v2", Act::Exit, OnHalt::HoldState);
             plan.units = vec![name(unit)];
-            world.order_now(leader, "start", Command::Start { plan });
-            world.run_to(3_000, |world| matches!(world.standing(unit, unit), Some(Standing::Granted { .. })));
+            world.order_now(leader, "start", Command::StartRelease { plan });
+            world.run_to(3_000, |world| {
+                matches!(world.unit_state(unit, unit), Some(UnitState::Granted { .. }))
+            });
             world.run_until(world.now_ms() + 300);
             world.order_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 300);
@@ -447,8 +454,8 @@
             Some(world)
         }
         // One is gone, another is wanted out, and only one may be.
-        Plant::LostNotCounted => {
-            let mut world = World::new(seed, charter(5, 3));
+        InjectedFault::LostNotCounted => {
+            let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
             let leader = world.leader()?;
             world.strike_now(Fault::Stop((leader + 1) % 5));
@@ -458,8 +465,8 @@
             Some(world)
         }
         // A node cut off from the group goes on with the clients that it has at the host.
-        Plant::EmptyWithoutLost => {
-            let mut world = World::new(seed, charter(5, 3));
+        InjectedFault::EmptyWithoutLost => {
+            let mut world = World::new(seed, policy(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
             world.around(4, true, true, LinkState::Cut);
@@ -470,8 +477,8 @@
             Some(world)
         }
         // The list shows one as out, for long.
-        Plant::ListNotCounted => {
-            let mut world = World::new(seed, charter(5, 3));
+        InjectedFault::ListNotCounted => {
+            let mut world = World::new(seed, policy(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
             world.strike_now(Fault::EndpointState(1, EndpointState::Draining));
@@ -483,8 +490,8 @@
             Some(world)
         }
         // Taken back, and one node has not heard so.
-        Plant::HostBackAtOnce => {
-            let mut world = World::new(seed, charter(5, 3));
+        InjectedFault::HostBackAtOnce => {
+            let mut world = World::new(seed, policy(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
             let leader = world.leader()?;
@@ -501,27 +508,27 @@
     }
 }
 
-/// Each planted fault is caught, on a day made for it or on one drawn, and the sound program passes that day.
-#[test_case(Plant::LostNotCounted; "limits that do not count what is lost")]
-#[test_case(Plant::TurnWhileHalted; "turns granted while halted")]
-#[test_case(Plant::OldPermitBegins; "an old permit that begins")]
-#[test_case(Plant::HaltForgotten; "a halted release whose units may begin")]
-#[test_case(Plant::HaltNotKept; "a halt not kept over the loss of all processes")]
-#[test_case(Plant::AnyAge; "a begin of any age")]
-#[test_case(Plant::OutOnGrant; "a unit out on its grant alone")]
-#[test_case(Plant::OlderDiskVotes; "an older disk that votes")]
-#[test_case(Plant::SentBeforeSynced; "words out before the disk has them")]
-#[test_case(Plant::BackWhenHeard; "a unit back as soon as it is heard")]
-#[test_case(Plant::EmptyWithoutLost; "a host empty though a lost node holds connections")]
-#[test_case(Plant::ListNotCounted; "hosts out by the list that do not count")]
-#[test_case(Plant::HostBackAtOnce; "a host back before all have heard")]
-fn planted(fault: Plant) {
+/// Each injected fault is caught, on a day made for it or on one drawn, and the sound program passes that day.
+#[test_case(InjectedFault::LostNotCounted; "limits that do not count what is lost")]
+#[test_case(InjectedFault::TurnWhileHalted; "turns granted while halted")]
+#[test_case(InjectedFault::OldLeaseBegins; "an old permit that begins")]
+#[test_case(InjectedFault::HaltForgotten; "a halted release whose units may begin")]
+#[test_case(InjectedFault::HaltNotKept; "a halt not kept over the loss of all processes")]
+#[test_case(InjectedFault::AnyAge; "a begin of any age")]
+#[test_case(InjectedFault::OutOnGrant; "a unit out on its grant alone")]
+#[test_case(InjectedFault::OlderDiskVotes; "an older disk that votes")]
+#[test_case(InjectedFault::SentBeforeSynced; "words out before the disk has them")]
+#[test_case(InjectedFault::BackWhenHeard; "a unit back as soon as it is heard")]
+#[test_case(InjectedFault::EmptyWithoutLost; "a host empty though a lost node holds connections")]
+#[test_case(InjectedFault::ListNotCounted; "hosts out by the list that do not count")]
+#[test_case(InjectedFault::HostBackAtOnce; "a host back before all have heard")]
+fn is_injected(fault: InjectedFault) {
     let scripts = (0..10).filter_map(|seed| {
         let sound = script(fault, seed)?;
         assert_eq!(sound.broken, None, "the sound program on the day for {fault:?}, seed {seed}");
-        glendeck_fleet::plant::plant(Some(fault));
+        glendeck_fleet::fault_injection::inject(Some(fault));
         let spoilt = script(fault, seed);
-        glendeck_fleet::plant::plant(None);
+        glendeck_fleet::fault_injection::inject(None);
         spoilt?.broken.map(|why| (seed, why))
     });
     let scripted: Vec<(u64, String)> = scripts.collect();
@@ -533,11 +540,11 @@
         if caught.load(std::sync::atomic::Ordering::Relaxed) {
             return None;
         }
-        glendeck_fleet::plant::plant(Some(fault));
+        glendeck_fleet::fault_injection::inject(Some(fault));
         let (nodes, voters) = sizes(seed);
         let mut world = draw(seed, nodes, voters);
         let why = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play(&mut world, nodes).err()));
-        glendeck_fleet::plant::plant(None);
+        glendeck_fleet::fault_injection::inject(None);
         // Only what breaks a rule counts, not what does not end.
         let why = why.unwrap_or_else(|_| Some("it panicked".into()));
         let broken = why.filter(|why| !why.starts_with("not over") && !why.starts_with("nobody"))?;
@@ -550,18 +557,18 @@
 
 /// A fleet that has been founded and whose leader knows who is there.
 fn settled(nodes: usize, voters: usize) -> (World, usize) {
-    let mut world = World::new(7, charter(nodes, voters));
+    let mut world = World::new(7, policy(nodes, voters));
     world.run_until(14_000);
     let leader = world.leader().expect("somebody leads");
     (world, leader)
 }
 
-fn course(world: &World) -> Option<Course> {
-    world.newest()?.release.as_ref().map(|release| release.course.clone())
+fn release_state(world: &World) -> Option<ReleaseState> {
+    world.newest()?.release.as_ref().map(|release| release.release_state.clone())
 }
 
 fn release(world: &mut World, at: usize, version: &str) {
-    world.order_now(at, version, Command::Start { plan: plan(version, Act::Exit, OnHalt::Hold) });
+    world.order_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::HoldState) });
 }
 
 #[test_case(1, 1, 60_000)]
@@ -572,7 +579,11 @@
 fn fleets_of_many_sizes_are_released(nodes: usize, voters: usize, within_ms: u64) {
     let (mut world, _) = settled(nodes, voters);
     release(&mut world, nodes - 1, "v2");
-    assert!(world.run_to(within_ms, |world| course(world) == Some(Course::Finished)), "{:?}", course(&world));
+    assert!(
+        world.run_to(within_ms, |world| release_state(world) == Some(ReleaseState::Finished)),
+        "{:?}",
+        release_state(&world)
+    );
     assert_eq!(world.broken, None);
     assert!(world.versions().iter().all(|version| *version == "v2"));
     println!("{nodes} nodes: over after {} s, most out {}", world.now_ms() / 1_000 - 14, world.most_out);
@@ -635,13 +646,13 @@
     let (mut world, leader) = settled(5, 3);
     world.serves_badly("v2");
     release(&mut world, leader, "v2");
-    assert!(world.run_to(60_000, |world| matches!(course(world), Some(Course::Halted(_)))));
-    let Some(Course::Halted(why)) = course(&world) else { panic!() };
+    assert!(world.run_to(60_000, |world| matches!(release_state(world), Some(ReleaseState::Halted(_)))));
+    let Some(ReleaseState::Halted(why)) = release_state(&world) else { panic!() };
     assert!(why.contains("calls fail"), "{why}");
     assert_eq!(world.versions().iter().filter(|version| **version == "v2").count(), 1);
     let at = world.leader().unwrap();
-    world.order_now(at, "back", Command::Back);
-    assert!(world.run_to(60_000, |world| course(world) == Some(Course::Finished)));
+    world.order_now(at, "back", Command::RollBack);
+    assert!(world.run_to(60_000, |world| release_state(world) == Some(ReleaseState::Finished)));
     assert!(
         world.done("back") && world.versions().iter().all(|version| *version == "v1"),
         "{:?}",
@@ -656,8 +667,12 @@
     release(&mut world, leader, "v2");
     world.run_until(world.now_ms() + 500);
     release(&mut world, (leader + 1) % 5, "v2");
-    world.order_now((leader + 2) % 5, "other", Command::Start { plan: plan("v3", Act::Exit, OnHalt::Hold) });
-    world.order_now((leader + 3) % 5, "back", Command::Back);
+    world.order_now(
+        (leader + 2) % 5,
+        "other",
+        Command::StartRelease { plan: plan("v3", Act::Exit, OnHalt::HoldState) },
+    );
+    world.order_now((leader + 3) % 5, "back", Command::RollBack);
     world.run_until(world.now_ms() + 1_500);
     assert!(world.done("v2") && !world.done("other") && !world.done("back"), "{:?}", world.answers);
     assert_eq!(world.newest().unwrap().releases, 1);
@@ -672,7 +687,7 @@
     release(&mut world, leader, "v3");
     world.run_until(world.now_ms() + 2_000);
     assert!(
-        world.done("v3") && world.answered("v2") == Some(&glendeck_fleet::Seen::Unknown),
+        world.done("v3") && world.answered("v2") == Some(&glendeck_fleet::RequestResult::Unknown),
         "{:?}",
         world.answers
     );
@@ -715,29 +730,36 @@
     let out = world.most_out;
     world.order_now(leader, "drain", Command::Drain { unit: name(4) });
     world.run_until(world.now_ms() + 20_000);
-    assert_eq!((world.most_out, world.answered("drain")), (out, Some(&glendeck_fleet::Seen::Unknown)));
+    assert_eq!(
+        (world.most_out, world.answered("drain")),
+        (out, Some(&glendeck_fleet::RequestResult::Unknown))
+    );
     for at in &others {
         world.around(*at, true, true, LinkState::Up);
     }
     // What was cut off counts as lost until it was seen: the release halts by its gate or goes on.
     world.run_until(world.now_ms() + 20_000);
     let at = world.leader().expect("a leader once healed");
-    if matches!(course(&world), Some(Course::Halted(_))) {
+    if matches!(release_state(&world), Some(ReleaseState::Halted(_))) {
         world.order_now(at, "resume", Command::Resume);
     }
-    assert!(world.run_to(150_000, |world| course(world) == Some(Course::Finished)), "{:?}", course(&world));
+    assert!(
+        world.run_to(150_000, |world| release_state(world) == Some(ReleaseState::Finished)),
+        "{:?}",
+        release_state(&world)
+    );
     assert_eq!(world.broken, None);
 }
 
 #[test]
 fn a_unit_that_never_returns_halts_the_release() {
     let (mut world, leader) = settled(5, 3);
-    let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
+    let mut plan = plan("v2", Act::Exit, OnHalt::HoldState);
     (plan.units, plan.unit_limit_s) = (vec![name(3), name(4)], 30);
-    world.order_now(leader, "v2", Command::Start { plan });
+    world.order_now(leader, "v2", Command::StartRelease { plan });
     assert!(world.run_to(5_000, |world| world.is_out(3)));
     world.strike_now(Fault::Gone(3));
-    assert!(world.run_to(45_000, |world| matches!(course(world), Some(Course::Halted(_)))));
+    assert!(world.run_to(45_000, |world| matches!(release_state(world), Some(ReleaseState::Halted(_)))));
     assert!(!world.is_out(4) && world.broken.is_none());
 }
 
@@ -746,8 +768,8 @@
     let (mut world, leader) = settled(5, 3);
     let old = (0..3).find(|at| *at != leader).unwrap();
     world.strike_now(Fault::Gone(old));
-    world.order_now(leader, "replace", Command::Replace { old: name(old), new: name(4) });
-    assert!(world.run_to(15_000, |world| world.newest().unwrap().seat_of(&name(4)).is_some()));
+    world.order_now(leader, "replace", Command::ReplaceVoter { old: name(old), new: name(4) });
+    assert!(world.run_to(15_000, |world| world.newest().unwrap().voter_slot_of(&name(4)).is_some()));
     world.run_until(world.now_ms() + 5_000);
     // Two of the three that are left decide, the new one among them.
     let at = world.leader().unwrap();
@@ -767,7 +789,7 @@
 /// All voters in one zone, and that zone lost: the release is found again where it stood, halted.
 #[test]
 fn a_release_is_halted_after_all_voters_were_lost() {
-    let mut of = charter(9, 3);
+    let mut of = policy(9, 3);
     of.voters = vec![name(0), name(3), name(6)];
     let mut world = World::new(3, of);
     world.run_until(14_000);
@@ -780,13 +802,13 @@
     let out = world.most_out;
     world.run_until(world.now_ms() + 20_000);
     assert!(world.fleet(0).is_some() && world.leader().is_some());
-    assert!(matches!(course(&world), Some(Course::Halted(_))), "{:?}", course(&world));
+    assert!(matches!(release_state(&world), Some(ReleaseState::Halted(_))), "{:?}", release_state(&world));
     assert_eq!((world.most_out, world.broken.clone()), (out, None));
 }
 
 #[test]
 fn a_host_is_eased_off_said_to_be_empty_and_taken_back() {
-    let mut world = World::new(5, charter(5, 3));
+    let mut world = World::new(5, policy(5, 3));
     world.with_hosts(6);
     world.run_until(16_000);
     let leader = world.leader().unwrap();
@@ -801,7 +823,11 @@
     }
     world.run_until(21_500);
     assert!(!world.done("same zone") && !world.done("the list's zone"), "{:?}", world.answers);
-    assert!(world.run_to(20_000, |world| world.hold_of(1) == Some(Hold::Empty)), "{:?}", world.hold_of(1));
+    assert!(
+        world.run_to(20_000, |world| world.hold_of(1) == Some(HoldState::Empty)),
+        "{:?}",
+        world.hold_of(1)
+    );
     assert_eq!(world.conns_at(1), 0);
     world.order_now(leader, "back", Command::Activate { unit: host(1) });
     assert!(world.run_to(10_000, |world| world.hold_of(1).is_none()));
@@ -815,18 +841,18 @@
 /// While a node is not heard nobody knows what it holds; an operator who knows that it is dead says so.
 #[test]
 fn a_host_is_not_said_to_be_empty_while_a_node_is_not_heard() {
-    let mut world = World::new(5, charter(5, 3));
+    let mut world = World::new(5, policy(5, 3));
     world.with_hosts(6);
     world.run_until(16_000);
     world.strike_now(Fault::Gone(4));
     world.run_until(25_000);
     let leader = world.leader().unwrap();
     world.order_now(leader, "drain", Command::Drain { unit: host(1) });
-    world.order_now(leader, "too early", Command::Dead { unit: name(3) });
+    world.order_now(leader, "too early", Command::ConfirmDead { unit: name(3) });
     world.run_until(50_000);
-    assert_eq!((world.hold_of(1), world.done("too early")), (Some(Hold::Out), false));
-    world.order_now(leader, "dead", Command::Dead { unit: name(4) });
-    assert!(world.run_to(5_000, |world| world.hold_of(1) == Some(Hold::Empty)));
+    assert_eq!((world.hold_of(1), world.done("too early")), (Some(HoldState::Out), false));
+    world.order_now(leader, "dead", Command::ConfirmDead { unit: name(4) });
+    assert!(world.run_to(5_000, |world| world.hold_of(1) == Some(HoldState::Empty)));
     assert_eq!(world.broken, None);
 }
 
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -4,16 +4,18 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use glendeck_fleet::charter::{Act, Amount, Charter, OnHalt, Place, Plan, UnitName};
-use glendeck_fleet::engine::Voter;
+use glendeck_fleet::consensus::Voter;
 use glendeck_fleet::hosts::{EndpointState, HostLine};
 use glendeck_fleet::message::{
-    Beat, Chair, Echo, Envelope, Fact, Hello, Message, News, Reach, Told, VERSION, Witness,
+    DurableMark, Echo, Envelope, Heartbeat, HeartbeatReply, Hello, LogPosition, LogStep, LogUpdate, Message,
+    VERSION, VoterStatus,
 };
+use glendeck_fleet::policy::{Act, Amount, FleetPolicy, OnHalt, Place, Plan, UnitName};
 use glendeck_fleet::state::{
-    AskId, Cause, Command, Entry, Incarnation, Life, Nonce, Permit, Rates, Seat, Standing, State,
+    BootCount, CallCounts, Cause, Command, Entry, Incarnation, Lease, Nonce, RequestId, State, UnitState,
+    VoterSlot,
 };
-use glendeck_fleet::{Fleet, Key, LONGEST_LOG, Moment, Saved, Setup, Write};
+use glendeck_fleet::{Fleet, FleetConfig, LONGEST_LOG, StoreKey, StoreWrite, StoredState, Timestamp};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 const SHOWN: &str = include_str!("fixtures/shown.json");
@@ -22,7 +24,7 @@
     name.into()
 }
 
-fn charter() -> Charter {
+fn policy() -> FleetPolicy {
     let text = r#"{"group": "north", "voters": ["a", "b", "c"],
         "limits": {"fleet": {"most_out": "50%", "least_left": 1}, "zone": {"most_out": 1}},
         "hosts": {"limits": {"fleet": {"most_out": "25%"}}, "moves_per_second": 7, "forget_after_s": 60},
@@ -40,16 +42,16 @@
     plan
 }
 
-fn rates() -> Rates {
-    Rates { calls: 1_000, failed: 3, busy: 2, waiting: 1, hosts_down: 4 }
+fn call_counts() -> CallCounts {
+    CallCounts { calls: 1_000, failed: 3, busy: 2, waiting: 1, hosts_down: 4 }
 }
 
 fn nonce() -> Nonce {
-    Nonce { life: Life(77), count: 5 }
+    Nonce { incarnation: Incarnation(77), count: 5 }
 }
 
-fn seat() -> Seat {
-    Seat { number: 4, name: unit("d"), life: Life(9) }
+fn voter_slot() -> VoterSlot {
+    VoterSlot { number: 4, name: unit("d"), incarnation: Incarnation(9) }
 }
 
 fn place() -> Place {
@@ -58,23 +60,31 @@
 
 fn commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("found", Command::Found(Box::new(charter()))),
+        ("found", Command::Bootstrap(Box::new(policy()))),
         ("confirm", Command::Confirm),
         ("drain", Command::Drain { unit: unit("a") }),
         ("override", Command::Override { unit: unit("b"), reason: "it burns".into() }),
         ("activate", Command::Activate { unit: unit("a") }),
-        ("start", Command::Start { plan: Box::new(plan()) }),
+        ("start", Command::StartRelease { plan: Box::new(plan()) }),
         ("halt", Command::Halt { why: "an operator".into() }),
         ("resume", Command::Resume),
-        ("back", Command::Back),
-        ("turn", Command::Turn { release: 1, unit: unit("a") }),
-        ("begin", Command::Begin { unit: unit("a"), permit: Permit(3), nonce: nonce(), rates: rates() }),
-        ("seen", Command::Seen { unit: unit("a"), permit: Some(Permit(3)), version: "v1".into() }),
-        ("lost", Command::Lost { unit: unit("c") }),
-        ("dead", Command::Dead { unit: unit("c") }),
+        ("back", Command::RollBack),
+        ("turn", Command::GrantTurn { release: 1, unit: unit("a") }),
+        (
+            "begin",
+            Command::BeginDrain {
+                unit: unit("a"),
+                lease: Lease(3),
+                nonce: nonce(),
+                call_counts: call_counts(),
+            },
+        ),
+        ("seen", Command::MarkServing { unit: unit("a"), lease: Some(Lease(3)), version: "v1".into() }),
+        ("lost", Command::MarkLost { unit: unit("c") }),
+        ("dead", Command::ConfirmDead { unit: unit("c") }),
         (
             "hosts",
-            Command::Hosts {
+            Command::UpdateHosts {
                 lines: vec![
                     HostLine { host: unit("h1"), said: Some((place(), EndpointState::Ready)) },
                     HostLine { host: unit("h2"), said: Some((place(), EndpointState::Draining)) },
@@ -83,95 +93,114 @@
                 ],
             },
         ),
-        ("emptied", Command::Emptied { host: unit("h1"), permit: Permit(8) }),
-        ("host_back", Command::HostBack { host: unit("h1"), permit: Permit(8) }),
-        ("pass", Command::Pass { release: 1, wave: 0 }),
-        ("replace", Command::Replace { old: unit("c"), new: unit("d") }),
-        ("reseat", Command::Reseat { seats: vec![seat()] }),
-        ("reign", Command::Reign { voters: vec![(unit("a"), Incarnation(2))] }),
+        ("emptied", Command::MarkHostEmpty { host: unit("h1"), lease: Lease(8) }),
+        ("host_back", Command::MarkHostReturned { host: unit("h1"), lease: Lease(8) }),
+        ("pass", Command::AdvanceWave { release: 1, wave: 0 }),
+        ("replace", Command::ReplaceVoter { old: unit("c"), new: unit("d") }),
+        ("reseat", Command::Reconfigure { voter_slots: vec![voter_slot()] }),
+        ("reign", Command::LeaderStarted { voters: vec![(unit("a"), BootCount(2))] }),
     ]
 }
 
 /// What a group has agreed on after some entries of every kind.
 fn state() -> State {
-    let mut state = State::before_founding(&charter().voters);
+    let mut state = State::before_founding(&policy().voters);
     let mut apply = |id: Option<&str>, command: Command| {
-        state.apply(&Entry { id: id.map(|id| AskId(id.into())), command });
+        state.apply(&Entry { id: id.map(|id| RequestId(id.into())), command });
     };
-    apply(None, Command::Found(Box::new(charter())));
+    apply(None, Command::Bootstrap(Box::new(policy())));
     for name in ["a", "b", "c", "d"] {
-        apply(None, Command::Seen { unit: unit(name), permit: None, version: "v1".into() });
+        apply(None, Command::MarkServing { unit: unit(name), lease: None, version: "v1".into() });
     }
     apply(None, commands().swap_remove(14).1);
-    apply(Some("one"), Command::Start { plan: Box::new(plan()) });
-    apply(None, Command::Turn { release: 1, unit: unit("a") });
-    apply(None, Command::Begin { unit: unit("a"), permit: Permit(1), nonce: nonce(), rates: rates() });
+    apply(Some("one"), Command::StartRelease { plan: Box::new(plan()) });
+    apply(None, Command::GrantTurn { release: 1, unit: unit("a") });
+    apply(
+        None,
+        Command::BeginDrain { unit: unit("a"), lease: Lease(1), nonce: nonce(), call_counts: call_counts() },
+    );
     apply(Some("two"), Command::Drain { unit: unit("h1") });
     apply(Some("three"), Command::Override { unit: unit("b"), reason: "it burns".into() });
-    apply(None, Command::Lost { unit: unit("c") });
-    apply(Some("four"), Command::Replace { old: unit("c"), new: unit("d") });
-    apply(None, Command::Reign { voters: vec![(unit("a"), Incarnation(2)), (unit("b"), Incarnation(1))] });
+    apply(None, Command::MarkLost { unit: unit("c") });
+    apply(Some("four"), Command::ReplaceVoter { old: unit("c"), new: unit("d") });
+    apply(
+        None,
+        Command::LeaderStarted { voters: vec![(unit("a"), BootCount(2)), (unit("b"), BootCount(1))] },
+    );
     state
 }
 
-fn beat(chair: Chair) -> Beat {
-    Beat {
-        life: Life(77),
-        have: Reach { epoch: 2, applied: 40 },
+fn heartbeat(voter_status: VoterStatus) -> Heartbeat {
+    Heartbeat {
+        incarnation: Incarnation(77),
+        have: LogPosition { epoch: 2, applied: 40 },
         serving: true,
-        out: Some(Permit(3)),
+        out: Some(Lease(3)),
         version: "v1".into(),
-        rates: rates(),
+        call_counts: call_counts(),
         holds: Some(vec![(unit("h1"), 6)]),
-        chair,
-        incarnation: Incarnation(3),
-        echo: Some(Echo { life: Life(5), at: 123_456_789 }),
+        voter_status,
+        boot_count: BootCount(3),
+        echo: Some(Echo { incarnation: Incarnation(5), at: 123_456_789 }),
     }
 }
 
-fn told(news: News) -> Told {
-    Told {
-        echo: Echo { life: Life(5), at: 99 },
+fn told(log_update: LogUpdate) -> HeartbeatReply {
+    HeartbeatReply {
+        echo: Echo { incarnation: Incarnation(5), at: 99 },
         leader: Some(unit("b")),
-        news,
+        log_update,
         applied: 41,
-        of_you: Some(Witness { seat: 2, stamp: 17 }),
+        of_you: Some(DurableMark { voter_slot: 2, stamp: 17 }),
         founded: true,
-        chair: Chair::Sits(2),
+        voter_status: VoterStatus::Active(2),
     }
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let entry = Entry { id: Some(AskId("q".into())), command: Command::Confirm };
-    let since =
-        News::Since(Reach { epoch: 2, applied: 40 }, vec![Fact::Entry(entry), Fact::Reseat(vec![seat()])]);
+    let entry = Entry { id: Some(RequestId("q".into())), command: Command::Confirm };
+    let since = LogUpdate::Since(
+        LogPosition { epoch: 2, applied: 40 },
+        vec![LogStep::Entry(entry), LogStep::Reconfigure(vec![voter_slot()])],
+    );
     let mut messages = vec![
-        ("beat_none", Message::Beat(beat(Chair::None))),
-        ("beat_fresh", Message::Beat(beat(Chair::Fresh))),
-        ("beat_forgot", Message::Beat(beat(Chair::Forgot))),
-        ("beat_asks", Message::Beat(beat(Chair::Asks(3)))),
-        ("beat_sits", Message::Beat(beat(Chair::Sits(3)))),
-        ("told_none", Message::Told(told(News::None))),
-        ("told_since", Message::Told(told(since))),
-        ("told_whole", Message::Told(told(News::Whole(Box::new(state()))))),
-        ("ask", Message::Ask { id: Some(AskId("q".into())), command: Command::Resume }),
-        ("nudge", Message::Nudge),
-        ("witnessed", Message::Witnessed),
-        ("seek", Message::Seek(Echo { life: Life(1), at: 2 }, vec![unit("c")])),
-        ("found", Message::Found(Echo { life: Life(1), at: 2 }, vec![(unit("c"), beat(Chair::None), 250)])),
+        ("beat_none", Message::Heartbeat(heartbeat(VoterStatus::NoStore))),
+        ("beat_fresh", Message::Heartbeat(heartbeat(VoterStatus::Fresh))),
+        ("beat_forgot", Message::Heartbeat(heartbeat(VoterStatus::StateLost))),
+        ("beat_asks", Message::Heartbeat(heartbeat(VoterStatus::Recovering(3)))),
+        ("beat_sits", Message::Heartbeat(heartbeat(VoterStatus::Active(3)))),
+        ("told_none", Message::HeartbeatReply(told(LogUpdate::None))),
+        ("told_since", Message::HeartbeatReply(told(since))),
+        ("told_whole", Message::HeartbeatReply(told(LogUpdate::Whole(Box::new(state()))))),
+        ("ask", Message::Request { id: Some(RequestId("q".into())), command: Command::Resume }),
+        ("nudge", Message::Resync),
+        ("witnessed", Message::DurableMarkOnly),
+        ("seek", Message::FindUnits(Echo { incarnation: Incarnation(1), at: 2 }, vec![unit("c")])),
+        (
+            "found",
+            Message::UnitsFound(
+                Echo { incarnation: Incarnation(1), at: 2 },
+                vec![(unit("c"), heartbeat(VoterStatus::NoStore), 250)],
+            ),
+        ),
     ];
     // What the library's engine says to begin an election, and what it is answered.
-    let seats = state().seats;
-    let mut voters: Vec<Voter> =
-        seats.iter().map(|seat| Voter::new(1, seat.number, &seats, &Saved::default())).collect();
+    let voter_slots = state().voter_slots;
+    let mut voters: Vec<Voter> = voter_slots
+        .iter()
+        .map(|voter_slot| Voter::new(1, voter_slot.number, &voter_slots, &StoredState::default()))
+        .collect();
     for _ in 0..6 {
         voters.iter_mut().for_each(Voter::tick);
-        let letters: Vec<_> = voters.iter_mut().flat_map(Voter::take_letters).collect();
-        for letter in letters {
-            messages.push(("engine", Message::Engine { epoch: 1, letter: letter.clone() }));
-            let to = letter.get_receiver();
-            if let Some(voter) = voters.iter_mut().find(|voter| voter.seat == to) {
-                voter.take(letter);
+        let consensus_messages: Vec<_> = voters.iter_mut().flat_map(Voter::take_messages).collect();
+        for consensus_message in consensus_messages {
+            messages.push((
+                "engine",
+                Message::Consensus { epoch: 1, consensus_message: consensus_message.clone() },
+            ));
+            let to = consensus_message.get_receiver();
+            if let Some(voter) = voters.iter_mut().find(|voter| voter.voter_slot == to) {
+                voter.take(consensus_message);
             }
         }
     }
@@ -190,38 +219,43 @@
 fn frames() -> String {
     let mut text = String::new();
     for (name, command) in commands() {
-        line(&mut text, &format!("entry_{name}"), &bytes(&Entry { id: Some(AskId("q".into())), command }));
+        line(
+            &mut text,
+            &format!("entry_{name}"),
+            &bytes(&Entry { id: Some(RequestId("q".into())), command }),
+        );
     }
     for (name, message) in messages() {
-        let envelope = Envelope { witness: Some(Witness { seat: 2, stamp: 300 }), message };
+        let envelope = Envelope { witness: Some(DurableMark { voter_slot: 2, stamp: 300 }), message };
         line(&mut text, &format!("message_{name}"), &envelope.encode());
     }
-    let hello = Hello { version: VERSION, group: "north".into(), name: unit("a"), life: Life(77) };
+    let hello =
+        Hello { version: VERSION, group: "north".into(), name: unit("a"), incarnation: Incarnation(77) };
     line(&mut text, "hello", &bytes(&hello));
     line(&mut text, "state", &bytes(&state()));
     let standings = [
-        Standing::Serving,
-        Standing::Granted { permit: Permit(1), cause: Cause::Drain },
-        Standing::Begun { permit: Permit(1), cause: Cause::Release(2), nonce: nonce(), before: rates() },
-        Standing::Returning { permit: Permit(1), cause: Cause::Override },
+        UnitState::Serving,
+        UnitState::Granted { lease: Lease(1), cause: Cause::Drain },
+        UnitState::Begun { lease: Lease(1), cause: Cause::Release(2), nonce: nonce(), before: call_counts() },
+        UnitState::Returning { lease: Lease(1), cause: Cause::Override },
     ];
     line(&mut text, "standings", &bytes(&standings));
-    line(&mut text, "keys", &Key::ALL.map(|key| key as u8));
+    line(&mut text, "keys", &StoreKey::ALL.map(|key| key as u8));
     let writes = vec![
-        Write::Put(Key::Seat, vec![1]),
-        Write::Remove(Key::Promise),
-        Write::Log(7, vec![2, 3]),
-        Write::Cut(5),
+        StoreWrite::Put(StoreKey::VoterSlot, vec![1]),
+        StoreWrite::Remove(StoreKey::Promise),
+        StoreWrite::Log(7, vec![2, 3]),
+        StoreWrite::Cut(5),
     ];
     line(&mut text, "writes", &bytes(&writes));
     text
 }
 
-fn setup(saved: Option<Saved>) -> Setup {
-    Setup {
+fn setup(saved: Option<StoredState>) -> FleetConfig {
+    FleetConfig {
         name: unit("a"),
-        charter: charter(),
-        life: Life(77),
+        policy: policy(),
+        incarnation: Incarnation(77),
         seed: 1,
         version: "v1".into(),
         saved,
@@ -233,15 +267,18 @@
 /// What the admin interface shows: the state, and the view of a node that holds a voter's store.
 fn shown() -> String {
     let values = BTreeMap::from([
-        (Key::Incarnation, bytes(&4u64)),
-        (Key::Stamp, bytes(&17u64)),
-        (Key::Seat, bytes(&1u64)),
-        (Key::Base, bytes(&state())),
-        (Key::Witness, bytes(&BTreeMap::from([(unit("b"), Witness { seat: 2, stamp: 9 })]))),
+        (StoreKey::BootCount, bytes(&4u64)),
+        (StoreKey::Stamp, bytes(&17u64)),
+        (StoreKey::VoterSlot, bytes(&1u64)),
+        (StoreKey::Base, bytes(&state())),
+        (
+            StoreKey::DurableMark,
+            bytes(&BTreeMap::from([(unit("b"), DurableMark { voter_slot: 2, stamp: 9 })])),
+        ),
     ]);
-    let voter = Fleet::new(setup(Some(Saved { values, log: vec![] })), Moment::ms(1_000));
-    let empty = Fleet::new(setup(Some(Saved::default())), Moment::ms(1_000));
-    let without = Fleet::new(setup(None), Moment::ms(1_000));
+    let voter = Fleet::new(setup(Some(StoredState { values, log: vec![] })), Timestamp::ms(1_000));
+    let empty = Fleet::new(setup(Some(StoredState::default())), Timestamp::ms(1_000));
+    let without = Fleet::new(setup(None), Timestamp::ms(1_000));
     let views = [voter.view(), empty.view(), without.view()]
         .map(|view| serde_json::to_string(&view).expect("a view is plain"));
     format!("{}\n{}\n", serde_json::to_string(&state()).expect("a state is plain"), views.join("\n"))
--- a/crates/fleet/tests/world/hosts.rs
+++ b/crates/fleet/tests/world/hosts.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use glendeck_fleet::charter::{Amount, HostSettings, Limit, Limits, Place, UnitName};
-use glendeck_fleet::hosts::{EndpointState, Hold};
-use glendeck_fleet::state::{Cause, Permit};
+use glendeck_fleet::hosts::{EndpointState, HoldState};
+use glendeck_fleet::policy::{Amount, HostSettings, Limit, Limits, Place, UnitName};
+use glendeck_fleet::state::{Cause, Lease};
 
 use super::{Event, MS, World};
 
@@ -42,9 +42,9 @@
 pub struct Hosts {
     pub hosts: Vec<SimHost>,
     /// Permits that were looked at as nodes began to keep away: what the list shows later is nobody's to grant.
-    granted: BTreeSet<Permit>,
-    /// When each permit's host was first said to be empty.
-    empty: BTreeMap<Permit, u64>,
+    granted: BTreeSet<Lease>,
+    /// When each lease's host was first said to be empty.
+    empty: BTreeMap<Lease, u64>,
     moved: VecDeque<u64>,
     pub most_kept: usize,
 }
@@ -89,18 +89,18 @@
     }
 
     pub fn tell_list(&mut self, at: usize) {
-        let life = self.procs[at].life;
+        let incarnation = self.procs[at].incarnation;
         if !self.hosts.hosts.is_empty() && !self.procs[at].side.stands {
             let ms = 20 + self.roll(250);
-            self.at(ms, Event::List(at, life));
+            self.at(ms, Event::List(at, incarnation));
         }
     }
 
     pub fn list_stands(&mut self, at: usize, stands: bool) {
         self.procs[at].side.stands = stands;
-        let life = self.procs[at].life;
+        let incarnation = self.procs[at].incarnation;
         if stands {
-            self.at(STANDS_MS, Event::ListLost(at, life));
+            self.at(STANDS_MS, Event::ListLost(at, incarnation));
         } else {
             self.tell_list(at);
         }
@@ -156,9 +156,8 @@
             side.conns[host] += 1;
             let began = side.began;
             let held = self.newest().and_then(|state| state.hosts.get(&name(host))?.held);
-            let empty = held.filter(|held| held.hold == Hold::Empty);
-            if empty
-                .is_some_and(|held| self.hosts.empty.get(&held.permit).is_some_and(|since| began < *since))
+            let empty = held.filter(|held| held.hold == HoldState::Empty);
+            if empty.is_some_and(|held| self.hosts.empty.get(&held.lease).is_some_and(|since| began < *since))
             {
                 self.break_rule(format!("n{at} opened a connection at h{host}, which was said to be empty"));
             }
@@ -173,7 +172,7 @@
 
     pub(super) fn keep_from(&mut self, at: usize, hosts: &BTreeSet<UnitName>, every_ms: u64) {
         self.say(|| format!("n{at} keeps from {hosts:?}, one each {every_ms} ms"));
-        let life = self.procs[at].life;
+        let incarnation = self.procs[at].incarnation;
         let hosts: BTreeSet<usize> = hosts.iter().filter_map(|host| host.0[1..].parse().ok()).collect();
         let side = &mut self.procs[at].side;
         let fresh: Vec<usize> = hosts.difference(&side.keeps).copied().collect();
@@ -181,18 +180,18 @@
         let begins = !side.keeps.is_empty() && !std::mem::replace(&mut side.easing, true);
         if begins {
             let first = self.roll(every_ms.max(1));
-            self.at(first, Event::Ease(at, life));
+            self.at(first, Event::Ease(at, incarnation));
         }
         for host in fresh {
             let held = self.newest().and_then(|state| state.hosts.get(&name(host))?.held);
-            if held.is_none_or(|held| self.hosts.granted.insert(held.permit)) {
+            if held.is_none_or(|held| self.hosts.granted.insert(held.lease)) {
                 self.check_hosts(host);
             }
         }
     }
 
     pub(super) fn ease(&mut self, at: usize) {
-        let life = self.procs[at].life;
+        let incarnation = self.procs[at].incarnation;
         let side = &mut self.procs[at].side;
         if side.keeps.is_empty() {
             side.easing = false;
@@ -211,7 +210,7 @@
                 self.break_rule(format!("{} moves within 5 s, {most} may be", self.hosts.moved.len()));
             }
         }
-        self.at(every, Event::Ease(at, life));
+        self.at(every, Event::Ease(at, incarnation));
     }
 
     /// Hosts that nodes of the group keep away from, and those that have long been out by the list, are within the limits.
@@ -250,15 +249,15 @@
         let newest = self.newest().map_or(0, |state| state.applied);
         let confirmed = |fleet: &&glendeck_fleet::Fleet| fleet.leads() && fleet.state().applied >= newest;
         let Some(fleet) = self.procs[at].fleet.as_ref().filter(confirmed) else { return };
-        let said: Vec<(usize, Permit)> = fleet
+        let said: Vec<(usize, Lease)> = fleet
             .state()
             .hosts
             .iter()
             .filter(|(name, _)| fleet.may_stop(name))
-            .filter_map(|(name, host)| Some((name.0[1..].parse().ok()?, host.held?.permit)))
+            .filter_map(|(name, host)| Some((name.0[1..].parse().ok()?, host.held?.lease)))
             .collect();
-        for (host, permit) in said {
-            self.hosts.empty.entry(permit).or_insert(self.now);
+        for (host, lease) in said {
+            self.hosts.empty.entry(lease).or_insert(self.now);
             let holder = self.procs.iter().position(|process| {
                 let declared = self
                     .newest()
@@ -277,7 +276,7 @@
         self.procs.iter().filter_map(|process| process.side.conns.get(host)).sum()
     }
 
-    pub fn hold_of(&self, host: usize) -> Option<Hold> {
+    pub fn hold_of(&self, host: usize) -> Option<HoldState> {
         Some(self.newest()?.hosts.get(&name(host))?.held?.hold)
     }
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -6,10 +6,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use glendeck_fleet::charter::{Act, Amount, Charter, Limit, Limits, OnHalt, Place, Plan, UnitName};
-use glendeck_fleet::message::{Chair, Envelope};
-use glendeck_fleet::state::{Answer, AskId, Cause, Command, Course, Life, Nonce, Permit, Standing};
-use glendeck_fleet::{Action, Facts, Fleet, Moment, Saved, Seen, Setup, Write};
+use glendeck_fleet::message::{Envelope, VoterStatus};
+use glendeck_fleet::policy::{Act, Amount, FleetPolicy, Limit, Limits, OnHalt, Place, Plan, UnitName};
+use glendeck_fleet::state::{
+    Cause, Command, CommandResult, Incarnation, Lease, Nonce, ReleaseState, RequestId, UnitState,
+};
+use glendeck_fleet::{
+    Action, Fleet, FleetConfig, NodeStatus, RequestResult, StoreWrite, StoredState, Timestamp,
+};
 use nanorand::{Rng, WyRand};
 
 const MS: u64 = 1_000_000;
@@ -17,7 +21,7 @@
 /// How long a halt may take to hold: a begin counts for 2 s, and a tick is 0.1 s; by clocks that are slow by a 25th.
 const HALT_HOLDS_MS: u64 = 2_260;
 
-/// A loss is known to whoever grants after 5 s without a beat; the last beat may have been on its way.
+/// A loss is known to whoever grants after 5 s without a heartbeat; the last heartbeat may have been on its way.
 const LOSS_KNOWN_MS: u64 = 7_500;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,21 +34,21 @@
 }
 
 enum Event {
-    Tick(usize, Life),
+    Tick(usize, Incarnation),
     Arrive {
         to: usize,
-        life: Life,
+        incarnation: Incarnation,
         from: usize,
-        sender: Life,
+        sender: Incarnation,
         envelope: Box<Envelope>,
     },
-    Written(usize, Life, u64, Vec<Write>),
-    Served(usize, Life),
-    Drained(usize, Life, Permit),
+    Written(usize, Incarnation, u64, Vec<StoreWrite>),
+    Served(usize, Incarnation),
+    Drained(usize, Incarnation, Lease),
     Start(usize, String),
-    List(usize, Life),
-    ListLost(usize, Life),
-    Ease(usize, Life),
+    List(usize, Incarnation),
+    ListLost(usize, Incarnation),
+    Ease(usize, Incarnation),
     Fault(Fault),
     /// An operator at this process.
     Order(usize, String, Command),
@@ -88,20 +92,20 @@
 struct Process {
     name: UnitName,
     fleet: Option<Fleet>,
-    life: Life,
+    incarnation: Incarnation,
     version: String,
     stopped: bool,
     serving: bool,
     drained: bool,
-    /// Out by permit: from going out until it, or its next process, takes clients again.
-    out: Option<Permit>,
+    /// Out by lease: from going out until it, or its next process, takes clients again.
+    out: Option<Lease>,
     beyond: bool,
     /// Since when it has been of no use, unplanned.
     gone: Option<u64>,
-    disk: Saved,
+    disk: StoredState,
     /// Where its disk is by its own word, if that lies.
-    lied: Option<Saved>,
-    copy: Saved,
+    lied: Option<StoredState>,
+    copy: StoredState,
     disk_ms: u64,
     disk_dead: bool,
     held: Vec<Event>,
@@ -122,12 +126,12 @@
     last: BTreeMap<(usize, usize), u64>,
     waiting: BTreeMap<(usize, usize), Vec<Event>>,
     chance: WyRand,
-    charter: Charter,
+    policy: FleetPolicy,
     lives: u64,
     states: BTreeMap<u64, u64>,
     permits: u64,
     halted: BTreeMap<u64, u64>,
-    went: BTreeMap<Permit, Life>,
+    went: BTreeMap<Lease, Incarnation>,
     /// Units that operators wanted out.
     wanted: BTreeSet<UnitName>,
     /// The last state seen: how far, which release it held halted, and what had begun.
@@ -135,7 +139,7 @@
     /// Running when all voters were down at once, and nobody has said that it may go on.
     interrupted: Option<u64>,
     /// Answers operators heard.
-    pub answers: BTreeMap<AskId, Seen>,
+    pub answers: BTreeMap<RequestId, RequestResult>,
     pub broken: Option<String>,
     pub most_out: usize,
     pub sent: u64,
@@ -153,7 +157,7 @@
     pub spares_voters: bool,
 }
 
-pub fn charter(nodes: usize, voters: usize) -> Charter {
+pub fn policy(nodes: usize, voters: usize) -> FleetPolicy {
     let name = |at: usize| UnitName(format!("n{at}"));
     let place = |at: usize| Place {
         zone: format!("z{}", at % 3),
@@ -167,7 +171,7 @@
         },
         ..Limits::default()
     };
-    Charter {
+    FleetPolicy {
         group: "test".into(),
         voters: (0..voters).map(name).collect(),
         limits,
@@ -191,8 +195,8 @@
 }
 
 impl World {
-    pub fn new(seed: u64, charter: Charter) -> World {
-        let nodes = charter.units.len();
+    pub fn new(seed: u64, policy: FleetPolicy) -> World {
+        let nodes = policy.units.len();
         let mut world = World {
             now: 0,
             seq: 0,
@@ -224,13 +228,13 @@
             lost: 0,
             sent_again: false,
             spares_voters: false,
-            charter,
+            policy,
         };
         for at in 0..nodes {
             let process = Process {
                 name: UnitName(format!("n{at}")),
                 fleet: None,
-                life: Life(0),
+                incarnation: Incarnation(0),
                 version: "v1".into(),
                 stopped: false,
                 serving: false,
@@ -238,9 +242,9 @@
                 out: None,
                 beyond: false,
                 gone: None,
-                disk: Saved::default(),
+                disk: StoredState::default(),
                 lied: None,
-                copy: Saved::default(),
+                copy: StoredState::default(),
                 disk_ms: 2,
                 disk_dead: false,
                 held: vec![],
@@ -259,9 +263,9 @@
     }
 
     /// What a process's own clock shows. Clocks are apart by hours, and none goes right.
-    fn clock(&self, at: usize) -> Moment {
+    fn clock(&self, at: usize) -> Timestamp {
         let (began, rate) = self.procs[at].clock;
-        Moment(began + self.now / 1_000 * rate)
+        Timestamp(began + self.now / 1_000 * rate)
     }
 
     fn at(&mut self, ms: u64, event: Event) {
@@ -316,40 +320,42 @@
 
     fn happen(&mut self, event: Event) {
         let whose = match &event {
-            Event::Tick(at, life) | Event::Written(at, life, ..) | Event::Served(at, life) => {
-                Some((*at, *life))
-            }
-            Event::Drained(at, life, _) => Some((*at, *life)),
-            Event::List(at, life) | Event::ListLost(at, life) | Event::Ease(at, life) => Some((*at, *life)),
-            Event::Arrive { to, life, .. } => Some((*to, *life)),
+            Event::Tick(at, incarnation)
+            | Event::Written(at, incarnation, ..)
+            | Event::Served(at, incarnation) => Some((*at, *incarnation)),
+            Event::Drained(at, incarnation, _) => Some((*at, *incarnation)),
+            Event::List(at, incarnation)
+            | Event::ListLost(at, incarnation)
+            | Event::Ease(at, incarnation) => Some((*at, *incarnation)),
+            Event::Arrive { to, incarnation, .. } => Some((*to, *incarnation)),
             _ => None,
         };
-        if let Some((at, life)) = whose {
+        if let Some((at, incarnation)) = whose {
             let process = &mut self.procs[at];
-            if process.life != life || process.fleet.is_none() {
+            if process.incarnation != incarnation || process.fleet.is_none() {
                 return;
             }
             if process.stopped {
                 return process.held.push(event);
             }
         }
-        let now = whose.map_or(Moment(0), |(at, _)| self.clock(at));
+        let now = whose.map_or(Timestamp(0), |(at, _)| self.clock(at));
         match event {
             Event::Start(at, version) => self.start(at, version),
             Event::List(at, _) => self.list_came(at),
             Event::ListLost(at, _) => self.list_lost(at),
             Event::Ease(at, _) => self.ease(at),
-            Event::Tick(at, life) => {
+            Event::Tick(at, incarnation) => {
                 self.serve(at);
-                let facts = self.facts(at);
+                let node_status = self.node_status(at);
                 if let Some(fleet) = &mut self.procs[at].fleet {
-                    fleet.tick(now, facts);
+                    fleet.tick(now, node_status);
                 }
                 self.act(at);
-                self.at(100, Event::Tick(at, life));
+                self.at(100, Event::Tick(at, incarnation));
             }
             Event::Arrive { to, from, sender, envelope, .. } => {
-                if self.procs[from].life != sender && self.procs[from].fleet.is_none() {
+                if self.procs[from].incarnation != sender && self.procs[from].fleet.is_none() {
                     // Its process has gone; what was on the way may still come.
                 }
                 let name = self.procs[from].name.clone();
@@ -377,8 +383,8 @@
                 (process.serving, process.drained, process.out, process.beyond) = (true, false, None, false);
                 process.gone = None;
             }
-            Event::Drained(at, _, permit) => {
-                if self.procs[at].out == Some(permit) {
+            Event::Drained(at, _, lease) => {
+                if self.procs[at].out == Some(lease) {
                     self.procs[at].drained = true;
                 }
             }
@@ -389,22 +395,22 @@
                 if let Command::Drain { unit } | Command::Override { unit, .. } = &command {
                     self.wanted.insert(unit.clone());
                 }
-                if matches!(command, Command::Resume | Command::Back) {
+                if matches!(command, Command::Resume | Command::RollBack) {
                     self.interrupted = None;
                 }
                 if let Some(fleet) = &mut self.procs[at].fleet {
-                    fleet.ask(now, AskId(id), command);
+                    fleet.ask(now, RequestId(id), command);
                 }
                 self.act(at);
             }
         }
     }
 
-    fn facts(&mut self, at: usize) -> Facts {
+    fn node_status(&mut self, at: usize) -> NodeStatus {
         let (now, bad) = (self.now / MS, self.bad.contains(&self.procs[at].version));
         let process = &self.procs[at];
         let calls = now / 20;
-        Facts {
+        NodeStatus {
             serving: process.serving && process.out.is_none(),
             drained: process.drained,
             calls,
@@ -421,12 +427,12 @@
             return;
         }
         self.lives += 1;
-        let (life, seed) = (Life(self.lives), self.roll(1 << 40));
+        let (incarnation, seed) = (Incarnation(self.lives), self.roll(1 << 40));
         let small = self.procs.len() < 50;
         self.procs[at].clock = (self.roll(20_000_000) * MS, 960 + self.roll(81));
         let now = self.clock(at);
         let process = &mut self.procs[at];
-        process.life = life;
+        process.incarnation = incarnation;
         process.version = version;
         process.stopped = false;
         process.serving = false;
@@ -435,10 +441,10 @@
         process.disk_ms = 2;
         process.lied = None;
         process.held.clear();
-        let setup = Setup {
+        let setup = FleetConfig {
             name: process.name.clone(),
-            charter: self.charter.clone(),
-            life,
+            policy: self.policy.clone(),
+            incarnation,
             seed,
             version: process.version.clone(),
             saved: Some(process.disk.clone()),
@@ -448,15 +454,15 @@
         };
         process.fleet = Some(Fleet::new(setup, now));
         self.begin_side(at);
-        self.say(|| format!("n{at} starts, life {}", life.0));
+        self.say(|| format!("n{at} starts, life {}", incarnation.0));
         self.act(at);
         for other in 0..self.procs.len() {
             if other != at {
                 self.relink(at, other);
             }
         }
-        self.at(at as u64 % 100, Event::Tick(at, life));
-        self.at(500, Event::Served(at, life));
+        self.at(at as u64 % 100, Event::Tick(at, incarnation));
+        self.at(500, Event::Served(at, incarnation));
     }
 
     fn relink(&mut self, a: usize, b: usize) {
@@ -472,15 +478,16 @@
 
     fn end(&mut self, at: usize) {
         let running = self.newest().and_then(|state| {
-            let release = state.release.as_ref().filter(|release| release.course == Course::Running)?;
-            let is_left = |seat: &glendeck_fleet::state::Seat| {
-                let of = |process: &&Process| process.name == seat.name;
-                let begun = matches!(state.units[&seat.name].standing, Standing::Begun { .. });
+            let release =
+                state.release.as_ref().filter(|release| release.release_state == ReleaseState::Running)?;
+            let is_left = |voter_slot: &glendeck_fleet::state::VoterSlot| {
+                let of = |process: &&Process| process.name == voter_slot.name;
+                let begun = matches!(state.units[&voter_slot.name].unit_state, UnitState::Begun { .. });
                 // Its own leaving was planned, and it is the only voter.
-                (seat.name == self.procs[at].name && !begun)
+                (voter_slot.name == self.procs[at].name && !begun)
                     || self.procs.iter().find(of).is_some_and(|process| process.fleet.is_none())
             };
-            state.seats.iter().all(is_left).then_some(release.number)
+            state.voter_slots.iter().all(is_left).then_some(release.number)
         });
         if running.is_some() {
             self.interrupted = running;
@@ -504,36 +511,36 @@
 
     /// Carries out what a process wants done.
     fn act(&mut self, at: usize) {
-        let life = self.procs[at].life;
+        let incarnation = self.procs[at].incarnation;
         let Some(fleet) = self.procs[at].fleet.as_mut() else { return };
         let actions = fleet.take_actions();
         for action in actions {
             match action {
                 Action::Send(to, envelope) => self.send(at, &to, *envelope),
-                Action::Write(batch, writes) => {
+                Action::Persist(batch, writes) => {
                     let ms = self.procs[at].disk_ms;
-                    self.at(ms, Event::Written(at, life, batch, writes));
+                    self.at(ms, Event::Written(at, incarnation, batch, writes));
                 }
-                Action::GoOut { permit, cause } => self.goes_out(at, permit, cause),
-                Action::Return => {
+                Action::StartDrain { lease, cause } => self.goes_out(at, lease, cause),
+                Action::Resume => {
                     self.say(|| format!("n{at} returns"));
                     let process = &mut self.procs[at];
                     (process.out, process.drained, process.serving, process.beyond) =
                         (None, false, true, false);
                 }
-                Action::Leave { version } => {
+                Action::Exit { version } => {
                     self.say(|| format!("n{at} leaves for {version}"));
                     self.end(at);
                     let ms = 1_000 + self.roll(2_000);
                     self.at(ms, Event::Start(at, version));
                     return;
                 }
-                Action::Answer(id, seen) => {
+                Action::Reply(id, seen) => {
                     self.say(|| format!("n{at} answers {id:?}: {seen:?}"));
                     self.answers.insert(id, seen);
                 }
-                Action::KeepFrom { hosts, every_ms } => self.keep_from(at, &hosts, every_ms),
-                Action::Note(text) => self.say(|| format!("n{at}: {text}")),
+                Action::AvoidHosts { hosts, every_ms } => self.keep_from(at, &hosts, every_ms),
+                Action::Log(text) => self.say(|| format!("n{at}: {text}")),
             }
         }
         self.check_state(at);
@@ -543,22 +550,22 @@
     fn send(&mut self, from: usize, to: &UnitName, envelope: Envelope) {
         let Some(to) = to.0[1..].parse::<usize>().ok().filter(|to| *to < self.procs.len()) else { return };
         self.sent += 1;
-        if let (true, glendeck_fleet::message::Message::Engine { letter, .. }) =
+        if let (true, glendeck_fleet::message::Message::Consensus { consensus_message, .. }) =
             (self.verbose, &envelope.message)
-            && !format!("{letter:?}").starts_with("BLE")
+            && !format!("{consensus_message:?}").starts_with("BLE")
         {
-            let text = format!("{letter:?}");
+            let text = format!("{consensus_message:?}");
             self.say(|| format!("n{from} -> {to}: {}", &text[..text.len().min(420)]));
         }
         let link = self.links.get(&(from, to)).copied().unwrap_or(Link::Up);
-        let (life, sender) = (self.procs[to].life, self.procs[from].life);
+        let (incarnation, sender) = (self.procs[to].incarnation, self.procs[from].incarnation);
         if self.procs[to].fleet.is_none() {
             return;
         }
         let envelope = Envelope::decode(&envelope.encode()).expect("what is said can be read");
-        let event = Event::Arrive { to, life, from, sender, envelope: Box::new(envelope) };
+        let event = Event::Arrive { to, incarnation, from, sender, envelope: Box::new(envelope) };
         let mut again = 0;
-        let spared = self.spares_voters && from.max(to) < self.charter.voters.len();
+        let spared = self.spares_voters && from.max(to) < self.policy.voters.len();
         while self.lost > 0 && !spared && self.roll(1_000) < self.lost {
             if !self.sent_again {
                 return;
@@ -577,19 +584,19 @@
         self.at(due - self.now / MS, event);
     }
 
-    fn goes_out(&mut self, at: usize, permit: Permit, cause: Cause) {
-        self.say(|| format!("n{at} goes out by {permit:?} for {cause:?}"));
-        let life = self.procs[at].life;
-        self.procs[at].out = Some(permit);
+    fn goes_out(&mut self, at: usize, lease: Lease, cause: Cause) {
+        self.say(|| format!("n{at} goes out by {lease:?} for {cause:?}"));
+        let incarnation = self.procs[at].incarnation;
+        self.procs[at].out = Some(lease);
         self.procs[at].beyond = cause == Cause::Override;
         let ms = 500 + self.roll(3_000);
-        self.at(ms, Event::Drained(at, life, permit));
+        self.at(ms, Event::Drained(at, incarnation, lease));
         if cause == Cause::Drain && !self.wanted.contains(&self.procs[at].name) {
             self.break_rule(format!("n{at} went out as drained, and no operator had asked"));
         }
         if let Cause::Release(number) = cause {
-            if self.went.insert(permit, life).is_some_and(|before| before != life) {
-                self.break_rule(format!("n{at} went out by permit {} that another process used", permit.0));
+            if self.went.insert(lease, incarnation).is_some_and(|before| before != incarnation) {
+                self.break_rule(format!("n{at} went out by permit {} that another process used", lease.0));
             }
             if self.interrupted == Some(number) {
                 self.break_rule(format!("n{at} went out for release {number} after all voters were lost"));
@@ -612,8 +619,8 @@
     }
 
     fn check_room(&mut self, at: usize, out: &BTreeSet<UnitName>, what: &str) {
-        let charter = self.charter.clone();
-        for (scope, limit, units) in charter.scopes_of(&UnitName(format!("n{at}"))) {
+        let policy = self.policy.clone();
+        for (scope, limit, units) in policy.scopes_of(&UnitName(format!("n{at}"))) {
             let (of, room) = (units.len() as u32, limit.room(units.len() as u32));
             let count = units.iter().filter(|name| out.contains(**name)).count();
             if count as u32 > room {
@@ -628,7 +635,7 @@
     fn check_state(&mut self, at: usize) {
         let Some(fleet) = self.procs[at].fleet.as_ref() else { return };
         let state = fleet.state();
-        if state.charter.is_none() {
+        if state.policy.is_none() {
             return;
         }
         let applied = state.applied;
@@ -650,16 +657,16 @@
         if let Some(release) = &state.release {
             let late = state.units.iter().find(|(_, unit)| {
                 let ours = Cause::Release(release.number);
-                matches!(unit.standing, Standing::Granted { cause, .. } if cause == ours)
-                    && matches!(release.course, Course::Halted(_))
+                matches!(unit.unit_state, UnitState::Granted { cause, .. } if cause == ours)
+                    && matches!(release.release_state, ReleaseState::Halted(_))
             });
             if let Some((name, _)) = late {
                 let text = format!("{name} has a grant of the halted release {}", release.number);
                 return self.break_rule(text);
             }
-            let halted = matches!(release.course, Course::Halted(_)).then_some(release.number);
-            let begun = |unit: &glendeck_fleet::state::Unit| match unit.standing {
-                Standing::Begun { nonce, cause: Cause::Release(_), .. } => Some(nonce),
+            let halted = matches!(release.release_state, ReleaseState::Halted(_)).then_some(release.number);
+            let begun = |unit: &glendeck_fleet::state::Unit| match unit.unit_state {
+                UnitState::Begun { nonce, cause: Cause::Release(_), .. } => Some(nonce),
                 _ => None,
             };
             let begun: BTreeSet<Nonce> = state.units.values().filter_map(begun).collect();
@@ -674,23 +681,25 @@
             let Some(fleet) = self.procs[at].fleet.as_ref() else { return };
             let state = fleet.state();
             let Some(release) = &state.release else { return };
-            match release.course {
-                Course::Halted(_) => drop(self.halted.entry(release.number).or_insert(self.now)),
-                Course::Running if state.applied >= self.states.keys().next_back().copied().unwrap_or(0) => {
+            match release.release_state {
+                ReleaseState::Halted(_) => drop(self.halted.entry(release.number).or_insert(self.now)),
+                ReleaseState::Running
+                    if state.applied >= self.states.keys().next_back().copied().unwrap_or(0) =>
+                {
                     self.halted.remove(&release.number);
                 }
                 _ => {}
             }
         }
-        if state.next_permit > self.permits {
+        if state.next_lease > self.permits {
             let fresh = self.permits;
-            self.permits = state.next_permit;
-            let granted: Vec<(usize, Permit)> = state
+            self.permits = state.next_lease;
+            let granted: Vec<(usize, Lease)> = state
                 .units
                 .iter()
-                .filter_map(|(name, unit)| match unit.standing {
-                    Standing::Granted { permit, cause } if permit.0 >= fresh && cause != Cause::Override => {
-                        Some((name.0[1..].parse().ok()?, permit))
+                .filter_map(|(name, unit)| match unit.unit_state {
+                    UnitState::Granted { lease, cause } if lease.0 >= fresh && cause != Cause::Override => {
+                        Some((name.0[1..].parse().ok()?, lease))
                     }
                     _ => None,
                 })
@@ -702,10 +711,10 @@
             };
             let out: BTreeSet<UnitName> =
                 self.procs.iter().filter(known).map(|process| process.name.clone()).collect();
-            for (at, permit) in granted {
+            for (at, lease) in granted {
                 let mut with = out.clone();
                 with.insert(UnitName(format!("n{at}")));
-                self.check_room(at, &with, &format!("out or lost with permit {}", permit.0));
+                self.check_room(at, &with, &format!("out or lost with permit {}", lease.0));
             }
         }
     }
@@ -713,11 +722,13 @@
     /// No more than one voter's disk is forgetful at a time: what the note promises is promised for a minority.
     fn may_forget(&self, at: usize) -> bool {
         let Some(state) = self.newest() else { return false };
-        state.seats.iter().all(|seat| {
-            let process = self.procs.iter().find(|process| process.name == seat.name);
+        state.voter_slots.iter().all(|voter_slot| {
+            let process = self.procs.iter().find(|process| process.name == voter_slot.name);
             process.is_some_and(|process| {
-                let sits =
-                    process.fleet.as_ref().is_some_and(|fleet| fleet.chair() == Chair::Sits(seat.number));
+                let sits = process
+                    .fleet
+                    .as_ref()
+                    .is_some_and(|fleet| fleet.voter_status() == VoterStatus::Active(voter_slot.number));
                 process.name == self.procs[at].name || sits && process.lied.is_none()
             })
         })
@@ -760,7 +771,11 @@
                 for at in 0..self.procs.len() {
                     self.list_stands(at, false);
                     self.strike(Fault::Continue(at));
-                    if self.procs[at].fleet.as_ref().is_some_and(|fleet| fleet.chair() == Chair::None) {
+                    if self.procs[at]
+                        .fleet
+                        .as_ref()
+                        .is_some_and(|fleet| fleet.voter_status() == VoterStatus::NoStore)
+                    {
                         self.end(at);
                     }
                     self.procs[at].disk_ms = 2;
@@ -815,7 +830,7 @@
                 self.strike(Fault::Kill(at));
             }
             Fault::NoFolder(at) => {
-                self.procs[at].disk = Saved::default();
+                self.procs[at].disk = StoredState::default();
                 self.strike(Fault::Kill(at));
             }
             Fault::Lies(at) => {
@@ -883,9 +898,9 @@
     }
 
     /// How this process knows a unit to stand.
-    pub fn standing(&self, at: usize, unit: usize) -> Option<Standing> {
+    pub fn unit_state(&self, at: usize, unit: usize) -> Option<UnitState> {
         let state = self.procs[at].fleet.as_ref()?.state();
-        Some(state.units.get(&UnitName(format!("n{unit}")))?.standing.clone())
+        Some(state.units.get(&UnitName(format!("n{unit}")))?.unit_state.clone())
     }
 
     pub fn is_out(&self, at: usize) -> bool {
@@ -898,12 +913,12 @@
             .position(|process| !process.stopped && process.fleet.as_ref().is_some_and(Fleet::leads))
     }
 
-    pub fn answered(&self, id: &str) -> Option<&Seen> {
-        self.answers.get(&AskId(id.into()))
+    pub fn answered(&self, id: &str) -> Option<&RequestResult> {
+        self.answers.get(&RequestId(id.into()))
     }
 
     pub fn done(&self, id: &str) -> bool {
-        matches!(self.answered(id), Some(Seen::Answered(Answer::Done(_))))
+        matches!(self.answered(id), Some(RequestResult::Answered(CommandResult::Done(_))))
     }
 
     pub fn versions(&self) -> Vec<&str> {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use glendeck::domain::{HostId, Settings, Span, Zone};
-use glendeck_fleet::charter::{Charter, Faulty, UnitName};
+use glendeck_fleet::policy::{Faulty, FleetPolicy, UnitName};
 use glendeck_settings::Pairs;
 use serde_json::Value;
 use tracing::level_filters::LevelFilter;
@@ -30,7 +30,7 @@
     #[error("known: {0}")]
     Known(#[from] list::ListFault),
     #[error("fleet.charter: {path:?}: {fault}")]
-    Charter { path: String, fault: String },
+    FleetPolicy { path: String, fault: String },
     #[error("fleet.charter: {0}")]
     Limits(#[from] Faulty),
 }
@@ -73,7 +73,7 @@
     pub folder: Option<PathBuf>,
     /// What it runs, in the operators' words.
     pub version: String,
-    pub charter: Charter,
+    pub policy: FleetPolicy,
 }
 
 /// What a configuration read anew has changed.
@@ -235,11 +235,11 @@
         value.parse::<SocketAddr>().map_err(|_| bad(key, value, "an address and a port"))
     };
     let path = text("charter")?;
-    let unreadable = |fault: String| ConfigFault::Charter { path: path.to_owned(), fault };
-    let charter = std::fs::read_to_string(path).map_err(|fault| unreadable(fault.to_string()))?;
-    let charter: Charter = toml::from_str(&charter).map_err(|fault| unreadable(fault.to_string()))?;
-    charter.check()?;
-    if !charter.units.contains_key(&UnitName(name.to_owned())) {
+    let unreadable = |fault: String| ConfigFault::FleetPolicy { path: path.to_owned(), fault };
+    let policy = std::fs::read_to_string(path).map_err(|fault| unreadable(fault.to_string()))?;
+    let policy: FleetPolicy = toml::from_str(&policy).map_err(|fault| unreadable(fault.to_string()))?;
+    policy.check()?;
+    if !policy.units.contains_key(&UnitName(name.to_owned())) {
         return Err(bad("fleet.charter", path, "a file whose units have this node's name"));
     }
     let mut peers = BTreeMap::new();
@@ -250,7 +250,7 @@
         peers.insert(UnitName(peer.clone()), address(&key, value)?);
     }
     let reached = |voter: &&UnitName| voter.0 == name || peers.contains_key(*voter);
-    if let Some(voter) = charter.voters.iter().find(|voter| !reached(voter)) {
+    if let Some(voter) = policy.voters.iter().find(|voter| !reached(voter)) {
         return Err(missing(&format!("fleet.peers.{voter}")));
     }
     let version = variable("ROUTER_FLEET_VERSION").map_or_else(|| text("version").map(str::to_owned), Ok)?;
@@ -259,7 +259,7 @@
         peers,
         folder: json.get("folder").map(|_| text("folder").map(PathBuf::from)).transpose()?,
         version,
-        charter,
+        policy,
     })
 }
 
--- a/crates/node/src/estate.rs
+++ b/crates/node/src/estate.rs
@@ -2,9 +2,9 @@
 //! said, and to whom, is decided in `glendeck_takeover::estate`; docs/takeover.md says what for.
 
 use glendeck::domain::{Estate as Back, GroupId, HostId, Span, SubjectId, Time};
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::estate::{Do, Estates, Facts, Known, MOST, Said};
 use nanorand::Rng;
 use serde_json::{Value, json};
@@ -26,8 +26,8 @@
 }
 
 impl Estate {
-    pub fn new(now: Time, start: Moment, me: UnitName, life: Life) -> Estate {
-        Estate { estates: Estates::new(start, me, life), next: now, parting: false, expected: 0 }
+    pub fn new(now: Time, start: Timestamp, me: UnitName, incarnation: Incarnation) -> Estate {
+        Estate { estates: Estates::new(start, me, incarnation), next: now, parting: false, expected: 0 }
     }
 
     pub fn figures(&self) -> Value {
@@ -52,7 +52,7 @@
     }
 
     pub fn estate_tick(&mut self) {
-        let moment = self.moment();
+        let timestamp = self.timestamp();
         let parting = matches!(self.phase, Phase::Draining { .. } | Phase::Leaving { .. })
             && !self.handover.is_replaced();
         let Some(membership) = &self.membership else { return };
@@ -69,17 +69,17 @@
             // Danger: a fleet that was started together would say it in step.
             of.next = now + EVERY.times(0.9 + 0.2 * f64::from(membership.chance.generate::<f32>()));
             of.parting = parting;
-            acts = of.estates.tell(moment, facts, parting, work.view(), &linked);
+            acts = of.estates.tell(timestamp, facts, parting, work.view(), &linked);
         }
-        acts.extend(of.estates.tick(moment, &linked));
+        acts.extend(of.estates.tick(timestamp, &linked));
         self.do_for_estate(acts);
     }
 
     pub fn peer_told(&mut self, peer: &UnitName, said: Said) {
-        let moment = self.moment();
+        let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let (Some(of), Some(work)) = (&mut membership.estate, &membership.work) else { return };
-        let acts = of.estates.heard(moment, peer, said, work.view());
+        let acts = of.estates.heard(timestamp, peer, said, work.view());
         self.do_for_estate(acts);
     }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 
 use glendeck::domain::{AttemptOutcome, Condition, HostId, ListUpdate, Span, Time};
-use glendeck_fleet::charter::{Place, Plan, UnitName};
 use glendeck_fleet::hosts::EndpointState;
 use glendeck_fleet::message::Envelope;
-use glendeck_fleet::state::{Answer, AskId, Command, Life};
-use glendeck_fleet::{Action, Facts, Fleet, LONGEST_LOG, Moment, Seen, Setup};
+use glendeck_fleet::policy::{Place, Plan, UnitName};
+use glendeck_fleet::state::{Command, CommandResult, Incarnation, RequestId};
+use glendeck_fleet::{Action, Fleet, FleetConfig, LONGEST_LOG, NodeStatus, RequestResult, Timestamp};
 use glendeck_store::{Faults, Outcome, Store, StoreFault};
 use nanorand::{Rng, WyRand};
 use rustix::io::Errno;
@@ -66,7 +66,7 @@
     pub peers: Peers,
     pub name: UnitName,
     pub group: String,
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub chance: WyRand,
     pub began: Time,
     pub folder: Option<PathBuf>,
@@ -75,7 +75,7 @@
     /// The store was in use at the start: so many ticks until it is tried again.
     store_wanted: Option<u32>,
     faults: Option<Arc<dyn Faults>>,
-    waiting: BTreeMap<AskId, Waiting>,
+    waiting: BTreeMap<RequestId, Waiting>,
     /// They want to see the state, and a question that went out before they asked is still out.
     looking: Vec<ConnId>,
     next_look: Time,
@@ -102,27 +102,27 @@
 }
 
 /// What no other process of the node has been.
-fn fresh_life(seed: u64) -> Life {
+fn draw_incarnation(seed: u64) -> Incarnation {
     // The standard library's own keys are drawn from the system for each process.
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u64(seed);
     hasher.write_u32(std::process::id());
-    Life(hasher.finish())
+    Incarnation(hasher.finish())
 }
 
 /// The fleet's decisions and the store's thread, from what the configuration says.
 fn begin(
     settings: &FleetSettings,
     name: &UnitName,
-    life: Life,
+    incarnation: Incarnation,
     faults: Option<Arc<dyn Faults>>,
-) -> Result<(Setup, Option<(Store, UnixStream)>), FleetFault> {
-    let mut setup = Setup {
+) -> Result<(FleetConfig, Option<(Store, UnixStream)>), FleetFault> {
+    let mut setup = FleetConfig {
         name: name.clone(),
-        charter: settings.charter.clone(),
-        life,
-        seed: life.0,
+        policy: settings.policy.clone(),
+        incarnation,
+        seed: incarnation.0,
         version: settings.version.clone(),
         saved: None,
         spoilt: false,
@@ -143,13 +143,13 @@
 impl Service {
     pub fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetFault> {
         let Some(settings) = self.startup.fleet.clone() else { return Ok(()) };
-        let (name, life) = (UnitName(self.startup.name.clone()), fresh_life(self.startup.seed));
-        let (setup, store, waits) = match begin(&settings, &name, life, faults.clone()) {
+        let (name, incarnation) = (UnitName(self.startup.name.clone()), draw_incarnation(self.startup.seed));
+        let (setup, store, waits) = match begin(&settings, &name, incarnation, faults.clone()) {
             Ok((setup, store)) => (setup, store, false),
             Err(FleetFault::Store(fault @ StoreFault::InUse(_))) => {
                 warn!(%fault, "waiting for it, without a vote");
                 let without = FleetSettings { folder: None, ..settings.clone() };
-                let (setup, _) = begin(&without, &name, life, None)?;
+                let (setup, _) = begin(&without, &name, incarnation, None)?;
                 (setup, None, true)
             }
             Err(fault) => return Err(fault),
@@ -158,16 +158,16 @@
         if let Some(wake) = &wake {
             self.watch_listener(wake, STORE)?;
         }
-        let voters = settings.charter.voters.len();
-        let is_voter = settings.charter.voters.contains(&name);
-        let (began, start) = (self.now - BEFORE, Moment(BEFORE.0));
+        let voters = settings.policy.voters.len();
+        let is_voter = settings.policy.voters.contains(&name);
+        let (began, start) = (self.now - BEFORE, Timestamp(BEFORE.0));
         self.membership = Some(Box::new(Membership {
             fleet: Fleet::new(setup, start),
             peers: Peers::default(),
             name: name.clone(),
-            group: settings.charter.group.clone(),
-            life,
-            chance: WyRand::new_seed(life.0),
+            group: settings.policy.group.clone(),
+            incarnation,
+            chance: WyRand::new_seed(incarnation.0),
             began,
             folder: settings.folder.clone(),
             store,
@@ -181,21 +181,21 @@
             kept_from: BTreeMap::new(),
             ease_every: Span::ZERO,
             easing: false,
-            work: settings.charter.work.as_ref().map(|work| {
+            work: settings.policy.work.as_ref().map(|work| {
                 let longest_ms = self.startup.longest_guard.0 / 1_000_000;
                 crate::work::Work::new(
                     start,
                     name.clone(),
-                    life,
+                    incarnation,
                     u64::from(work.recall_s) * 1_000,
                     longest_ms,
                 )
             }),
-            estate: settings.charter.work.as_ref().map(|_| {
+            estate: settings.policy.work.as_ref().map(|_| {
                 // Nothing is known before the first list.
-                crate::estate::Estate::new(self.now, start, name.clone(), life)
+                crate::estate::Estate::new(self.now, start, name.clone(), incarnation)
             }),
-            most_links: 2 * voters + if is_voter { 2 * settings.charter.units.len() } else { 0 },
+            most_links: 2 * voters + if is_voter { 2 * settings.policy.units.len() } else { 0 },
         }));
         self.inherit_work();
         let address = settings.listen;
@@ -204,13 +204,13 @@
         Ok(())
     }
 
-    pub fn moment(&self) -> Moment {
-        self.membership.as_ref().map_or(Moment(0), |membership| moment_of(self.now, membership.began))
+    pub fn timestamp(&self) -> Timestamp {
+        self.membership.as_ref().map_or(Timestamp(0), |membership| timestamp_of(self.now, membership.began))
     }
 
-    fn facts(&self) -> Facts {
+    fn node_status(&self) -> NodeStatus {
         let (calls, failed, busy) = self.figures.totals();
-        Facts {
+        NodeStatus {
             serving: self.phase == Phase::Serving,
             drained: self.is_drained(),
             calls,
@@ -309,8 +309,8 @@
     }
 
     /// Tells the fleet something, and does what comes of it.
-    fn tell_fleet(&mut self, what: impl FnOnce(&mut Fleet, Moment)) {
-        let now = self.moment();
+    fn tell_fleet(&mut self, what: impl FnOnce(&mut Fleet, Timestamp)) {
+        let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         what(&mut membership.fleet, now);
         let actions = membership.fleet.take_actions();
@@ -327,8 +327,8 @@
         self.tend_links();
         self.try_store();
         self.look();
-        let facts = self.facts();
-        self.tell_fleet(|fleet, now| fleet.tick(now, facts));
+        let node_status = self.node_status();
+        self.tell_fleet(|fleet, now| fleet.tick(now, node_status));
         self.work_tick();
         self.estate_tick();
         self.ready_now();
@@ -345,15 +345,16 @@
                 return;
             }
         }
-        let (name, life, faults) = (membership.name.clone(), membership.life, membership.faults.clone());
+        let (name, incarnation, faults) =
+            (membership.name.clone(), membership.incarnation, membership.faults.clone());
         let (out, Some(settings)) = (membership.fleet.is_out(), self.startup.fleet.clone()) else { return };
         // What it has begun it ends as it is.
         if out.is_some() {
             return;
         }
-        if let Ok((setup, Some((store, wake)))) = begin(&settings, &name, life, faults) {
+        if let Ok((setup, Some((store, wake)))) = begin(&settings, &name, incarnation, faults) {
             info!("the store is free");
-            let now = self.moment();
+            let now = self.timestamp();
             let watched = self.watch_listener(&wake, STORE);
             let Some(membership) = &mut self.membership else { return };
             (membership.store, membership.wake, membership.store_wanted) = (Some(store), Some(wake), None);
@@ -401,8 +402,8 @@
 
     fn do_for_fleet(&mut self, action: Action) {
         match action {
-            Action::Send(to, envelope) => self.send_peer(&to, &Frame::Letter(envelope)),
-            Action::Write(batch, writes) => {
+            Action::Send(to, envelope) => self.send_peer(&to, &Frame::ConsensusMessage(envelope)),
+            Action::Persist(batch, writes) => {
                 let membership = self.membership.as_ref();
                 let taken = membership
                     .and_then(|of| of.store.as_ref())
@@ -411,16 +412,16 @@
                     self.tell_fleet(|fleet, now| fleet.disk_died(now, "its thread takes nothing more"));
                 }
             }
-            Action::GoOut { permit, cause } => {
-                info!(permit = permit.0, ?cause, "goes out");
+            Action::StartDrain { lease, cause } => {
+                info!(lease = lease.0, ?cause, "goes out");
                 self.drain();
             }
-            Action::KeepFrom { hosts, every_ms } => self.keep_from(hosts, Span::ms(every_ms)),
-            Action::Return => {
+            Action::AvoidHosts { hosts, every_ms } => self.keep_from(hosts, Span::ms(every_ms)),
+            Action::Resume => {
                 info!("comes back");
                 self.activate();
             }
-            Action::Leave { version } => {
+            Action::Exit { version } => {
                 info!(%version, "leaves, to be started as");
                 // Its clients have gone: nobody waits for this.
                 if let Err(fault) = self.leave_word(&version) {
@@ -428,8 +429,8 @@
                 }
                 self.leave_drained();
             }
-            Action::Answer(id, seen) => self.answer_waiting(&id, &seen),
-            Action::Note(text) => info!("{text}"),
+            Action::Reply(id, seen) => self.answer_waiting(&id, &seen),
+            Action::Log(text) => info!("{text}"),
         }
     }
 
@@ -468,23 +469,23 @@
         let command = match path {
             "/v1/fleet/status" => Ok(Command::Confirm),
             "/v1/fleet/trust" => {
-                let done = membership.fleet.trust(moment_of(self.now, membership.began));
+                let done = membership.fleet.trust(timestamp_of(self.now, membership.began));
                 return Some((if done { 200 } else { 409 }, json!({"done": done})));
             }
             "/v1/node/drain" => Ok(Command::Drain { unit: own }),
             "/v1/node/activate" => Ok(Command::Activate { unit: own }),
             "/v1/fleet/drain" => unit("unit").map(|unit| Command::Drain { unit }),
             "/v1/fleet/activate" => unit("unit").map(|unit| Command::Activate { unit }),
-            "/v1/fleet/dead" => unit("unit").map(|unit| Command::Dead { unit }),
+            "/v1/fleet/dead" => unit("unit").map(|unit| Command::ConfirmDead { unit }),
             "/v1/fleet/override" => unit("unit")
                 .map(|unit| Command::Override { unit, reason: text("reason").unwrap_or_default() }),
             "/v1/fleet/replace" => {
-                unit("old").and_then(|old| unit("new").map(|new| Command::Replace { old, new }))
+                unit("old").and_then(|old| unit("new").map(|new| Command::ReplaceVoter { old, new }))
             }
             "/v1/fleet/release/start" => {
                 let plan = body.get("plan").cloned().unwrap_or_default();
                 serde_json::from_value::<Plan>(plan)
-                    .map(|plan| Command::Start { plan: Box::new(plan) })
+                    .map(|plan| Command::StartRelease { plan: Box::new(plan) })
                     .map_err(|fault| (400, json!({"error": format!("plan: {fault}")})))
             }
             "/v1/fleet/release/halt" => {
@@ -492,7 +493,7 @@
                 Ok(Command::Halt { why })
             }
             "/v1/fleet/release/resume" => Ok(Command::Resume),
-            "/v1/fleet/release/back" => Ok(Command::Back),
+            "/v1/fleet/release/back" => Ok(Command::RollBack),
             _ => Err((404, json!({"error": "no such path"}))),
         };
         let command = match command {
@@ -505,7 +506,7 @@
             return None;
         }
         let drawn = format!("{:016x}", membership.chance.generate::<u64>());
-        let id = AskId(text("id").unwrap_or(drawn));
+        let id = RequestId(text("id").unwrap_or(drawn));
         info!(call = path, id = %id.0, "operators");
         membership.waiting.insert(id.clone(), Waiting::Orders(caller));
         self.tell_fleet(|fleet, now| fleet.ask(now, id, command));
@@ -521,13 +522,13 @@
             return;
         }
         membership.next_look = self.now + LOOK_AGAIN;
-        let id = AskId(format!("{:016x}", membership.chance.generate::<u64>()));
+        let id = RequestId(format!("{:016x}", membership.chance.generate::<u64>()));
         let callers = std::mem::take(&mut membership.looking);
         membership.waiting.insert(id.clone(), Waiting::Look(callers));
         self.tell_fleet(|fleet, now| fleet.ask(now, id, Command::Confirm));
     }
 
-    fn answer_waiting(&mut self, id: &AskId, seen: &Seen) {
+    fn answer_waiting(&mut self, id: &RequestId, result: &RequestResult) {
         let Some(waiting) = self.membership.as_mut().and_then(|membership| membership.waiting.remove(id))
         else {
             return;
@@ -535,17 +536,21 @@
         let caller = match waiting {
             Waiting::Orders(caller) => caller,
             Waiting::Look(callers) => {
-                let status = self.fleet_status(matches!(seen, Seen::Answered(_)));
+                let status = self.fleet_status(matches!(result, RequestResult::Answered(_)));
                 for caller in callers {
                     self.answer_later(caller, 200, status.clone());
                 }
                 return self.look();
             }
         };
-        let (status, body) = match seen {
-            Seen::Answered(Answer::Done(said)) => (200, json!({"done": true, "id": id.0, "said": said})),
-            Seen::Answered(Answer::Refused(why)) => (409, json!({"done": false, "id": id.0, "why": why})),
-            Seen::Unknown => {
+        let (status, body) = match result {
+            RequestResult::Answered(CommandResult::Done(said)) => {
+                (200, json!({"done": true, "id": id.0, "said": said}))
+            }
+            RequestResult::Answered(CommandResult::Refused(why)) => {
+                (409, json!({"done": false, "id": id.0, "why": why}))
+            }
+            RequestResult::Unknown => {
                 let misses = self.membership.as_ref().map(|membership| membership.fleet.view().misses.len());
                 let why = "not decided in time: it may still be. Ask again with the same id";
                 (503, json!({"done": false, "id": id.0, "why": why, "voters_not_heard": misses}))
@@ -564,7 +569,7 @@
             "bytes_heard": came.1,
         });
         if let Some(work) = &membership.work {
-            status["work"] = work.figures(self.moment());
+            status["work"] = work.figures(self.timestamp());
         }
         if let Some(estate) = &membership.estate {
             status["estates"] = estate.figures();
@@ -573,6 +578,6 @@
     }
 }
 
-fn moment_of(now: Time, began: Time) -> Moment {
-    Moment(now.since(began).0)
+fn timestamp_of(now: Time, began: Time) -> Timestamp {
+    Timestamp(now.since(began).0)
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -5,8 +5,8 @@
 use std::os::fd::OwnedFd;
 
 use glendeck::domain::{Span, Time};
-use glendeck_fleet::charter::UnitName;
 use glendeck_fleet::message::{Envelope, Hello, VERSION};
+use glendeck_fleet::policy::UnitName;
 use glendeck_takeover::Word;
 use glendeck_takeover::estate::Said;
 use nanorand::Rng;
@@ -23,7 +23,7 @@
 /// More than this waiting to go: the peer does not read, and what waits is old by now.
 const MOST_UNSENT: usize = 2 << 20;
 
-/// A link that brings nothing for so long is not one: voters answer each beat, and one comes a second.
+/// A link that brings nothing for so long is not one: voters answer each heartbeat, and one comes a second.
 const SILENT: Span = Span::ms(3_500);
 
 /// A link has this long to come up and say whom it leads to.
@@ -37,7 +37,7 @@
 /// What goes over a link once both ends have said who they are.
 #[derive(serde::Serialize, serde::Deserialize)]
 pub enum Frame {
-    Letter(Box<Envelope>),
+    ConsensusMessage(Box<Envelope>),
     /// All of one turn's.
     Words(Vec<Word>),
     /// To those alone whose greeting says that they speak of estates.
@@ -179,7 +179,7 @@
             version: VERSION,
             group: membership.group.clone(),
             name: membership.name.clone(),
-            life: membership.life,
+            incarnation: membership.incarnation,
         };
         write_greeting(hello)
     }
@@ -265,7 +265,7 @@
                     link.heard = now;
                     match link.peer.clone() {
                         None => self.greeted(id, &bytes),
-                        Some(peer) => self.letter(id, &peer, &bytes),
+                        Some(peer) => self.consensus_message(id, &peer, &bytes),
                     }
                 }
                 Err(()) => {
@@ -308,7 +308,7 @@
         self.peer_linked(&hello.name);
     }
 
-    fn letter(&mut self, id: ConnId, peer: &UnitName, bytes: &[u8]) {
+    fn consensus_message(&mut self, id: ConnId, peer: &UnitName, bytes: &[u8]) {
         let links = self.membership.as_ref().map(|membership| &membership.peers.links);
         let sums = links.and_then(|links| links.get(&id)).is_some_and(|link| link.speaks >= SUMS);
         let Some(bytes) = (if sums { unseal(bytes) } else { Some(bytes) }) else {
@@ -316,7 +316,7 @@
             return self.peer_lost(id);
         };
         match postcard::take_from_bytes::<Frame>(bytes) {
-            Ok((Frame::Letter(envelope), [])) => self.peer_said(peer, *envelope),
+            Ok((Frame::ConsensusMessage(envelope), [])) => self.peer_said(peer, *envelope),
             Ok((Frame::Words(words), [])) => self.peer_keeps(peer, words),
             Ok((Frame::Estate(said), [])) => self.peer_told(peer, said),
             Ok(_) => {
@@ -369,7 +369,7 @@
             version: VERSION,
             group: "g".into(),
             name: UnitName("n1".into()),
-            life: glendeck_fleet::state::Life(7),
+            incarnation: glendeck_fleet::state::Incarnation(7),
         };
         let before = postcard::to_stdvec(&hello()).unwrap();
         assert_eq!(read_greeting(&before), Some((hello(), 0)));
@@ -388,7 +388,11 @@
     fn a_letter_of_which_a_bit_has_turned_over_is_not_read() {
         let outcome = glendeck_takeover::Outcome::NeverRan;
         let owner = UnitName("n3".into());
-        let id = glendeck_takeover::RecordId { owner, life: glendeck_fleet::state::Life(1 << 60), count: 77 };
+        let id = glendeck_takeover::RecordId {
+            owner,
+            incarnation: glendeck_fleet::state::Incarnation(1 << 60),
+            count: 77,
+        };
         let word = Word::Ended { no: 1, id, work: glendeck_takeover::Work(0xfeed_beef), outcome };
         let bare = postcard::to_stdvec(&Frame::Words(vec![word])).unwrap();
         let flipped = |bytes: &[u8], bit: usize| {
