--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -5,10 +5,10 @@
 use std::io::Write as _;
 
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Idempotency, Span, Time};
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::message::Chair;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::message::VoterStatus;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::{Attempt, Before, Left, Outcome, Step, Takeover, View, Word, Work as Name};
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
@@ -65,9 +65,15 @@
 }
 
 impl Work {
-    pub fn new(start: Moment, me: UnitName, life: Life, recall_ms: u64, longest_ms: u64) -> Work {
+    pub fn new(
+        start: Timestamp,
+        me: UnitName,
+        incarnation: Incarnation,
+        recall_ms: u64,
+        longest_ms: u64,
+    ) -> Work {
         Work {
-            takeover: Takeover::new(start, me, life, life.0 ^ 0x7a6b, recall_ms, longest_ms),
+            takeover: Takeover::new(start, me, incarnation, incarnation.0 ^ 0x7a6b, recall_ms, longest_ms),
             words: BTreeMap::new(),
             pending: Vec::new(),
             inherits: None,
@@ -81,7 +87,7 @@
         self.takeover.view()
     }
 
-    pub fn figures(&self, now: Moment) -> Value {
+    pub fn figures(&self, now: Timestamp) -> Value {
         let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
         json!({
             "records_held": self.takeover.keeper.held(), "in_hand": self.takeover.owner.in_hand(),
@@ -132,8 +138,8 @@
         if self.startup.marks_repeats { opening.repeat } else { !opening.again }
     }
 
-    fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Moment)) {
-        let now = self.moment();
+    fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Timestamp)) {
+        let now = self.timestamp();
         let Some(work) = self.work() else { return };
         what(&mut work.takeover, now);
         let steps = work.takeover.take_all();
@@ -152,12 +158,12 @@
 
     /// Takes in what the group has agreed on since, and lets time pass.
     pub fn work_tick(&mut self) {
-        let now = self.moment();
+        let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let Some(work) = &mut membership.work else { return };
         let (state, hears) = (membership.fleet.state(), membership.fleet.hears_leader());
-        match membership.fleet.chair() {
-            Chair::Sits(_) => {
+        match membership.fleet.voter_status() {
+            VoterStatus::Active(_) => {
                 if let Some(left) = work.inherits.take() {
                     work.takeover.restore(now, left);
                     info!(
@@ -166,7 +172,7 @@
                     );
                 }
             }
-            Chair::Forgot => work.inherits = None,
+            VoterStatus::StateLost => work.inherits = None,
             _ => {}
         }
         if state.applied != work.applied || hears != work.hears {
@@ -174,9 +180,9 @@
                 info!(hears, "keeps work for others while it hears the group");
             }
             (work.applied, work.hears) = (state.applied, hears);
-            let seats = state.seats.iter().map(|seat| seat.name.clone()).collect();
+            let voter_slots = state.voter_slots.iter().map(|voter_slot| voter_slot.name.clone()).collect();
             let terms = state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect();
-            work.takeover.agreed(now, View { seats, version: state.seats_changed, hears, terms });
+            work.takeover.agreed(now, View { voter_slots, version: state.voter_slots_changed, hears, terms });
         }
         self.tell_work(Takeover::tick);
     }
@@ -199,11 +205,11 @@
 
     /// What this process keeps for others goes to the next in its folder: it ends as planned, and nobody waits for it.
     pub fn leave_work(&mut self) {
-        let now = self.moment();
+        let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let Some(folder) = &membership.folder else { return };
         let Some(work) = &mut membership.work else { return };
-        let left = (membership.fleet.incarnation().0, work.takeover.leave(now));
+        let left = (membership.fleet.boot_count().0, work.takeover.leave(now));
         let (fresh, path) = (folder.join("work.new"), folder.join(LEFT));
         let write = || -> std::io::Result<()> {
             let mut file = std::fs::File::create(&fresh)?;
@@ -231,7 +237,7 @@
         if left.is_none() {
             warn!("what the process before kept cannot be read: this one answers for no repeats at first");
         }
-        let before = membership.fleet.incarnation().0.checked_sub(1);
+        let before = membership.fleet.boot_count().0.checked_sub(1);
         work.inherits = left.filter(|(of, _)| Some(*of) == before).map(|(_, left)| left);
     }
 
@@ -261,14 +267,14 @@
         };
         let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
-        let ran = kept.ran.map(|(host, at)| (host.0, self.moment_of(at)));
+        let ran = kept.ran.map(|(host, at)| (host.0, self.timestamp_of(at)));
         let attempt =
-            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.moment_of(latest.0) };
+            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.timestamp_of(latest.0) };
         self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
     }
 
-    fn moment_of(&self, time: Time) -> Moment {
-        self.membership.as_ref().map_or(Moment(0), |membership| Moment(time.since(membership.began).0))
+    fn timestamp_of(&self, time: Time) -> Timestamp {
+        self.membership.as_ref().map_or(Timestamp(0), |membership| Timestamp(time.since(membership.began).0))
     }
 
     /// The call is over here, or has its answer.
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -98,7 +98,7 @@
     })
 }
 
-fn charter(shape: &Shape) -> String {
+fn policy(shape: &Shape) -> String {
     let mut text = String::from("group = \"rig\"\nvoters = [");
     text += &(0..shape.voters).map(|at| format!("\"n{at}\"")).collect::<Vec<_>>().join(", ");
     text += &format!(
@@ -124,7 +124,7 @@
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("glendeck-rig-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("fleet.toml"), charter(&shape))?;
+        std::fs::write(folder.join("fleet.toml"), policy(&shape))?;
         let book = Book::default();
         let hosts = (0..shape.hosts).map(|at| Host::start(&format!("h{at}"), at % 2, &book));
         let hosts = hosts.collect::<Result<Vec<_>, _>>()?;
--- a/crates/rig/tests/processes.rs
+++ b/crates/rig/tests/processes.rs
@@ -92,11 +92,11 @@
         until("all clients stand", PATIENCE, || agencies.up() == agencies.count);
     }
 
-    fn course(&self) -> Option<(u64, String)> {
+    fn release_state(&self) -> Option<(u64, String)> {
         let status = self.fleet.status(self.fleet.leader()?)?;
         let release = &status["state"]["release"];
-        let course = &release["course"];
-        let name = course.as_str().map_or_else(|| "Halted".to_owned(), str::to_owned);
+        let release_state = &release["course"];
+        let name = release_state.as_str().map_or_else(|| "Halted".to_owned(), str::to_owned);
         Some((release["number"].as_u64()?, name))
     }
 
@@ -110,8 +110,8 @@
         let status = self.fleet.leader().and_then(|at| self.fleet.status(at));
         let status = status.filter(|status| status["confirmed"] == true);
         status.map_or("?".into(), |status| {
-            let emptying = status["emptying"].as_array().cloned().unwrap_or_default();
-            let may_stop = emptying.iter().any(|of| of["host"] == host && of["may_stop"] == true);
+            let draining_hosts = status["emptying"].as_array().cloned().unwrap_or_default();
+            let may_stop = draining_hosts.iter().any(|of| of["host"] == host && of["may_stop"] == true);
             let hold = status["state"]["hosts"][host]["held"]["hold"].as_str().unwrap_or_default();
             // What was found is one thing, what is so now another.
             match (hold, may_stop) {
@@ -300,19 +300,19 @@
                     json!({"old": format!("n{}", self.node(old)), "new": format!("n{}", self.node(new))});
                 self.order("/v1/fleet/replace", body, rest);
             }
-            ["until", course, rest @ ..] => {
+            ["until", release_state, rest @ ..] => {
                 let patience = if let ["within", most] = rest { seconds(most) } else { PATIENCE * 3 };
-                let want = course.to_lowercase();
+                let want = release_state.to_lowercase();
                 let end = Instant::now() + patience;
                 loop {
                     self.fleet.forgive();
-                    let now = self.course();
+                    let now = self.release_state();
                     if now.as_ref().is_some_and(|(_, now)| now.to_lowercase() == want) {
                         break;
                     }
                     if Instant::now() > end {
                         let status = self.fleet.leader().and_then(|at| self.fleet.status(at));
-                        panic!("not {course} within {patience:?}: {now:?}, {status:#?}");
+                        panic!("not {release_state} within {patience:?}: {now:?}, {status:#?}");
                     }
                     std::thread::sleep(Duration::from_millis(30));
                 }
@@ -419,20 +419,20 @@
                 let remembers = || self.fleet.status(at).map(|status| status["work"]["remembers"] == want);
                 until(&format!("{unit} {what}"), Duration::from_secs(3), || remembers() == Some(true));
             }
-            ["chair", unit, chair] => {
+            ["chair", unit, voter_status] => {
                 let at = self.node(unit);
-                until(&format!("{unit} {chair}"), PATIENCE, || {
+                until(&format!("{unit} {voter_status}"), PATIENCE, || {
                     self.fleet
                         .status(at)
-                        .is_some_and(|of| of["chair"].as_str().unwrap_or("").starts_with(chair))
+                        .is_some_and(|of| of["chair"].as_str().unwrap_or("").starts_with(voter_status))
                 });
             }
             ["seats", unit] => {
                 let name = format!("n{}", self.node(unit));
                 until(&format!("{unit} has a seat"), PATIENCE, || {
                     let status = self.fleet.leader().and_then(|at| self.fleet.status(at)).unwrap_or_default();
-                    let seats = status["state"]["seats"].as_array().cloned().unwrap_or_default();
-                    seats.iter().any(|seat| seat["name"] == name.as_str())
+                    let voter_slots = status["state"]["seats"].as_array().cloned().unwrap_or_default();
+                    voter_slots.iter().any(|voter_slot| voter_slot["name"] == name.as_str())
                 });
             }
             ["doubled", unit] => {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-use glendeck_fleet::{Key, Saved, Write};
+use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 pub use disk::{Faults, Instead};
@@ -47,7 +47,7 @@
 
 /// A store and what it held when it was opened.
 pub struct Opened {
-    pub saved: Saved,
+    pub saved: StoredState,
     /// Something could not be read: it is set aside, and the store begins empty.
     pub spoilt: Option<String>,
     database: Database,
@@ -64,12 +64,12 @@
 }
 
 /// What is in the file, or what is wrong with it.
-fn read(database: &Database) -> Result<Saved, String> {
+fn read(database: &Database) -> Result<StoredState, String> {
     let reading = database.begin_read().map_err(|fault| fault.to_string())?;
-    let mut saved = Saved::default();
+    let mut saved = StoredState::default();
     match reading.open_table(VALUES) {
         Ok(table) => {
-            let keys: BTreeMap<u8, Key> = Key::ALL.iter().map(|key| (*key as u8, *key)).collect();
+            let keys: BTreeMap<u8, StoreKey> = StoreKey::ALL.iter().map(|key| (*key as u8, *key)).collect();
             for entry in table.iter().map_err(|fault| fault.to_string())? {
                 let (number, value) = entry.map_err(|fault| fault.to_string())?;
                 let value = checked(value.value()).ok_or("a value does not match its checksum")?;
@@ -96,20 +96,20 @@
     Ok(saved)
 }
 
-fn write(database: &Database, writes: &[Write]) -> Result<(), redb::Error> {
+fn write(database: &Database, writes: &[StoreWrite]) -> Result<(), redb::Error> {
     let writing = database.begin_write()?;
     {
         let mut values = writing.open_table(VALUES)?;
         let mut log = writing.open_table(LOG)?;
         for write in writes {
             match write {
-                Write::Put(key, value) => drop(values.insert(*key as u8, sealed(value).as_slice())?),
-                Write::Remove(key) => drop(values.remove(*key as u8)?),
-                Write::Log(at, entry) => {
+                StoreWrite::Put(key, value) => drop(values.insert(*key as u8, sealed(value).as_slice())?),
+                StoreWrite::Remove(key) => drop(values.remove(*key as u8)?),
+                StoreWrite::Log(at, entry) => {
                     log.retain_in::<u64, _>(at + 1.., |_, _| false)?;
                     log.insert(at, sealed(entry).as_slice())?;
                 }
-                Write::Cut(at) => log.retain_in::<u64, _>(*at.., |_, _| false)?,
+                StoreWrite::Cut(at) => log.retain_in::<u64, _>(*at.., |_, _| false)?,
             }
         }
     }
@@ -159,14 +159,14 @@
             std::fs::rename(path, aside).map_err(unwritable)?;
             let database = database(faults)?
                 .map_err(|fault| StoreFault::Unopened { folder: folder.to_owned(), fault })?;
-            Ok(Opened { saved: Saved::default(), spoilt: Some(spoilt), database, lock })
+            Ok(Opened { saved: StoredState::default(), spoilt: Some(spoilt), database, lock })
         }
     }
 }
 
 /// The thread that writes, from the side of those who want something written.
 pub struct Store {
-    batches: SyncSender<(u64, Vec<Write>)>,
+    batches: SyncSender<(u64, Vec<StoreWrite>)>,
     outcomes: Receiver<Outcome>,
 }
 
@@ -179,7 +179,7 @@
     /// # Errors
     /// The system grants no thread.
     pub fn start(self, mut wake: UnixStream) -> Result<Store, std::io::Error> {
-        let (batches, from) = sync_channel::<(u64, Vec<Write>)>(BATCHES);
+        let (batches, from) = sync_channel::<(u64, Vec<StoreWrite>)>(BATCHES);
         let (to, outcomes) = sync_channel(BATCHES * 2);
         let Opened { database, lock, .. } = self;
         std::thread::Builder::new().name("store".into()).spawn(move || {
@@ -202,7 +202,7 @@
 
 impl Store {
     /// Hands over a batch; never waits. Whether it was taken.
-    pub fn write(&self, batch: u64, writes: Vec<Write>) -> bool {
+    pub fn write(&self, batch: u64, writes: Vec<StoreWrite>) -> bool {
         match self.batches.try_send((batch, writes)) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use glendeck_fleet::{Key, Saved, Write};
+use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
 use glendeck_store::{Faults, Instead, Outcome, Store, StoreFault, open};
 use test_case::test_case;
 
@@ -56,7 +56,7 @@
     }
 }
 
-fn start(folder: &Folder, faults: Option<Arc<dyn Faults>>) -> (Store, Saved, Option<String>) {
+fn start(folder: &Folder, faults: Option<Arc<dyn Faults>>) -> (Store, StoredState, Option<String>) {
     let until = Instant::now() + Duration::from_secs(5);
     let opened = loop {
         // The thread of the store before lets go of it soon after its owner has.
@@ -84,11 +84,11 @@
     }
 }
 
-fn some(number: u8) -> Vec<Write> {
+fn some(number: u8) -> Vec<StoreWrite> {
     vec![
-        Write::Put(Key::Stamp, vec![number; 8]),
-        Write::Log(u64::from(number), vec![number; 400]),
-        Write::Put(Key::Promise, vec![number]),
+        StoreWrite::Put(StoreKey::Stamp, vec![number; 8]),
+        StoreWrite::Log(u64::from(number), vec![number; 400]),
+        StoreWrite::Put(StoreKey::Promise, vec![number]),
     ]
 }
 
@@ -96,14 +96,16 @@
 fn what_was_written_is_there() {
     let folder = Folder::new();
     let (store, saved, _) = start(&folder, None);
-    assert_eq!(saved, Saved::default());
-    let mut want = Saved::default();
+    assert_eq!(saved, StoredState::default());
+    let mut want = StoredState::default();
     for number in 0..20 {
         assert!(store.write(u64::from(number), some(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
         want.take(&some(number));
     }
-    for writes in [vec![Write::Cut(12)], vec![Write::Log(10, vec![1]), Write::Remove(Key::Promise)]] {
+    for writes in
+        [vec![StoreWrite::Cut(12)], vec![StoreWrite::Log(10, vec![1]), StoreWrite::Remove(StoreKey::Promise)]]
+    {
         want.take(&writes);
         assert!(store.write(99, writes));
         assert_eq!(outcome(&store), Outcome::Written(99));
@@ -124,7 +126,7 @@
     // A full disk shows once the file has to grow.
     let mut batch = 2;
     let dead = loop {
-        assert!(store.write(batch, vec![Write::Log(1, vec![7; 200_000 * batch as usize])]));
+        assert!(store.write(batch, vec![StoreWrite::Log(1, vec![7; 200_000 * batch as usize])]));
         match outcome(&store) {
             Outcome::Dead(why) => break why,
             Outcome::Written(_) => batch += 1,
--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -1,9 +1,9 @@
 //! Time and memory of what is kept of a call: `cargo bench -p glendeck-takeover`.
 
 use divan::{AllocProfiler, Bencher, black_box};
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
 
 #[global_allocator]
@@ -21,14 +21,14 @@
     UnitName(format!("node-{at}"))
 }
 
-fn moment(ms: u64) -> Moment {
-    Moment((100_000_000 + ms) * 1_000_000)
+fn timestamp(ms: u64) -> Timestamp {
+    Timestamp((100_000_000 + ms) * 1_000_000)
 }
 
 fn node(at: usize) -> Takeover {
-    let mut node = Takeover::new(moment(0), name(at), Life(at as u64), 7, RECALL_MS, LONGEST_MS);
-    let view = View { seats: (0..KEEPERS).map(name).collect(), hears: true, ..View::default() };
-    node.agreed(moment(0), view);
+    let mut node = Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RECALL_MS, LONGEST_MS);
+    let view = View { voter_slots: (0..KEEPERS).map(name).collect(), hears: true, ..View::default() };
+    node.agreed(timestamp(0), view);
     node
 }
 
@@ -38,7 +38,7 @@
 }
 
 /// Carries what is said until nobody says any more; how many words that took.
-fn carry(fleet: &mut [Takeover], now: Moment) -> u64 {
+fn carry(fleet: &mut [Takeover], now: Timestamp) -> u64 {
     let mut words = 0;
     loop {
         let mut said = Vec::new();
@@ -61,15 +61,15 @@
 }
 
 fn attempt(work: u64) -> Attempt {
-    Attempt { work: Work(work), host: work % 50, ran: None, left_ms: 1_500, latest: moment(90_000) }
+    Attempt { work: Work(work), host: work % 50, ran: None, left_ms: 1_500, latest: timestamp(90_000) }
 }
 
-fn begin(fleet: &mut [Takeover], work: u64, now: Moment) {
+fn begin(fleet: &mut [Takeover], work: u64, now: Timestamp) {
     fleet[KEEPERS].intend(now, work, attempt(work));
     carry(fleet, now);
 }
 
-fn end(fleet: &mut [Takeover], work: u64, now: Moment) {
+fn end(fleet: &mut [Takeover], work: u64, now: Timestamp) {
     fleet[KEEPERS].ended(now, work, Outcome::Answered);
     carry(fleet, now);
 }
@@ -77,8 +77,8 @@
 fn holding(records: u64) -> Vec<Takeover> {
     let mut fleet = fleet();
     for work in 0..records {
-        begin(&mut fleet, work, moment(20_000));
-        end(&mut fleet, work, moment(20_000));
+        begin(&mut fleet, work, timestamp(20_000));
+        end(&mut fleet, work, timestamp(20_000));
     }
     fleet
 }
@@ -90,8 +90,8 @@
     let mut work = records;
     bencher.bench_local(|| {
         work += 1;
-        begin(&mut fleet, work, moment(20_000));
-        end(&mut fleet, work, moment(20_000));
+        begin(&mut fleet, work, timestamp(20_000));
+        end(&mut fleet, work, timestamp(20_000));
     });
 }
 
@@ -103,9 +103,9 @@
     bencher.bench_local(|| {
         call += 1;
         let work = Work(call % 1_000);
-        fleet[KEEPERS].returned(moment(20_010), call, work, 1_400);
-        carry(&mut fleet, moment(20_010));
-        end(&mut fleet, call, moment(20_010));
+        fleet[KEEPERS].returned(timestamp(20_010), call, work, 1_400);
+        carry(&mut fleet, timestamp(20_010));
+        end(&mut fleet, call, timestamp(20_010));
     });
 }
 
@@ -116,7 +116,7 @@
     let mut fleet = fleet();
     let mut words: Vec<Word> = Vec::new();
     for work in 0..records {
-        fleet[KEEPERS].intend(moment(20_000), work, attempt(work));
+        fleet[KEEPERS].intend(timestamp(20_000), work, attempt(work));
         let keeps = |step| match step {
             Step::Say(to, word @ Word::Keep(_)) if to == name(0) => Some(word),
             _ => None,
@@ -127,7 +127,7 @@
     bencher.bench_local(|| {
         let mut keeper = node(0);
         for word in &words {
-            keeper.heard(moment(20_000), &owner, word.clone());
+            keeper.heard(timestamp(20_000), &owner, word.clone());
             black_box(keeper.take_all());
         }
         assert_eq!(keeper.keeper.held() as u64, records);
--- a/crates/takeover/src/estate.rs
+++ b/crates/takeover/src/estate.rs
@@ -6,12 +6,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::plant::{Plant, planted};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{View, Work, name_number};
 
 /// Of the three keepers that a node's name draws, so many keep for it: hints need no majority, and one may be lost.
@@ -58,11 +58,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Said {
     /// A node to its keepers: what has changed since its word of the number `since`, or all there is.
-    Tell { life: Life, no: u32, since: Option<u32>, changes: Vec<(Known, Option<u32>)>, parting: bool },
+    Tell {
+        incarnation: Incarnation,
+        no: u32,
+        since: Option<u32>,
+        changes: Vec<(Known, Option<u32>)>,
+        parting: bool,
+    },
     /// A keeper has missed something, and has to be told all.
-    Behind { life: Life },
+    Behind { incarnation: Incarnation },
     /// A keeper to everybody: this node has gone.
-    Gone { of: UnitName, life: Life, facts: Vec<(Known, u32)> },
+    Gone { of: UnitName, incarnation: Incarnation, facts: Vec<(Known, u32)> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,13 +80,13 @@
 
 #[derive(Clone, Debug)]
 struct Kept {
-    life: Life,
+    incarnation: Incarnation,
     /// The process before it. Danger: its words may come late.
-    before: Option<Life>,
+    before: Option<Incarnation>,
     no: u32,
     facts: Facts,
     /// It had a link then.
-    linked: Moment,
+    linked: Timestamp,
     parting: bool,
     told: bool,
 }
@@ -89,18 +95,18 @@
 #[derive(Clone, Debug)]
 pub struct Estates {
     me: UnitName,
-    life: Life,
+    incarnation: Incarnation,
     said: Facts,
     no: u32,
-    said_at: Moment,
+    said_at: Timestamp,
     parting: bool,
     /// Its keepers, and whether each has been told all there was.
     keepers: BTreeMap<UnitName, bool>,
     kept: BTreeMap<UnitName, Kept>,
     /// To whom which node's is still to be told, since when.
-    queue: VecDeque<(Moment, UnitName, UnitName)>,
+    queue: VecDeque<(Timestamp, UnitName, UnitName)>,
     /// Danger: what is told of a process late, after its next one's end, is still the same word.
-    heard: BTreeMap<(UnitName, Life), Moment>,
+    heard: BTreeMap<(UnitName, Incarnation), Timestamp>,
 }
 
 /// Who keeps for a node: the same at all who know the same seats.
@@ -116,10 +122,10 @@
 }
 
 impl Estates {
-    pub fn new(now: Moment, me: UnitName, life: Life) -> Estates {
+    pub fn new(now: Timestamp, me: UnitName, incarnation: Incarnation) -> Estates {
         Estates {
             me,
-            life,
+            incarnation,
             said: Facts::new(),
             no: 0,
             said_at: now,
@@ -144,7 +150,7 @@
     /// What this node knows now, once a second, and who has a link to it. `parting`: it sends its clients away as planned.
     pub fn tell(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         mut facts: Facts,
         parting: bool,
         view: &View,
@@ -173,7 +179,7 @@
                 true => (Some(since), changes.clone()),
                 false => (None, self.said.iter().map(|(known, of)| (*known, Some(*of))).collect()),
             };
-            let said = Said::Tell { life: self.life, no: self.no, since, changes, parting };
+            let said = Said::Tell { incarnation: self.incarnation, no: self.no, since, changes, parting };
             acts.push(Do::Say(keeper, said));
         }
         if speaks {
@@ -182,23 +188,23 @@
         acts
     }
 
-    pub fn heard(&mut self, now: Moment, from: &UnitName, said: Said, view: &View) -> Vec<Do> {
+    pub fn heard(&mut self, now: Timestamp, from: &UnitName, said: Said, view: &View) -> Vec<Do> {
         match said {
-            Said::Tell { life, no, since, changes, parting } => {
-                if self.keep(now, from, (life, no, since), changes, parting) {
+            Said::Tell { incarnation, no, since, changes, parting } => {
+                if self.keep(now, from, (incarnation, no, since), changes, parting) {
                     return vec![];
                 }
-                vec![Do::Say(from.clone(), Said::Behind { life })]
+                vec![Do::Say(from.clone(), Said::Behind { incarnation })]
             }
-            Said::Behind { life } => {
-                if life == self.life && !planted(Plant::NeverWhole) {
+            Said::Behind { incarnation } => {
+                if incarnation == self.incarnation && !is_injected(InjectedFault::NeverWhole) {
                     self.keepers.entry(from.clone()).and_modify(|in_step| *in_step = false);
                 }
                 vec![]
             }
-            Said::Gone { of, life, facts } => {
+            Said::Gone { of, incarnation, facts } => {
                 // Whoever holds no seat keeps nothing, and has nothing to tell.
-                if of == self.me || !view.seats.contains(from) || !self.is_news(now, &of, life) {
+                if of == self.me || !view.voter_slots.contains(from) || !self.is_news(now, &of, incarnation) {
                     return vec![];
                 }
                 vec![Do::Expect(of, facts)]
@@ -206,11 +212,12 @@
         }
     }
 
-    fn is_news(&mut self, now: Moment, of: &UnitName, life: Life) -> bool {
-        let before = self.heard.get(&(of.clone(), life));
-        let twice = before.is_some_and(|at| now.ms_since(*at) < ONCE_MS) && !planted(Plant::ToldTwice);
+    fn is_news(&mut self, now: Timestamp, of: &UnitName, incarnation: Incarnation) -> bool {
+        let before = self.heard.get(&(of.clone(), incarnation));
+        let twice =
+            before.is_some_and(|at| now.ms_since(*at) < ONCE_MS) && !is_injected(InjectedFault::ToldTwice);
         if !twice {
-            self.heard.insert((of.clone(), life), now);
+            self.heard.insert((of.clone(), incarnation), now);
         }
         !twice
     }
@@ -218,23 +225,27 @@
     /// Whether it could be followed.
     fn keep(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &UnitName,
-        (life, no, since): (Life, u32, Option<u32>),
+        (incarnation, no, since): (Incarnation, u32, Option<u32>),
         changes: Vec<(Known, Option<u32>)>,
         parting: bool,
     ) -> bool {
         let of = self.kept.get(from);
-        if of.is_some_and(|kept| kept.before == Some(life)) {
+        if of.is_some_and(|kept| kept.before == Some(incarnation)) {
             return true;
         }
-        let before = of.and_then(|kept| if kept.life == life { kept.before } else { Some(kept.life) });
-        let known = of.filter(|kept| kept.life == life || planted(Plant::LivesMixed));
+        let before =
+            of.and_then(
+                |kept| if kept.incarnation == incarnation { kept.before } else { Some(kept.incarnation) },
+            );
+        let known = of
+            .filter(|kept| kept.incarnation == incarnation || is_injected(InjectedFault::IncarnationsMixed));
         // Danger: a word that comes twice or late would undo what came after it.
-        if known.is_some_and(|kept| no < kept.no) && !planted(Plant::LateCounts) {
+        if known.is_some_and(|kept| no < kept.no) && !is_injected(InjectedFault::LateCounts) {
             return true;
         }
-        let follows = |kept: &&Kept| since == Some(kept.no) || planted(Plant::AnySince);
+        let follows = |kept: &&Kept| since == Some(kept.no) || is_injected(InjectedFault::AnySince);
         let mut facts = match (since, known.filter(follows)) {
             (None, _) => Facts::new(),
             (_, Some(kept)) => kept.facts.clone(),
@@ -252,18 +263,19 @@
             return true;
         }
         let told = parting && self.kept.get(from).is_some_and(|kept| kept.parting && kept.told);
-        self.kept.insert(from.clone(), Kept { life, before, no, facts, linked: now, parting, told });
+        self.kept.insert(from.clone(), Kept { incarnation, before, no, facts, linked: now, parting, told });
         true
     }
 
     /// To be told ten times a second: who has a link to this node now.
-    pub fn tick(&mut self, now: Moment, linked: &BTreeSet<UnitName>) -> Vec<Do> {
+    pub fn tick(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<Do> {
         let has_link = |of: &UnitName| linked.contains(of);
         let mut acts = Vec::new();
-        let stays = |kept: &Kept| now.ms_since(kept.linked) < FORGET_MS || planted(Plant::KeptForever);
+        let stays =
+            |kept: &Kept| now.ms_since(kept.linked) < FORGET_MS || is_injected(InjectedFault::KeptForever);
         self.kept.retain(|_, kept| stays(kept));
         self.heard.retain(|_, at| now.ms_since(*at) < FORGET_MS);
-        let mut gone: Vec<(UnitName, Life)> = Vec::new();
+        let mut gone: Vec<(UnitName, Incarnation)> = Vec::new();
         for (of, kept) in &mut self.kept {
             if has_link(of) {
                 kept.linked = now;
@@ -271,13 +283,13 @@
             }
             let is_gone = kept.parting || now.ms_since(kept.linked) >= GONE_MS;
             if is_gone && !std::mem::replace(&mut kept.told, true) && !kept.facts.is_empty() {
-                gone.push((of.clone(), kept.life));
+                gone.push((of.clone(), kept.incarnation));
             }
         }
-        for (of, life) in gone {
+        for (of, incarnation) in gone {
             let others = linked.iter().filter(|to| **to != of);
             self.queue.extend(others.map(|to| (now, to.clone(), of.clone())));
-            if self.is_news(now, &of, life)
+            if self.is_news(now, &of, incarnation)
                 && let Some(kept) = self.kept.get(&of)
             {
                 acts.push(Do::Expect(of, listed(&kept.facts)));
@@ -290,7 +302,10 @@
             if back || now.ms_since(since) >= OF_USE_MS {
                 continue;
             }
-            acts.push(Do::Say(to, Said::Gone { of, life: kept.life, facts: listed(&kept.facts) }));
+            acts.push(Do::Say(
+                to,
+                Said::Gone { of, incarnation: kept.incarnation, facts: listed(&kept.facts) },
+            ));
         }
         acts
     }
--- a/crates/takeover/src/plant.rs
+++ b/crates/takeover/src/fault_injection.rs
@@ -1,9 +1,9 @@
-//! Faults planted on purpose: a checker counts only once it has caught them. Without the feature `planted`, which only
-//! tests switch on, there is none; with it, none is planted until a test says so.
+//! Faults injected on purpose: a checker counts only once it has caught them. Without the feature `injected`, which only
+//! tests switch on, there is none; with it, none is injected until a test says so.
 
 /// What may be made wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// The attempt goes as its intent does.
     SentBeforeKept,
     /// One keeper's word is enough.
@@ -25,7 +25,7 @@
     /// What has changed is taken in whatever it changed from.
     AnySince,
     /// What a process says is added to what the one before said.
-    LivesMixed,
+    IncarnationsMixed,
     /// A keeper that missed something is never told all.
     NeverWhole,
     /// A word that comes late undoes what came after it.
@@ -36,23 +36,23 @@
     KeptForever,
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
+    static PLANTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants a fault on this thread, or none.
-#[cfg(feature = "planted")]
-pub fn plant(fault: Option<Plant>) {
+#[cfg(feature = "fault-injection")]
+pub fn inject(fault: Option<InjectedFault>) {
     PLANTED.set(fault);
 }
 
-#[cfg(feature = "planted")]
-pub(crate) fn planted(fault: Plant) -> bool {
+#[cfg(feature = "fault-injection")]
+pub(crate) fn is_injected(fault: InjectedFault) -> bool {
     PLANTED.get() == Some(fault)
 }
 
-#[cfg(not(feature = "planted"))]
-pub(crate) fn planted(_: Plant) -> bool {
+#[cfg(not(feature = "fault-injection"))]
+pub(crate) fn is_injected(_: InjectedFault) -> bool {
     false
 }
--- a/crates/takeover/src/keeper.rs
+++ b/crates/takeover/src/keeper.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
 
-use crate::plant::{Plant, planted};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{
     Intent, LEFT_ALONE_MS, Left, LeftRecord, Outcome, RecordId, Shown, UNKNOWN_MS, Verdict, View, Word, Work,
 };
@@ -19,14 +19,14 @@
     term: u64,
     repeat: bool,
     /// Where the work's first attempt went, and when at the latest it may have gone, where that is known.
-    first: (u64, Option<Moment>),
-    kept: Moment,
+    first: (u64, Option<Timestamp>),
+    kept: Timestamp,
     /// The last attempt's intent was kept then.
-    last: Moment,
+    last: Timestamp,
     no: u32,
     /// The call's time is over then.
-    until: Moment,
-    answered: Option<Moment>,
+    until: Timestamp,
+    answered: Option<Timestamp>,
     /// Another call goes on from it: its own may begin nothing more.
     taken: bool,
 }
@@ -36,7 +36,7 @@
     recall_ms: u64,
     longest_ms: u64,
     /// All that was to be kept since then is here.
-    since: Moment,
+    since: Timestamp,
     /// The process before has left all that it held.
     trusts: bool,
     /// It has left all to the next process.
@@ -44,7 +44,7 @@
     records: BTreeMap<Work, Vec<Record>>,
     count: usize,
     /// Works to look at then: they may have records that have run out.
-    due: VecDeque<(Moment, Work)>,
+    due: VecDeque<(Timestamp, Work)>,
 }
 
 /// Danger: a list's first room is for four, and most works have one record: a full keeper took 57 MB for 21.
@@ -53,7 +53,7 @@
 }
 
 impl Keeper {
-    pub fn new(now: Moment, recall_ms: u64, longest_ms: u64) -> Keeper {
+    pub fn new(now: Timestamp, recall_ms: u64, longest_ms: u64) -> Keeper {
         Keeper {
             recall_ms,
             longest_ms,
@@ -67,11 +67,11 @@
     }
 
     /// From here on it keeps; of what was before it may know nothing.
-    pub fn begin(&mut self, now: Moment) {
+    pub fn begin(&mut self, now: Timestamp) {
         (self.since, self.trusts) = (now, false);
     }
 
-    pub(crate) fn leave(&mut self, now: Moment) -> Left {
+    pub(crate) fn leave(&mut self, now: Timestamp) -> Left {
         self.left = true;
         let records = self.records.iter().flat_map(|(work, records)| {
             records.iter().map(|record| {
@@ -93,7 +93,7 @@
 
     /// Danger: nobody here knows how long it took from one process to the next. When things went is not known any more,
     /// and all that depends on it is over.
-    pub(crate) fn restore(&mut self, now: Moment, left: Left) {
+    pub(crate) fn restore(&mut self, now: Timestamp, left: Left) {
         self.trusts = left.remembers;
         for (work, record) in left.records.into_iter().take(MOST) {
             of_work(&mut self.records, work).push(Record {
@@ -119,12 +119,12 @@
     }
 
     /// All that it could have forgotten has run out.
-    pub fn remembers(&self, now: Moment) -> bool {
+    pub fn remembers(&self, now: Timestamp) -> bool {
         let long = now.ms_since(self.since) > self.recall_ms + self.longest_ms + LEFT_ALONE_MS;
-        long || self.trusts || planted(Plant::ForgetfulAnswers)
+        long || self.trusts || is_injected(InjectedFault::ForgetfulAnswers)
     }
 
-    pub(crate) fn take(&mut self, now: Moment, from: &UnitName, word: Word, view: &View) -> Option<Word> {
+    pub(crate) fn take(&mut self, now: Timestamp, from: &UnitName, word: Word, view: &View) -> Option<Word> {
         match word {
             Word::Keep(intent) => {
                 let (id, no) = (intent.id.clone(), intent.no);
@@ -143,8 +143,8 @@
         }
     }
 
-    fn keep(&mut self, now: Moment, intent: Intent, view: &View) -> Verdict {
-        let fenced = intent.term < view.term(&intent.id.owner) && !planted(Plant::NotFenced);
+    fn keep(&mut self, now: Timestamp, intent: Intent, view: &View) -> Verdict {
+        let fenced = intent.term < view.term(&intent.id.owner) && !is_injected(InjectedFault::NotFenced);
         if self.left
             || !view.hears
             || intent.version != view.version
@@ -158,10 +158,10 @@
         }
         let (host, ago) = intent.first;
         let known = ago < UNKNOWN_MS;
-        let first = (host, known.then(|| Moment(now.0.saturating_sub(ago.saturating_mul(1_000_000)))));
+        let first = (host, known.then(|| Timestamp(now.0.saturating_sub(ago.saturating_mul(1_000_000)))));
         let known = self.records.get_mut(&intent.work);
         if let Some(known) = known.and_then(|of| of.iter_mut().find(|record| record.id == intent.id)) {
-            if known.taken && !planted(Plant::NotFenced) {
+            if known.taken && !is_injected(InjectedFault::NotFenced) {
                 return Verdict::Others;
             }
             // One that comes twice or late says nothing new.
@@ -183,7 +183,7 @@
         // One that has gone on since it was looked at has not been seen either.
         let seen = |record: &Record| intent.over.iter().any(|(id, no)| *id == record.id && *no >= record.no);
         let unseen = |record: &Record| !seen(record) && (intent.repeat || record.repeat);
-        if records.iter().any(unseen) && !planted(Plant::RaceKept) {
+        if records.iter().any(unseen) && !is_injected(InjectedFault::RaceKept) {
             return Verdict::Others;
         }
         for record in records.iter_mut().filter(|record| seen(record)) {
@@ -208,7 +208,7 @@
         Verdict::Kept
     }
 
-    fn show(&self, now: Moment, work: Work, but: &RecordId) -> Vec<Shown> {
+    fn show(&self, now: Timestamp, work: Work, but: &RecordId) -> Vec<Shown> {
         let left = |record: &Record| {
             let end = record.until.plus_ms(LEFT_ALONE_MS);
             if now >= end { 0 } else { end.ms_since(now).max(1) }
@@ -228,10 +228,10 @@
             .collect()
     }
 
-    fn ended(&mut self, now: Moment, id: &RecordId, work: Work, no: u32, outcome: Outcome) {
+    fn ended(&mut self, now: Timestamp, id: &RecordId, work: Work, no: u32, outcome: Outcome) {
         let Some(records) = self.records.get_mut(&work) else { return };
         match outcome {
-            Outcome::Answered if !planted(Plant::DroppedEarly) => {
+            Outcome::Answered if !is_injected(InjectedFault::DroppedEarly) => {
                 if let Some(record) = records.iter_mut().find(|record| record.id == *id && record.no <= no) {
                     record.answered = Some(now);
                 }
@@ -247,7 +247,7 @@
         }
     }
 
-    pub(crate) fn tick(&mut self, now: Moment) {
+    pub(crate) fn tick(&mut self, now: Timestamp) {
         while let Some((at, work)) = self.due.front().copied().filter(|(at, _)| *at <= now) {
             self.due.pop_front();
             let recall_ms = self.recall_ms;
@@ -267,15 +267,15 @@
 mod tests {
     use super::*;
     use crate::RecordId;
-    use glendeck_fleet::state::Life;
+    use glendeck_fleet::state::Incarnation;
 
     #[test]
     fn a_full_keeper_refuses_takes_again_and_has_no_room_to_spare() {
-        let (at, from) = (|ms: u64| Moment((100_000_000 + ms) * 1_000_000), UnitName("n3".into()));
-        let view = View { seats: vec![UnitName("n0".into())], hears: true, ..View::default() };
+        let (at, from) = (|ms: u64| Timestamp((100_000_000 + ms) * 1_000_000), UnitName("n3".into()));
+        let view = View { voter_slots: vec![UnitName("n0".into())], hears: true, ..View::default() };
         let mut keeper = Keeper::new(at(0), 6_000, 5_000);
         let keep = |keeper: &mut Keeper, ms: u64, count: u64| {
-            let id = RecordId { owner: from.clone(), life: Life(1), count };
+            let id = RecordId { owner: from.clone(), incarnation: Incarnation(1), count };
             let (term, version, repeat, over, no) = (0, 0, false, vec![], 1);
             let intent = Intent {
                 id,
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -5,15 +5,15 @@
 //! the same steps.
 
 pub mod estate;
+pub mod fault_injection;
 mod keeper;
 mod owner;
-pub mod plant;
 
 use std::collections::BTreeMap;
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use serde::{Deserialize, Serialize};
 
 pub use keeper::Keeper;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RecordId {
     pub owner: UnitName,
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub count: u64,
 }
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     /// Who holds seats.
-    pub seats: Vec<UnitName>,
+    pub voter_slots: Vec<UnitName>,
     /// How often others have come to hold them.
     pub version: u32,
     /// A leader was heard of late: what is known is no older.
@@ -67,7 +67,7 @@
     /// A work's keepers, the same at all who know the same seats.
     pub fn keepers(&self, work: Work) -> Vec<UnitName> {
         let mut ranked: Vec<(u64, &UnitName)> =
-            self.seats.iter().map(|name| (rank(work, name), name)).collect();
+            self.voter_slots.iter().map(|name| (rank(work, name), name)).collect();
         ranked.sort_unstable();
         ranked.into_iter().take(KEEPERS).map(|(_, name)| name.clone()).collect()
     }
@@ -175,11 +175,11 @@
     /// Any number that means the same at all nodes.
     pub host: u64,
     /// The call's first attempt that may have run: where, and when it went.
-    pub ran: Option<(u64, Moment)>,
+    pub ran: Option<(u64, Timestamp)>,
     /// How long the call still has, in ms.
     pub left_ms: u64,
     /// It must not go later: hosts recall the work's reference until then, or the call has its time.
-    pub latest: Moment,
+    pub latest: Timestamp,
 }
 
 /// What is to be done. A call is named by its caller's number.
@@ -233,16 +233,16 @@
     ///
     /// `recall_ms`: a call's record is kept for so long after its answer. `longest_ms`: the longest that any call has.
     pub fn new(
-        now: Moment,
+        now: Timestamp,
         me: UnitName,
-        life: Life,
+        incarnation: Incarnation,
         seed: u64,
         recall_ms: u64,
         longest_ms: u64,
     ) -> Takeover {
         Takeover {
             keeper: Keeper::new(now, recall_ms, longest_ms),
-            owner: Owner::new(me.clone(), life, seed),
+            owner: Owner::new(me.clone(), incarnation, seed),
             me,
             view: View::default(),
             steps: Vec::new(),
@@ -250,11 +250,11 @@
     }
 
     /// What is agreed, as it is known from here on.
-    pub fn agreed(&mut self, now: Moment, view: View) {
-        let mine = |view: &View| view.seats.contains(&self.me);
+    pub fn agreed(&mut self, now: Timestamp, view: View) {
+        let mine = |view: &View| view.voter_slots.contains(&self.me);
         // Danger: one that comes to hold a seat has never heard of what was kept before. The first word of the group is
         // no change: it says what has been so.
-        let first = self.view.seats.is_empty();
+        let first = self.view.voter_slots.is_empty();
         if !first && (view.version != self.view.version || mine(&view) != mine(&self.view)) {
             self.keeper.begin(now);
         }
@@ -262,12 +262,12 @@
     }
 
     /// Before a planned end: it keeps nothing more, and this is for its next process.
-    pub fn leave(&mut self, now: Moment) -> Left {
+    pub fn leave(&mut self, now: Timestamp) -> Left {
         self.keeper.leave(now)
     }
 
     /// What the process before left when it ended as planned, and nobody else can have had since.
-    pub fn restore(&mut self, now: Moment, left: Left) {
+    pub fn restore(&mut self, now: Timestamp, left: Left) {
         self.keeper.restore(now, left);
     }
 
@@ -276,24 +276,24 @@
     }
 
     /// A call that comes again: what has been before it has to be known first. It has so long, in ms.
-    pub fn returned(&mut self, now: Moment, call: u64, work: Work, left_ms: u64) {
+    pub fn returned(&mut self, now: Timestamp, call: u64, work: Work, left_ms: u64) {
         let steps = self.owner.returned(now, call, work, left_ms, &self.view);
         self.take_steps(now, steps);
     }
 
     /// An attempt is to go: [`Step::Go`] comes, or it must not. `host` is any number that means the same at all nodes.
-    pub fn intend(&mut self, now: Moment, call: u64, attempt: Attempt) {
+    pub fn intend(&mut self, now: Timestamp, call: u64, attempt: Attempt) {
         let steps = self.owner.intend(now, call, attempt, &self.view);
         self.take_steps(now, steps);
     }
 
     /// The call is over. Nothing happens if no intent of it was asked for.
-    pub fn ended(&mut self, now: Moment, call: u64, outcome: Outcome) {
+    pub fn ended(&mut self, now: Timestamp, call: u64, outcome: Outcome) {
         let steps = self.owner.ended(call, outcome, &self.view);
         self.take_steps(now, steps);
     }
 
-    pub fn heard(&mut self, now: Moment, from: &UnitName, word: Word) {
+    pub fn heard(&mut self, now: Timestamp, from: &UnitName, word: Word) {
         match word {
             Word::Keep(_) | Word::Look { .. } | Word::Ended { .. } => {
                 if let Some(answer) = self.keeper.take(now, from, word, &self.view) {
@@ -308,7 +308,7 @@
     }
 
     /// To be told ten times a second at least.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.keeper.tick(now);
         let steps = self.owner.tick(now, &self.view);
         self.take_steps(now, steps);
@@ -319,7 +319,7 @@
     }
 
     /// What is said to this node's own keeper is not sent.
-    fn take_steps(&mut self, now: Moment, steps: Vec<Step>) {
+    fn take_steps(&mut self, now: Timestamp, steps: Vec<Step>) {
         for step in steps {
             match step {
                 Step::Say(to, word) if to == self.me => {
--- a/crates/takeover/src/owner.rs
+++ b/crates/takeover/src/owner.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use nanorand::{Rng, WyRand};
 
-use crate::plant::{Plant, planted};
+use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{
     Attempt, Intent, LEFT_ALONE_MS, Outcome, RecordId, SENDS_WITHIN_MS, Shown, Step, UNKNOWN_MS, Verdict,
     View, Word, Work,
@@ -26,15 +26,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Before {
     pub host: u64,
-    pub at: Moment,
+    pub at: Timestamp,
 }
 
 /// An intent that waits for its keepers.
 #[derive(Clone, Debug)]
 struct Asking {
-    since: Moment,
-    said: Moment,
-    latest: Moment,
+    since: Timestamp,
+    said: Timestamp,
+    latest: Timestamp,
     /// No attempt of the call ran so far.
     clean: bool,
     intent: Intent,
@@ -46,12 +46,12 @@
 #[derive(Clone, Debug)]
 struct Looking {
     no: u32,
-    since: Moment,
-    said: Moment,
+    since: Timestamp,
+    said: Timestamp,
     keepers: Vec<UnitName>,
     shown: BTreeMap<UnitName, Option<Vec<Shown>>>,
     /// Over for now, to begin anew then.
-    again: Option<Moment>,
+    again: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
     over: Vec<(RecordId, u32)>,
     before: Option<Before>,
     /// Up to then it may look.
-    limit: Moment,
+    limit: Timestamp,
     no: u32,
     asking: Option<Asking>,
     looking: Option<Looking>,
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Owner {
     me: UnitName,
-    life: Life,
+    incarnation: Incarnation,
     chance: WyRand,
     count: u64,
     calls: BTreeMap<u64, Mine>,
@@ -81,7 +81,7 @@
 }
 
 fn majority(keepers: &[UnitName]) -> usize {
-    if planted(Plant::OneIsEnough) { 1 } else { keepers.len() / 2 + 1 }
+    if is_injected(InjectedFault::OneIsEnough) { 1 } else { keepers.len() / 2 + 1 }
 }
 
 /// What two keepers show of one record, taken together.
@@ -106,9 +106,9 @@
 }
 
 impl Owner {
-    pub fn new(me: UnitName, life: Life, seed: u64) -> Owner {
+    pub fn new(me: UnitName, incarnation: Incarnation, seed: u64) -> Owner {
         let chance = WyRand::new_seed(seed);
-        Owner { me, life, chance, count: 0, calls: BTreeMap::new(), by_count: BTreeMap::new() }
+        Owner { me, incarnation, chance, count: 0, calls: BTreeMap::new(), by_count: BTreeMap::new() }
     }
 
     /// Calls that have asked for something to be kept, or look.
@@ -117,10 +117,10 @@
     }
 
     fn id(&self, count: u64) -> RecordId {
-        RecordId { owner: self.me.clone(), life: self.life, count }
+        RecordId { owner: self.me.clone(), incarnation: self.incarnation, count }
     }
 
-    fn mine(&mut self, call: u64, work: Work, now: Moment) -> &mut Mine {
+    fn mine(&mut self, call: u64, work: Work, now: Timestamp) -> &mut Mine {
         let fresh = !self.calls.contains_key(&call);
         if fresh {
             self.count += 1;
@@ -143,7 +143,7 @@
 
     pub(crate) fn returned(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         call: u64,
         work: Work,
         left_ms: u64,
@@ -155,7 +155,7 @@
         self.look(now, call, view)
     }
 
-    fn look(&mut self, now: Moment, call: u64, view: &View) -> Vec<Step> {
+    fn look(&mut self, now: Timestamp, call: u64, view: &View) -> Vec<Step> {
         let Some(mine) = self.calls.get_mut(&call) else { return vec![] };
         mine.no += 1;
         let keepers = view.keepers(mine.work);
@@ -176,7 +176,7 @@
         silent.map(|keeper| Step::Say(keeper.clone(), word.clone())).collect()
     }
 
-    pub(crate) fn intend(&mut self, now: Moment, call: u64, attempt: Attempt, view: &View) -> Vec<Step> {
+    pub(crate) fn intend(&mut self, now: Timestamp, call: u64, attempt: Attempt, view: &View) -> Vec<Step> {
         let Attempt { work, host, ran, left_ms, latest } = attempt;
         let me = self.me.clone();
         let mine = self.mine(call, work, now);
@@ -198,7 +198,7 @@
         let verdicts = BTreeMap::new();
         let steps = keepers.iter().map(|keeper| Step::Say(keeper.clone(), Word::Keep(intent.clone())));
         let mut steps: Vec<Step> = steps.collect();
-        if planted(Plant::SentBeforeKept) {
+        if is_injected(InjectedFault::SentBeforeKept) {
             steps.push(Step::Go(call));
             return steps;
         }
@@ -232,7 +232,7 @@
         steps
     }
 
-    pub(crate) fn heard(&mut self, now: Moment, from: &UnitName, word: Word, view: &View) -> Vec<Step> {
+    pub(crate) fn heard(&mut self, now: Timestamp, from: &UnitName, word: Word, view: &View) -> Vec<Step> {
         match word {
             Word::Judged { id, no, verdict } => {
                 let Some(call) = self.call_of(&id) else { return vec![] };
@@ -260,17 +260,18 @@
     }
 
     fn call_of(&self, id: &RecordId) -> Option<u64> {
-        (id.owner == self.me && id.life == self.life).then(|| self.by_count.get(&id.count).copied())?
+        (id.owner == self.me && id.incarnation == self.incarnation)
+            .then(|| self.by_count.get(&id.count).copied())?
     }
 
-    fn judge(&mut self, now: Moment, call: u64, view: &View) -> Vec<Step> {
+    fn judge(&mut self, now: Timestamp, call: u64, view: &View) -> Vec<Step> {
         let Some(mine) = self.calls.get_mut(&call) else { return vec![] };
         let Some(asking) = &mine.asking else { return vec![] };
         let of = |verdict: Verdict| asking.verdicts.values().filter(|of| **of == verdict).count();
         let (kept, others, needed) = (of(Verdict::Kept), of(Verdict::Others), majority(&asking.keepers));
         let refused = others + of(Verdict::NotNow);
         let soon = now.ms_since(asking.since) <= SENDS_WITHIN_MS && now <= asking.latest;
-        let in_time = soon || planted(Plant::LateSend);
+        let in_time = soon || is_injected(InjectedFault::LateSend);
         if kept >= needed && in_time {
             mine.asking = None;
             return vec![Step::Go(call)];
@@ -293,7 +294,7 @@
         vec![]
     }
 
-    fn see(&mut self, now: Moment, call: u64, view: &View) -> Vec<Step> {
+    fn see(&mut self, now: Timestamp, call: u64, view: &View) -> Vec<Step> {
         let Some(mine) = self.calls.get_mut(&call) else { return vec![] };
         let Some(looking) = &mut mine.looking else { return vec![] };
         let needed = majority(&looking.keepers);
@@ -313,7 +314,7 @@
         }
         let is_over = |shown: &Shown| {
             let lost = view.term(&shown.id.owner) > shown.term && shown.age_ms >= LEFT_ALONE_MS;
-            shown.answered || shown.open_ms == 0 || lost || planted(Plant::OpenTaken)
+            shown.answered || shown.open_ms == 0 || lost || is_injected(InjectedFault::OpenTaken)
         };
         if !records.values().all(is_over) {
             let wait = LOOK_AGAIN_MS + self.chance.generate_range(0..LOOK_AGAIN_MS);
@@ -335,21 +336,21 @@
         let since = looking.since;
         let before = oldest.map(|shown| {
             // The keeper reckoned it after it was asked: it can only have been later.
-            let at = Moment(since.0.saturating_sub(shown.first.1 * 1_000_000));
-            Before { host: shown.first.0, at: if planted(Plant::WindowAnew) { now } else { at } }
+            let at = Timestamp(since.0.saturating_sub(shown.first.1 * 1_000_000));
+            Before { host: shown.first.0, at: if is_injected(InjectedFault::WindowAnew) { now } else { at } }
         });
         let over = records.into_values().map(|shown| (shown.id, shown.no)).collect();
         (mine.over, mine.before, mine.looking) = (over, before, None);
         vec![Step::Place(call, before)]
     }
 
-    pub(crate) fn tick(&mut self, now: Moment, view: &View) -> Vec<Step> {
+    pub(crate) fn tick(&mut self, now: Timestamp, view: &View) -> Vec<Step> {
         let (mut steps, mut again, mut give_up) = (Vec::new(), Vec::new(), Vec::new());
         let mut silent = Vec::new();
         for (call, mine) in &mut self.calls {
             if let Some(asking) = &mut mine.asking {
                 let late = now.ms_since(asking.since) > SENDS_WITHIN_MS || now >= asking.latest;
-                if late && !planted(Plant::LateSend) {
+                if late && !is_injected(InjectedFault::LateSend) {
                     mine.asking = None;
                     steps.push(Step::Unkept(*call));
                 } else if now.ms_since(asking.said) >= AGAIN_MS {
--- a/crates/takeover/tests/estates.rs
+++ b/crates/takeover/tests/estates.rs
@@ -4,12 +4,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::View;
 use glendeck_takeover::estate::{Do, Estates, Facts, Known, Said, keepers_of};
-use glendeck_takeover::plant::{Plant, plant};
+use glendeck_takeover::fault_injection::{InjectedFault, inject};
 use nanorand::{Rng, WyRand};
 use test_case::test_case;
 
@@ -38,7 +38,7 @@
 
 struct Node {
     estates: Option<Estates>,
-    life: u64,
+    incarnation: u64,
     since: u64,
     parting: bool,
     next_tell: u64,
@@ -75,7 +75,7 @@
 }
 
 fn view() -> View {
-    View { seats: (0..SEATS).map(name).collect(), hears: true, ..View::default() }
+    View { voter_slots: (0..SEATS).map(name).collect(), hears: true, ..View::default() }
 }
 
 /// Of which process it is, and the so-manieth that it said.
@@ -94,7 +94,7 @@
     fn new(seed: u64, noise: [u64; 2], faults: Vec<(u64, Fault)>) -> World {
         let fresh = |_| Node {
             estates: None,
-            life: 0,
+            incarnation: 0,
             since: 0,
             parting: false,
             next_tell: 0,
@@ -154,8 +154,8 @@
         self.events.insert(self.seq, event);
     }
 
-    fn moment(&self) -> Moment {
-        Moment(self.now * 1_000_000)
+    fn timestamp(&self) -> Timestamp {
+        Timestamp(self.now * 1_000_000)
     }
 
     fn break_rule(&mut self, text: String) {
@@ -167,11 +167,11 @@
         if self.nodes[at].estates.is_some() {
             return;
         }
-        let (moment, first) = (self.moment(), self.now + self.roll(1_000));
+        let (timestamp, first) = (self.timestamp(), self.now + self.roll(1_000));
         let node = &mut self.nodes[at];
-        node.life += 1;
-        let life = Life(node.life * 10 + at as u64);
-        node.estates = Some(Estates::new(moment, name(at), life));
+        node.incarnation += 1;
+        let incarnation = Incarnation(node.incarnation * 10 + at as u64);
+        node.estates = Some(Estates::new(timestamp, name(at), incarnation));
         (node.since, node.parting, node.next_tell) = (self.now, false, first);
         (node.facts, node.said) = (Facts::new(), 0);
     }
@@ -198,10 +198,12 @@
             self.now = at;
             match self.events.remove(&seq) {
                 Some(Event::Tick) => self.tick(),
-                Some(Event::Said(to, life, from, said)) if self.nodes[to].life == life => {
-                    let moment = self.moment();
+                Some(Event::Said(to, incarnation, from, said))
+                    if self.nodes[to].incarnation == incarnation =>
+                {
+                    let timestamp = self.timestamp();
                     let Some(estates) = &mut self.nodes[to].estates else { continue };
-                    let acts = estates.heard(moment, &name(from), said, &view());
+                    let acts = estates.heard(timestamp, &name(from), said, &view());
                     self.act(to, acts);
                 }
                 Some(Event::Fault(fault)) => self.strike(fault),
@@ -216,7 +218,7 @@
             Fault::Kill(at) => {
                 let node = &mut self.nodes[at];
                 if node.estates.take().is_some() && !node.parting && self.now > node.since + 7_000 {
-                    self.kills.push((self.now, at, node.life));
+                    self.kills.push((self.now, at, node.incarnation));
                 }
             }
             Fault::Start(at) => self.start(at),
@@ -228,7 +230,7 @@
     }
 
     fn tick(&mut self) {
-        let moment = self.moment();
+        let timestamp = self.timestamp();
         for at in 0..NODES {
             let (linked, tells) = (self.links(at), self.now >= self.nodes[at].next_tell);
             if self.nodes[at].estates.is_none() {
@@ -240,11 +242,11 @@
                 let node = &mut self.nodes[at];
                 node.next_tell = self.now + 1_000;
                 if let Some(estates) = &mut node.estates {
-                    acts = estates.tell(moment, node.facts.clone(), node.parting, &view(), &linked);
+                    acts = estates.tell(timestamp, node.facts.clone(), node.parting, &view(), &linked);
                 }
             }
             if let Some(estates) = &mut self.nodes[at].estates {
-                acts.extend(estates.tick(moment, &linked));
+                acts.extend(estates.tick(timestamp, &linked));
             }
             self.act(at, acts);
         }
@@ -255,21 +257,22 @@
 
     fn learn(&mut self, at: usize) {
         for _ in 0..self.roll(4) {
-            let (life, which, load) = (self.nodes[at].life, self.roll(20), self.roll(900) as u32);
+            let (incarnation, which, load) =
+                (self.nodes[at].incarnation, self.roll(20), self.roll(900) as u32);
             let known = match self.roll(2) {
-                0 => Known::Home { group: life * 1_000 + which, host: which % 5 },
-                _ => Known::Load { subject: life * 1_000 + which },
+                0 => Known::Home { group: incarnation * 1_000 + which, host: which % 5 },
+                _ => Known::Load { subject: incarnation * 1_000 + which },
             };
             let gone = self.roll(3) == 0;
             let facts = &mut self.nodes[at].facts;
             let _ = if gone { facts.remove(&known) } else { facts.insert(known, load) };
         }
         let node = &mut self.nodes[at];
-        let marked = |life, host| Known::Home { group: life * 1_000 + MARK, host };
-        node.facts.remove(&marked(node.life, node.said));
+        let marked = |incarnation, host| Known::Home { group: incarnation * 1_000 + MARK, host };
+        node.facts.remove(&marked(node.incarnation, node.said));
         node.said += 1;
-        node.facts.insert(marked(node.life, node.said), 1);
-        self.history.insert((at, node.life, node.said), node.facts.clone());
+        node.facts.insert(marked(node.incarnation, node.said), 1);
+        self.history.insert((at, node.incarnation, node.said), node.facts.clone());
     }
 
     fn act(&mut self, at: usize, acts: Vec<Do>) {
@@ -279,13 +282,13 @@
                 Do::Expect(of, facts) => {
                     let of = number(&of);
                     let facts: Facts = facts.into_iter().collect();
-                    let Some((life, said)) = mark(facts.keys().copied()) else {
+                    let Some((incarnation, said)) = mark(facts.keys().copied()) else {
                         self.break_rule(format!("n{at} is told of n{of} what nobody said"));
                         continue;
                     };
                     self.heard += 1;
                     self.check_whole(at, of, &facts);
-                    let mine = (at, self.nodes[at].life, of, life);
+                    let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     if self.told.get(&mine).is_some_and(|before| self.now < before + 4_000) {
                         self.break_rule(format!("n{at} is told twice of n{of}, said {said}"));
                     }
@@ -301,13 +304,13 @@
         if !self.linked(from, to) || self.now < cut.0 {
             return;
         }
-        let (ms, life) = (1 + self.roll(5), self.nodes[to].life);
+        let (ms, incarnation) = (1 + self.roll(5), self.nodes[to].incarnation);
         if self.roll(100) < twice {
             let later = ms + self.roll(2_500);
-            self.at(later, Event::Said(to, life, from, said.clone()));
+            self.at(later, Event::Said(to, incarnation, from, said.clone()));
         }
         if self.roll(100) >= lost {
-            self.at(ms, Event::Said(to, life, from, said));
+            self.at(ms, Event::Said(to, incarnation, from, said));
         }
     }
 
@@ -315,7 +318,8 @@
 
     /// It is what one process knew at one moment, whole.
     fn check_whole(&mut self, at: usize, of: usize, facts: &Facts) {
-        let was = mark(facts.keys().copied()).and_then(|(life, said)| self.history.get(&(of, life, said)));
+        let was = mark(facts.keys().copied())
+            .and_then(|(incarnation, said)| self.history.get(&(of, incarnation, said)));
         if was != Some(facts) {
             self.break_rule(format!("n{at} has of n{of} what it never knew at one moment: {facts:?}"));
         }
@@ -330,8 +334,8 @@
                     self.check_whole(at, of, facts);
                 }
                 let had = kept.and_then(|facts| mark(facts.keys().copied()));
-                if let Some((life, said)) = had {
-                    let mine = (at, self.nodes[at].life, of, life);
+                if let Some((incarnation, said)) = had {
+                    let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     let before = self.marks.insert(mine, said);
                     if before.is_some_and(|before| before > said) {
                         self.break_rule(format!("n{at} goes back from {before:?} to {said} of n{of}"));
@@ -343,9 +347,15 @@
                     && self.cuts.get(&pair(at, of)).is_none_or(|cut| self.now > cut.0.max(cut.1) + 7_000);
                 let keeps = keepers_of(&view(), &name(of)).contains(&name(at));
                 let well = self.noise == [0, 0] && quiet && keeps && other.estates.is_some();
-                if well && had.is_none_or(|(life, said)| life != other.life || said + 2 < other.said) {
-                    let (life, said) = (other.life, other.said);
-                    self.break_rule(format!("n{at} has {had:?} of n{of}, whose process {life} said {said}"));
+                if well
+                    && had.is_none_or(|(incarnation, said)| {
+                        incarnation != other.incarnation || said + 2 < other.said
+                    })
+                {
+                    let (incarnation, said) = (other.incarnation, other.said);
+                    self.break_rule(format!(
+                        "n{at} has {had:?} of n{of}, whose process {incarnation} said {said}"
+                    ));
                 }
             }
         }
@@ -356,11 +366,11 @@
         let due: Vec<_> = self.kills.iter().copied().filter(|kill| self.now >= kill.0 + 600).collect();
         self.kills.retain(|kill| self.now < kill.0 + 600);
         let quiet = |since: u64, at: u64| since + 8_000 < at;
-        for (killed, of, life) in due {
+        for (killed, of, incarnation) in due {
             // Back within that, or an uneasy time: nothing is asked.
             let uneasy = self.noise != [0, 0]
                 || self.nodes[of].estates.is_some()
-                || self.nodes[of].life != life
+                || self.nodes[of].incarnation != incarnation
                 || self.cuts.values().any(|cut| !quiet(cut.0.max(cut.1), killed));
             let keeper = keepers_of(&view(), &name(of))
                 .iter()
@@ -370,7 +380,10 @@
             for at in (0..NODES).filter(|at| *at != of) {
                 let node = &self.nodes[at];
                 let there = node.estates.is_some() && quiet(node.since, killed);
-                let told = self.told.get(&(at, node.life, of, life)).is_some_and(|told| *told >= killed);
+                let told = self
+                    .told
+                    .get(&(at, node.incarnation, of, incarnation))
+                    .is_some_and(|told| *told >= killed);
                 if there && !told {
                     self.break_rule(format!(
                         "n{at} is not told of n{of}, killed at {killed}, which n{keeper} keeps"
@@ -423,16 +436,16 @@
     assert!(heard > 1_000);
 }
 
-#[test_case(Plant::AnySince; "changes taken in whatever they changed from")]
-#[test_case(Plant::LivesMixed; "two processes taken for one")]
-#[test_case(Plant::NeverWhole; "a keeper that missed something is not told all")]
-#[test_case(Plant::LateCounts; "a late word undoes a later one")]
-#[test_case(Plant::ToldTwice; "both keepers' words count")]
-#[test_case(Plant::KeptForever; "what is kept never goes")]
-fn planted(fault: Plant) {
-    plant(Some(fault));
+#[test_case(InjectedFault::AnySince; "changes taken in whatever they changed from")]
+#[test_case(InjectedFault::IncarnationsMixed; "two processes taken for one")]
+#[test_case(InjectedFault::NeverWhole; "a keeper that missed something is not told all")]
+#[test_case(InjectedFault::LateCounts; "a late word undoes a later one")]
+#[test_case(InjectedFault::ToldTwice; "both keepers' words count")]
+#[test_case(InjectedFault::KeptForever; "what is kept never goes")]
+fn is_injected(fault: InjectedFault) {
+    inject(Some(fault));
     let caught = (0..400).find_map(|seed| play(seed).broken.map(|why| (seed, why)));
-    plant(None);
+    inject(None);
     println!("{fault:?}: {caught:?}");
     assert!(caught.is_some(), "{fault:?} is not caught");
 }
--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
-use glendeck_takeover::plant::{Plant, plant};
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
+use glendeck_takeover::fault_injection::{InjectedFault, inject};
 use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
 use stateright::{Checker, Model, Property};
 use test_case::test_case;
@@ -66,13 +66,13 @@
         )
     }
 
-    fn moment(&self) -> Moment {
-        Moment::ms(self.now)
+    fn timestamp(&self) -> Timestamp {
+        Timestamp::ms(self.now)
     }
 
     fn view(&self, at: usize) -> View {
         View {
-            seats: KEEPERS.map(name).to_vec(),
+            voter_slots: KEEPERS.map(name).to_vec(),
             version: 0,
             hears: true,
             terms: [(name(A), self.heard[at])].into(),
@@ -81,7 +81,7 @@
 
     fn act(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at] else { return };
-        let now = Moment::ms(self.now);
+        let now = Timestamp::ms(self.now);
         for step in takeover.take_all() {
             match step {
                 Step::Say(to, word) => {
@@ -107,7 +107,7 @@
     }
 
     fn intend(&mut self, at: usize) {
-        let now = self.moment();
+        let now = self.timestamp();
         let attempt =
             Attempt { work: Work(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
         if let Some(takeover) = &mut self.nodes[at] {
@@ -119,7 +119,7 @@
     fn answer(&mut self, at: usize, what: &'static str) {
         let Some(ran) = self.in_hand.remove(&at) else { return };
         self.answered.push((at, what));
-        let now = self.moment();
+        let now = self.timestamp();
         let outcome = if ran { Outcome::Answered } else { Outcome::NeverRan };
         if let Some(takeover) = &mut self.nodes[at] {
             takeover.ended(now, CALL, outcome);
@@ -165,7 +165,7 @@
 }
 
 struct Core {
-    fault: Option<Plant>,
+    fault: Option<InjectedFault>,
     steps_of_time: u64,
     losses: u32,
     doubles: u32,
@@ -178,11 +178,12 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<Spot> {
-        plant(self.fault);
+        inject(self.fault);
         // Keepers have been there for long.
-        let start = Moment::ms(90_000_000);
-        let nodes = (0..4)
-            .map(|at| Some(Takeover::new(start, name(at), Life(at as u64 + 1), at as u64, RECALL, LONGEST)));
+        let start = Timestamp::ms(90_000_000);
+        let nodes = (0..4).map(|at| {
+            Some(Takeover::new(start, name(at), Incarnation(at as u64 + 1), at as u64, RECALL, LONGEST))
+        });
         let mut spot = Spot {
             now: 90_060_000,
             nodes: nodes.collect(),
@@ -207,7 +208,7 @@
     }
 
     fn actions(&self, spot: &Spot, actions: &mut Vec<Event>) {
-        plant(self.fault);
+        inject(self.fault);
         for at in 0..spot.net.len() {
             // The same word from the same node to the same is the same event.
             if spot.net[..at].contains(&spot.net[at]) {
@@ -244,9 +245,9 @@
     }
 
     fn next_state(&self, last: &Spot, event: Event) -> Option<Spot> {
-        plant(self.fault);
+        inject(self.fault);
         let mut spot = last.clone();
-        let now = spot.moment();
+        let now = spot.timestamp();
         match event {
             Event::Arrives(at) => {
                 let (from, to, word) = spot.net.remove(at);
@@ -266,7 +267,7 @@
             }
             Event::Passes => {
                 spot.now += PASSES;
-                let now = spot.moment();
+                let now = spot.timestamp();
                 for at in 0..4 {
                     if let Some(takeover) = &mut spot.nodes[at] {
                         takeover.tick(now);
@@ -288,8 +289,8 @@
                 spot.act(B);
             }
             Event::Forgets(at) => {
-                let life = Life(100 + at as u64);
-                let mut fresh = Takeover::new(now, name(at), life, at as u64, RECALL, LONGEST);
+                let incarnation = Incarnation(100 + at as u64);
+                let mut fresh = Takeover::new(now, name(at), incarnation, at as u64, RECALL, LONGEST);
                 fresh.agreed(now, spot.view(at));
                 spot.nodes[at] = Some(fresh);
                 spot.forgot += 1;
@@ -321,7 +322,7 @@
 
 /// All states there are, and whether a breach is among them; depth first, so that few are held at a time.
 fn states(core: Core) -> (usize, bool) {
-    // One thread: faults are planted a thread.
+    // One thread: faults are injected a thread.
     let most = std::env::var("STATES").ok().and_then(|most| most.parse().ok()).unwrap_or(2_000_000);
     let checker = core.checker().target_state_count(most).spawn_dfs().join();
     let (states, breach) = (checker.unique_state_count(), checker.discovery("once").is_some());
@@ -342,12 +343,12 @@
     assert!(!breach && states > 500, "{states} states, breach {breach}");
 }
 
-#[test_case(Plant::SentBeforeKept, SOUND)]
-#[test_case(Plant::OneIsEnough, SOUND)]
-#[test_case(Plant::RaceKept, SOUND)]
-#[test_case(Plant::ForgetfulAnswers, Core { forgets: 2, ..SOUND })]
-fn without_its_guards_it_runs_twice(fault: Plant, core: Core) {
+#[test_case(InjectedFault::SentBeforeKept, SOUND)]
+#[test_case(InjectedFault::OneIsEnough, SOUND)]
+#[test_case(InjectedFault::RaceKept, SOUND)]
+#[test_case(InjectedFault::ForgetfulAnswers, Core { forgets: 2, ..SOUND })]
+fn without_its_guards_it_runs_twice(fault: InjectedFault, core: Core) {
     let breach = states(Core { fault: Some(fault), ..core }).1;
-    plant(None);
+    inject(None);
     assert!(breach, "{fault:?}");
 }
--- a/crates/takeover/tests/schedules.rs
+++ b/crates/takeover/tests/schedules.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use glendeck_takeover::plant::{Plant, plant};
+use glendeck_takeover::fault_injection::{InjectedFault, inject};
 use test_case::test_case;
 use world::{Day, World};
 
@@ -71,26 +71,26 @@
     assert!(all.over > 0 && all.raced > 0 && all.released > 0 && all.placed_again > 0, "{all:?}");
 }
 
-/// Each planted fault is caught on a drawn day.
-#[test_case(Plant::SentBeforeKept; "a leg that goes before its intent is kept")]
-#[test_case(Plant::OneIsEnough; "one keeper's word is enough")]
-#[test_case(Plant::LateSend; "what was kept long ago lets a leg go")]
-#[test_case(Plant::NotFenced; "intents of older terms are taken")]
-#[test_case(Plant::DroppedEarly; "a record dropped with its answer")]
-#[test_case(Plant::ForgetfulAnswers; "a keeper that began just now answers for repeats")]
-#[test_case(Plant::RaceKept; "two that come at once are both taken")]
-#[test_case(Plant::OpenTaken; "a record taken over while it is open")]
-#[test_case(Plant::WindowAnew; "a window that counts from the repeat")]
-fn planted(fault: Plant) {
+/// Each injected fault is caught on a drawn day.
+#[test_case(InjectedFault::SentBeforeKept; "a leg that goes before its intent is kept")]
+#[test_case(InjectedFault::OneIsEnough; "one keeper's word is enough")]
+#[test_case(InjectedFault::LateSend; "what was kept long ago lets a leg go")]
+#[test_case(InjectedFault::NotFenced; "intents of older terms are taken")]
+#[test_case(InjectedFault::DroppedEarly; "a record dropped with its answer")]
+#[test_case(InjectedFault::ForgetfulAnswers; "a keeper that began just now answers for repeats")]
+#[test_case(InjectedFault::RaceKept; "two that come at once are both taken")]
+#[test_case(InjectedFault::OpenTaken; "a record taken over while it is open")]
+#[test_case(InjectedFault::WindowAnew; "a window that counts from the repeat")]
+fn is_injected(fault: InjectedFault) {
     let caught = std::sync::atomic::AtomicBool::new(false);
     let found = in_parallel(0, 6_000, |seed| {
         if caught.load(std::sync::atomic::Ordering::Relaxed) {
             return None;
         }
-        plant(Some(fault));
+        inject(Some(fault));
         // What is done twice counts here, not what is late.
         let broken = play(seed, false).broken.filter(|why| !why.contains("parked"));
-        plant(None);
+        inject(None);
         caught.fetch_or(broken.is_some(), std::sync::atomic::Ordering::Relaxed);
         broken
     });
--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -3,18 +3,18 @@
 
 use std::fmt::Write as _;
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::estate::{Known, Said};
 use glendeck_takeover::{Intent, Left, Outcome, RecordId, Shown, Takeover, Verdict, View, Word, Work};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
-const START: Moment = Moment(86_400_000_000_000);
+const START: Timestamp = Timestamp(86_400_000_000_000);
 
 fn id(count: u64) -> RecordId {
-    RecordId { owner: UnitName::from("a"), life: Life(77), count }
+    RecordId { owner: UnitName::from("a"), incarnation: Incarnation(77), count }
 }
 
 fn intent(repeat: bool) -> Intent {
@@ -56,17 +56,21 @@
         (
             "tell",
             Said::Tell {
-                life: Life(77),
+                incarnation: Incarnation(77),
                 no: 2,
                 since: Some(1),
                 changes: vec![(home, Some(1)), (load, None)],
                 parting: true,
             },
         ),
-        ("behind", Said::Behind { life: Life(77) }),
+        ("behind", Said::Behind { incarnation: Incarnation(77) }),
         (
             "gone",
-            Said::Gone { of: UnitName::from("a"), life: Life(77), facts: vec![(home, 1), (load, 250_000)] },
+            Said::Gone {
+                of: UnitName::from("a"),
+                incarnation: Incarnation(77),
+                facts: vec![(home, 1), (load, 250_000)],
+            },
         ),
     ]
 }
@@ -74,9 +78,9 @@
 /// What a keeper leaves that keeps two records, one of them answered.
 fn left() -> Left {
     let me = UnitName::from("k");
-    let mut takeover = Takeover::new(START, me.clone(), Life(9), 1, 30_000, 3_000);
-    let seats = ["k", "l", "m"].map(UnitName::from).to_vec();
-    takeover.agreed(START, View { seats, version: 0, hears: true, ..View::default() });
+    let mut takeover = Takeover::new(START, me.clone(), Incarnation(9), 1, 30_000, 3_000);
+    let voter_slots = ["k", "l", "m"].map(UnitName::from).to_vec();
+    takeover.agreed(START, View { voter_slots, version: 0, hears: true, ..View::default() });
     let owner = UnitName::from("a");
     let later = START.plus_ms(100);
     let second = Intent { id: id(4), work: Work(7), term: 0, version: 0, ..intent(false) };
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -3,9 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use glendeck_fleet::Moment;
-use glendeck_fleet::charter::UnitName;
-use glendeck_fleet::state::Life;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::{Attempt, Before, Outcome, Step, Takeover, Word, Work};
 use nanorand::{Rng, WyRand};
 
@@ -191,14 +191,14 @@
     guard: u64,
     attempts: u32,
     before: Option<Before>,
-    ran: Option<(u64, Moment)>,
+    ran: Option<(u64, Timestamp)>,
     /// The host of the attempt that is to go or is out; whether it is out.
     out: Option<(u64, bool)>,
 }
 
 struct Node {
     takeover: Option<Takeover>,
-    life: u64,
+    incarnation: u64,
     stopped: bool,
     held: Vec<Event>,
     calls: BTreeMap<u64, InHand>,
@@ -291,7 +291,7 @@
         for at in 0..NODES {
             world.nodes.push(Node {
                 takeover: None,
-                life: 0,
+                incarnation: 0,
                 stopped: false,
                 held: vec![],
                 calls: BTreeMap::new(),
@@ -376,13 +376,13 @@
     }
 
     /// What a node's own clock shows. Clocks are apart by hours, and none goes right.
-    fn moment(&self, at: usize) -> Moment {
+    fn timestamp(&self, at: usize) -> Timestamp {
         self.then(at, self.now)
     }
 
-    fn then(&self, at: usize, ms: u64) -> Moment {
+    fn then(&self, at: usize, ms: u64) -> Timestamp {
         let (began, rate) = self.nodes[at].clock;
-        Moment(began + ms * rate * 1_000)
+        Timestamp(began + ms * rate * 1_000)
     }
 
     fn start(&mut self, at: usize) {
@@ -391,13 +391,13 @@
         }
         let seed = self.roll(1 << 40);
         self.nodes[at].clock = ((90_000_000 + self.roll(20_000_000)) * 1_000_000, 985 + self.roll(31));
-        let moment = self.moment(at);
+        let timestamp = self.timestamp(at);
         let node = &mut self.nodes[at];
-        node.life += 1;
-        let life = Life(node.life * 10 + at as u64);
-        let mut takeover = Takeover::new(moment, name(at), life, seed, RECALL, 3_000);
+        node.incarnation += 1;
+        let incarnation = Incarnation(node.incarnation * 10 + at as u64);
+        let mut takeover = Takeover::new(timestamp, name(at), incarnation, seed, RECALL, 3_000);
         if let Some(left) = node.left.take() {
-            takeover.restore(moment, left);
+            takeover.restore(timestamp, left);
         }
         node.takeover = Some(takeover);
         (node.stopped, node.held) = (false, vec![]);
@@ -421,9 +421,9 @@
         let lead = (0..SEATS).find(|at| {
             self.runs(*at) && (0..SEATS).filter(|of| self.runs(*of) && both(*at, *of)).count() * 2 > SEATS
         });
-        let reach: Vec<bool> =
+        let log_position: Vec<bool> =
             (0..NODES).map(|at| lead.is_some_and(|lead| self.runs(at) && both(at, lead))).collect();
-        for (at, reaches) in reach.iter().copied().enumerate() {
+        for (at, reaches) in log_position.iter().copied().enumerate() {
             let now = self.now;
             let node = &mut self.nodes[at];
             if lead.is_some() && !reaches {
@@ -439,8 +439,8 @@
             }
         }
         let terms: BTreeMap<UnitName, u64> = (0..NODES).map(|at| (name(at), self.nodes[at].term)).collect();
-        for (at, reaches) in reach.into_iter().enumerate() {
-            let moment = self.moment(at);
+        for (at, reaches) in log_position.into_iter().enumerate() {
+            let timestamp = self.timestamp(at);
             let hears = self.now < self.nodes[at].connected + HEARS;
             if !self.runs(at) {
                 continue;
@@ -450,25 +450,27 @@
             let mut view = takeover.view().clone();
             view.hears = hears;
             if reaches {
-                view.seats = (0..SEATS).map(name).collect();
+                view.voter_slots = (0..SEATS).map(name).collect();
                 view.terms = terms.clone();
             }
-            takeover.agreed(moment, view);
-            takeover.tick(moment);
+            takeover.agreed(timestamp, view);
+            takeover.tick(timestamp);
             self.act(at);
         }
     }
 
     fn happen(&mut self, event: Event) {
         let whose = match &event {
-            Event::Word(to, life, ..) => Some((*to, *life)),
-            Event::FromHost(at, life, ..) | Event::AttemptDeadline(at, life, ..) => Some((*at, *life)),
-            Event::Read(at, life, _) | Event::Left(at, life, _) => Some((*at, *life)),
+            Event::Word(to, incarnation, ..) => Some((*to, *incarnation)),
+            Event::FromHost(at, incarnation, ..) | Event::AttemptDeadline(at, incarnation, ..) => {
+                Some((*at, *incarnation))
+            }
+            Event::Read(at, incarnation, _) | Event::Left(at, incarnation, _) => Some((*at, *incarnation)),
             _ => None,
         };
-        if let Some((at, life)) = whose {
+        if let Some((at, incarnation)) = whose {
             let node = &mut self.nodes[at];
-            if node.life != life || node.takeover.is_none() {
+            if node.incarnation != incarnation || node.takeover.is_none() {
                 return;
             }
             if node.stopped {
@@ -483,24 +485,26 @@
             }
             Event::Come(node, work, time) => self.come(node, work, time),
             Event::Word(to, _, from, word) => {
-                let moment = self.moment(to);
+                let timestamp = self.timestamp(to);
                 if let Some(takeover) = &mut self.nodes[to].takeover {
-                    takeover.heard(moment, &name(from), word);
+                    takeover.heard(timestamp, &name(from), word);
                 }
                 self.act(to);
             }
             Event::Read(node, _, call) => self.read(node, call),
             Event::Left(node, _, call) => self.end(node, call),
-            Event::AtHost(node, life, call, attempt, host) => self.at_host(node, life, call, attempt, host),
+            Event::AtHost(node, incarnation, call, attempt, host) => {
+                self.at_host(node, incarnation, call, attempt, host)
+            }
             Event::FromHost(at, _, call, attempt, said) => self.host_said(at, call, attempt, said),
             Event::AttemptDeadline(at, _, call, attempt) => {
-                let moment = self.moment(at);
+                let timestamp = self.timestamp(at);
                 let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
                 if held.attempts == attempt
                     && let Some((host, true)) = held.out
                 {
                     held.out = None;
-                    held.ran.get_or_insert((host, moment_back(moment, LEG)));
+                    held.ran.get_or_insert((host, moment_back(timestamp, LEG)));
                     self.place(at, call);
                 }
             }
@@ -534,14 +538,14 @@
                 if !self.runs(at) {
                     return;
                 }
-                let moment = self.moment(at);
+                let timestamp = self.timestamp(at);
                 let calls: Vec<u64> = self.nodes[at].calls.keys().copied().collect();
                 for call in calls {
                     let Some(held) = self.nodes[at].calls.get(&call) else { continue };
                     let ran = held.out.is_some() || held.ran.is_some() || held.before.is_some();
                     self.answer(at, call, if ran { Heard::Released } else { Heard::Busy });
                 }
-                let left = self.nodes[at].takeover.as_mut().map(|takeover| takeover.leave(moment));
+                let left = self.nodes[at].takeover.as_mut().map(|takeover| takeover.leave(timestamp));
                 self.nodes[at].left = left;
                 self.strike(Fault::Kill(at));
             }
@@ -575,21 +579,21 @@
         self.at(patience, Event::Patience(work, time));
         let held = &mut self.nodes[node];
         held.next += 1;
-        let (call, guard, life) = (held.next, u64::MAX / 2, held.life);
+        let (call, guard, incarnation) = (held.next, u64::MAX / 2, held.incarnation);
         held.calls
             .insert(call, InHand { work, time, guard, attempts: 0, before: None, ran: None, out: None });
-        self.at(0, Event::Read(node, life, call));
+        self.at(0, Event::Read(node, incarnation, call));
     }
 
     fn read(&mut self, node: usize, call: u64) {
-        let (now, moment) = (self.now, self.moment(node));
+        let (now, timestamp) = (self.now, self.timestamp(node));
         let Some(held) = self.nodes[node].calls.get_mut(&call) else { return };
         // Its time counts from when it is read, as far as the node knows.
         held.guard = now + GUARD;
         let of = Work(held.work as u64);
         if held.time > 0 {
             if let Some(takeover) = &mut self.nodes[node].takeover {
-                takeover.returned(moment, call, of, GUARD);
+                takeover.returned(timestamp, call, of, GUARD);
             }
             self.act(node);
         } else {
@@ -604,9 +608,9 @@
         else {
             return;
         };
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let unseen = if self.day.impatient > 0 { self.roll(2_500) } else { 0 };
-        self.at(unseen, Event::Left(node, life, call));
+        self.at(unseen, Event::Left(node, incarnation, call));
     }
 
     fn come_again(&mut self, work: usize) {
@@ -672,9 +676,9 @@
         let Some(held) = self.nodes[at].calls.remove(&call) else { return };
         let ran = held.ran.is_some() || matches!(held.out, Some((_, true)));
         let outcome = if ran { Outcome::Answered } else { Outcome::NeverRan };
-        let moment = self.moment(at);
+        let timestamp = self.timestamp(at);
         if let Some(takeover) = &mut self.nodes[at].takeover {
-            takeover.ended(moment, call, outcome);
+            takeover.ended(timestamp, call, outcome);
         }
         self.act(at);
     }
@@ -687,7 +691,7 @@
         let (own_ran, idempotency) = (held.ran, self.works[work].idempotency);
         let assured = if first.is_none() { Heard::Busy } else { Heard::Released };
         // A thirtieth is kept back: two clocks have part in it, and each may be slow by a 65th.
-        let recalled = |(_, sent): (u64, Moment)| self.moment(at).ms_since(sent) + 100 < WINDOW;
+        let recalled = |(_, sent): (u64, Timestamp)| self.timestamp(at).ms_since(sent) + 100 < WINDOW;
         let may = match (idempotency, first) {
             (_, None) => true,
             (Idempotency::NonIdempotent, Some(_)) => false,
@@ -703,12 +707,12 @@
         let latest = first.map_or(until, |(_, sent)| until.min(sent.plus_ms(WINDOW - 100)));
         let attempt =
             Attempt { work: Work(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
-        let moment = self.moment(at);
+        let timestamp = self.timestamp(at);
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = Some((host, false));
         }
         if let Some(takeover) = &mut self.nodes[at].takeover {
-            takeover.intend(moment, call, attempt);
+            takeover.intend(timestamp, call, attempt);
         }
         self.act(at);
     }
@@ -731,9 +735,9 @@
                     let Some(held) = self.nodes[at].calls.get_mut(&call) else { continue };
                     held.out = None;
                     let (work, left) = (held.work, held.guard.saturating_sub(self.now));
-                    let moment = self.moment(at);
+                    let timestamp = self.timestamp(at);
                     if let Some(takeover) = &mut self.nodes[at].takeover {
-                        takeover.returned(moment, call, Work(work as u64), left);
+                        takeover.returned(timestamp, call, Work(work as u64), left);
                     }
                     self.act(at);
                 }
@@ -749,7 +753,7 @@
     }
 
     fn go(&mut self, at: usize, call: u64) {
-        let (life, lost) = (self.nodes[at].life, self.nodes[at].lost);
+        let (incarnation, lost) = (self.nodes[at].incarnation, self.nodes[at].lost);
         let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
         let Some((host, false)) = held.out else { return };
         held.out = Some((host, true));
@@ -769,8 +773,8 @@
             self.break_rule(format!("w{work} has a second leg out, from n{at}"));
         }
         let ms = 1 + self.roll(20);
-        self.at(ms, Event::AtHost(at, life, call, attempt, host));
-        self.at(limit, Event::AttemptDeadline(at, life, call, attempt));
+        self.at(ms, Event::AtHost(at, incarnation, call, attempt, host));
+        self.at(limit, Event::AttemptDeadline(at, incarnation, call, attempt));
     }
 
     fn send(&mut self, from: usize, to: usize, word: Word) {
@@ -781,7 +785,7 @@
             Link::Slow => 80 + self.roll(400),
             Link::Up => 1 + self.roll(5),
         };
-        let life = self.nodes[to].life;
+        let incarnation = self.nodes[to].incarnation;
         let (damaged, sums) = self.damaged;
         let word = match damaged > 0 && self.roll(100) < damaged {
             true if sums => return,
@@ -793,10 +797,10 @@
         };
         if self.roll(100) < twice {
             let later = ms + self.roll(1_500);
-            self.at(later, Event::Word(to, life, from, word.clone()));
+            self.at(later, Event::Word(to, incarnation, from, word.clone()));
         }
         if self.roll(100) >= lost {
-            self.at(ms, Event::Word(to, life, from, word));
+            self.at(ms, Event::Word(to, incarnation, from, word));
         }
     }
 
@@ -813,16 +817,16 @@
 
     // Hosts.
 
-    fn at_host(&mut self, node: usize, life: u64, call: u64, attempt: u32, host: u64) {
+    fn at_host(&mut self, node: usize, incarnation: u64, call: u64, attempt: u32, host: u64) {
         // An attempt that is on its way arrives, whatever has become of its node; its work is known by the call.
-        let Some(work) = self.work_of(node, life, call) else { return };
+        let Some(work) = self.work_of(node, incarnation, call) else { return };
         let [busy, silent, late, fails] = self.day.ways;
         let way = self.roll(100);
         let soon = 5 + self.roll(55);
         if way < busy {
             // Some only after a while in a queue.
             let ms = if self.roll(2) == 0 { soon } else { 300 + self.roll(LEG - 310) };
-            return self.at(ms, Event::FromHost(node, life, call, attempt, Said::Busy));
+            return self.at(ms, Event::FromHost(node, incarnation, call, attempt, Said::Busy));
         }
         self.run_at(host, work);
         let (ms, said) = if way < busy + silent {
@@ -834,13 +838,13 @@
         } else {
             (soon, Said::Up)
         };
-        self.at(ms, Event::FromHost(node, life, call, attempt, said));
+        self.at(ms, Event::FromHost(node, incarnation, call, attempt, said));
     }
 
-    fn work_of(&self, node: usize, life: u64, call: u64) -> Option<usize> {
+    fn work_of(&self, node: usize, incarnation: u64, call: u64) -> Option<usize> {
         let of = &self.nodes[node];
         // Gone with its process: the attempt was cut off on its way, or has arrived. Here it was cut off.
-        (of.life == life).then(|| of.calls.get(&call).map(|held| held.work))?
+        (of.incarnation == incarnation).then(|| of.calls.get(&call).map(|held| held.work))?
     }
 
     fn run_at(&mut self, host: u64, work: usize) {
@@ -858,13 +862,13 @@
     }
 
     fn host_said(&mut self, at: usize, call: u64, attempt: u32, said: Said) {
-        let moment = self.moment(at);
+        let timestamp = self.timestamp(at);
         let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
         let Some((host, true)) = held.out.filter(|_| held.attempts == attempt) else { return };
         match said {
             Said::Up => return self.answer(at, call, Heard::Up),
             Said::Busy => {}
-            Said::Error => drop(held.ran.get_or_insert((host, moment_back(moment, 100)))),
+            Said::Error => drop(held.ran.get_or_insert((host, moment_back(timestamp, 100)))),
         }
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = None;
@@ -888,6 +892,6 @@
     }
 }
 
-fn moment_back(moment: Moment, ms: u64) -> Moment {
-    Moment(moment.0.saturating_sub(ms * 1_000_000))
+fn moment_back(timestamp: Timestamp, ms: u64) -> Timestamp {
+    Timestamp(timestamp.0.saturating_sub(ms * 1_000_000))
 }
