--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -87,7 +87,7 @@
     ease_every: Span,
     easing: bool,
     pub work: Option<crate::work::Work>,
-    pub estate: Option<crate::estate::Estate>,
+    pub warm_state: Option<crate::warm_state::WarmState>,
 }
 
 impl Membership {
@@ -191,9 +191,9 @@
                     longest_ms,
                 )
             }),
-            estate: settings.policy.work.as_ref().map(|_| {
+            warm_state: settings.policy.work.as_ref().map(|_| {
                 // Nothing is known before the first list.
-                crate::estate::Estate::new(self.now, start, name.clone(), incarnation)
+                crate::warm_state::WarmState::new(self.now, start, name.clone(), incarnation)
             }),
             most_links: 2 * voters + if is_voter { 2 * settings.policy.units.len() } else { 0 },
         }));
@@ -330,7 +330,7 @@
         let node_status = self.node_status();
         self.tell_fleet(|fleet, now| fleet.tick(now, node_status));
         self.work_tick();
-        self.estate_tick();
+        self.warm_state_tick();
         self.ready_now();
     }
 
@@ -571,8 +571,8 @@
         if let Some(work) = &membership.work {
             status["work"] = work.figures(self.timestamp());
         }
-        if let Some(estate) = &membership.estate {
-            status["estates"] = estate.figures();
+        if let Some(warm_state) = &membership.warm_state {
+            status["estates"] = warm_state.figures();
         }
         status
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,6 @@
 mod config;
 mod conn;
 mod deadlines;
-mod estate;
 mod figures;
 mod fleet;
 mod handover;
@@ -17,6 +16,7 @@
 mod reactor;
 mod service;
 mod slots;
+mod warm_state;
 mod work;
 
 use std::process::ExitCode;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -7,8 +7,8 @@
 use glendeck::domain::{Span, Time};
 use glendeck_fleet::message::{Envelope, Hello, VERSION};
 use glendeck_fleet::policy::UnitName;
-use glendeck_takeover::Word;
-use glendeck_takeover::estate::Said;
+use glendeck_takeover::ReplicaMessage;
+use glendeck_takeover::warm_state::WarmStateMessage;
 use nanorand::Rng;
 use rustix::io::Errno;
 use rustix::net::{self, SocketFlags};
@@ -39,9 +39,9 @@
 pub enum Frame {
     ConsensusMessage(Box<Envelope>),
     /// All of one turn's.
-    Words(Vec<Word>),
+    Words(Vec<ReplicaMessage>),
     /// To those alone whose greeting says that they speak of estates.
-    Estate(Said),
+    WarmState(WarmStateMessage),
 }
 
 /// Follows the greeting: 1, speaks of estates; 2, its frames carry sums. Danger: in a rolling release nodes of a version
@@ -317,8 +317,8 @@
         };
         match postcard::take_from_bytes::<Frame>(bytes) {
             Ok((Frame::ConsensusMessage(envelope), [])) => self.peer_said(peer, *envelope),
-            Ok((Frame::Words(words), [])) => self.peer_keeps(peer, words),
-            Ok((Frame::Estate(said), [])) => self.peer_told(peer, said),
+            Ok((Frame::Words(messages), [])) => self.peer_keeps(peer, messages),
+            Ok((Frame::WarmState(said), [])) => self.peer_told(peer, said),
             Ok(_) => {
                 warn!(%peer, "a letter has more than its end");
                 self.peer_lost(id);
@@ -393,8 +393,9 @@
             incarnation: glendeck_fleet::state::Incarnation(1 << 60),
             count: 77,
         };
-        let word = Word::Ended { no: 1, id, work: glendeck_takeover::Work(0xfeed_beef), outcome };
-        let bare = postcard::to_stdvec(&Frame::Words(vec![word])).unwrap();
+        let message =
+            ReplicaMessage::CallEnded { no: 1, id, work: glendeck_takeover::WorkId(0xfeed_beef), outcome };
+        let bare = postcard::to_stdvec(&Frame::Words(vec![message])).unwrap();
         let flipped = |bytes: &[u8], bit: usize| {
             let mut bytes = bytes.to_vec();
             bytes[bit / 8] ^= 1 << (bit % 8);
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -1009,8 +1009,8 @@
         self.node.as_ref().map(|node| node.snapshot())
     }
 
-    pub fn estate_of_node(&self, most: usize) -> glendeck::domain::Estate {
-        self.node.as_ref().map(|node| node.estate(most)).unwrap_or_default()
+    pub fn warm_state_of_node(&self, most: usize) -> glendeck::domain::WarmState {
+        self.node.as_ref().map(|node| node.warm_state(most)).unwrap_or_default()
     }
 
     /// Whether the decisions keep away from a host now.
--- a/crates/node/src/estate.rs
+++ b/crates/node/src/warm_state.rs
@@ -1,11 +1,13 @@
 //! What this node's clients would come back to, kept by others, and what those of a lost node come back to here. When it is
-//! said, and to whom, is decided in `glendeck_takeover::estate`; docs/takeover.md says what for.
+//! said, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what for.
 
-use glendeck::domain::{Estate as Back, GroupId, HostId, Span, SubjectId, Time};
+use glendeck::domain::{GroupId, HostId, Span, SubjectId, Time, WarmState as Back};
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::estate::{Do, Estates, Facts, Known, MOST, Said};
+use glendeck_takeover::warm_state::{
+    Hint, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
+};
 use nanorand::Rng;
 use serde_json::{Value, json};
 use tracing::{debug, info};
@@ -16,8 +18,8 @@
 /// Connections live for tens of seconds: what is a second old is nearly all true.
 const EVERY: Span = Span::ms(1_000);
 
-pub struct Estate {
-    estates: Estates,
+pub struct WarmState {
+    estates: WarmStateExchange,
     /// What it knows is said then.
     next: Time,
     parting: bool,
@@ -25,9 +27,14 @@
     expected: u64,
 }
 
-impl Estate {
-    pub fn new(now: Time, start: Timestamp, me: UnitName, incarnation: Incarnation) -> Estate {
-        Estate { estates: Estates::new(start, me, incarnation), next: now, parting: false, expected: 0 }
+impl WarmState {
+    pub fn new(now: Time, start: Timestamp, me: UnitName, incarnation: Incarnation) -> WarmState {
+        WarmState {
+            estates: WarmStateExchange::new(start, me, incarnation),
+            next: now,
+            parting: false,
+            expected: 0,
+        }
     }
 
     pub fn figures(&self) -> Value {
@@ -44,68 +51,68 @@
 }
 
 impl Service {
-    fn known(&self) -> Facts {
-        let back = self.estate_of_node(MOST / 2);
-        let homes = back.homes.iter().map(|(group, host)| (Known::Home { group: group.0, host: host.0 }, 1));
-        let loads = back.loads.iter().map(|(of, load)| (Known::Load { subject: of.0 }, rounded(*load)));
+    fn known(&self) -> Hints {
+        let back = self.warm_state_of_node(MAX_HINTS / 2);
+        let homes = back.homes.iter().map(|(group, host)| (Hint::Home { group: group.0, host: host.0 }, 1));
+        let loads = back.loads.iter().map(|(of, load)| (Hint::Load { subject: of.0 }, rounded(*load)));
         homes.chain(loads).collect()
     }
 
-    pub fn estate_tick(&mut self) {
+    pub fn warm_state_tick(&mut self) {
         let timestamp = self.timestamp();
         let parting = matches!(self.phase, Phase::Draining { .. } | Phase::Leaving { .. })
             && !self.handover.is_replaced();
         let Some(membership) = &self.membership else { return };
-        let Some(of) = &membership.estate else { return };
+        let Some(of) = &membership.warm_state else { return };
         // Danger: clients that are sent away are elsewhere within the second.
         let says = self.now >= of.next || of.parting != parting;
-        let facts = says.then(|| self.known());
+        let hints = says.then(|| self.known());
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
         let linked = membership.peers.speakers();
-        let (Some(of), Some(work)) = (&mut membership.estate, &membership.work) else { return };
+        let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
         let mut acts = Vec::new();
-        if let Some(facts) = facts {
+        if let Some(hints) = hints {
             // Danger: a fleet that was started together would say it in step.
             of.next = now + EVERY.times(0.9 + 0.2 * f64::from(membership.chance.generate::<f32>()));
             of.parting = parting;
-            acts = of.estates.tell(timestamp, facts, parting, work.view(), &linked);
+            acts = of.estates.tell(timestamp, hints, parting, work.view(), &linked);
         }
         acts.extend(of.estates.tick(timestamp, &linked));
-        self.do_for_estate(acts);
+        self.carry_out_warm_state(acts);
     }
 
-    pub fn peer_told(&mut self, peer: &UnitName, said: Said) {
+    pub fn peer_told(&mut self, peer: &UnitName, said: WarmStateMessage) {
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
-        let (Some(of), Some(work)) = (&mut membership.estate, &membership.work) else { return };
+        let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
         let acts = of.estates.heard(timestamp, peer, said, work.view());
-        self.do_for_estate(acts);
+        self.carry_out_warm_state(acts);
     }
 
-    fn do_for_estate(&mut self, acts: Vec<Do>) {
+    fn carry_out_warm_state(&mut self, acts: Vec<WarmStateAction>) {
         for act in acts {
             match act {
-                Do::Say(to, said) => self.send_peer(&to, &Frame::Estate(said)),
-                Do::Expect(of, facts) => self.expect_clients(&of, facts),
+                WarmStateAction::Send(to, said) => self.send_peer(&to, &Frame::WarmState(said)),
+                WarmStateAction::Adopt(of, hints) => self.adopt_warm_state(&of, hints),
             }
         }
     }
 
-    fn expect_clients(&mut self, of: &UnitName, facts: Vec<(Known, u32)>) {
-        info!(%of, known = facts.len(), "has gone: its clients are expected");
+    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<(Hint, u32)>) {
+        info!(%of, known = hints.len(), "has gone: its clients are expected");
         let mut back = Back::default();
-        for (known, value) in facts {
+        for (known, value) in hints {
             match known {
-                Known::Home { group, host } => back.homes.push((GroupId(group), HostId(host))),
-                Known::Load { subject } => back.loads.push((SubjectId(subject), f64::from(value) / 1e6)),
+                Hint::Home { group, host } => back.homes.push((GroupId(group), HostId(host))),
+                Hint::Load { subject } => back.loads.push((SubjectId(subject), f64::from(value) / 1e6)),
             }
         }
         debug!(homes = back.homes.len(), loads = back.loads.len(), "what they come back to");
-        if let Some(of) = self.membership.as_mut().and_then(|membership| membership.estate.as_mut()) {
+        if let Some(of) = self.membership.as_mut().and_then(|membership| membership.warm_state.as_mut()) {
             of.expected += 1;
         }
         let now = self.now;
-        self.tell(|node, _| node.expect(now, &back));
+        self.tell(|node, _| node.adopt_warm_state(now, &back));
     }
 }
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -9,7 +9,9 @@
 use glendeck_fleet::message::VoterStatus;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::{Attempt, Before, Left, Outcome, Step, Takeover, View, Word, Work as Name};
+use glendeck_takeover::{
+    Action, Attempt, Outcome, PriorAttempt, ReplicaHandover, ReplicaMessage, Takeover, View, WorkId,
+};
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
@@ -26,7 +28,7 @@
 /// What others keep of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Kept {
-    pub work: Name,
+    pub work: WorkId,
     /// What has been before it is looked up first: the decisions do not know of it yet.
     pub looks: bool,
     /// Its first attempt that may have run here.
@@ -43,11 +45,11 @@
 pub struct Work {
     takeover: Takeover,
     /// What is to be said to each peer at the end of this turn.
-    words: BTreeMap<UnitName, Vec<Word>>,
+    messages: BTreeMap<UnitName, Vec<ReplicaMessage>>,
     /// Came while the decisions were at it: done at the end of this turn.
-    pending: Vec<Step>,
+    pending: Vec<Action>,
     /// What the process before has left, until this node sits.
-    inherits: Option<Left>,
+    inherits: Option<ReplicaHandover>,
     /// How far the log was when it was last taken in.
     applied: u64,
     hears: bool,
@@ -74,7 +76,7 @@
     ) -> Work {
         Work {
             takeover: Takeover::new(start, me, incarnation, incarnation.0 ^ 0x7a6b, recall_ms, longest_ms),
-            words: BTreeMap::new(),
+            messages: BTreeMap::new(),
             pending: Vec::new(),
             inherits: None,
             applied: u64::MAX,
@@ -90,8 +92,8 @@
     pub fn figures(&self, now: Timestamp) -> Value {
         let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
         json!({
-            "records_held": self.takeover.keeper.held(), "in_hand": self.takeover.owner.in_hand(),
-            "keeps": self.hears, "remembers": self.takeover.keeper.remembers(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
+            "records_held": self.takeover.replica.held(), "in_hand": self.takeover.owner.in_hand(),
+            "keeps": self.hears, "remembers": self.takeover.replica.remembers(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
             "repeats_after_a_record": taken_over, "repeats_given_up": given_up, "met_elsewhere": raced,
         })
     }
@@ -99,21 +101,21 @@
 
 /// As the file holds it, from which process by the store's count.
 ///
-/// Danger: a disk that turns a bit over makes a record another work's, and this keeper would forget one that it swears by.
-fn write_left(left: &(u64, Left)) -> Result<Vec<u8>, postcard::Error> {
+/// Danger: a disk that turns a bit over makes a record another work's, and this replica would forget one that it swears by.
+fn write_left(left: &(u64, ReplicaHandover)) -> Result<Vec<u8>, postcard::Error> {
     let mut bytes = postcard::to_stdvec(left)?;
     seal(&mut bytes);
     Ok(bytes)
 }
 
-fn read_left(bytes: &[u8]) -> Option<(u64, Left)> {
+fn read_left(bytes: &[u8]) -> Option<(u64, ReplicaHandover)> {
     postcard::from_bytes(unseal(bytes)?).ok()
 }
 
 /// What names the same work at every node.
-fn name(traffic: &str, tenant: &str, subject: u64) -> Name {
+fn name(traffic: &str, tenant: &str, subject: u64) -> WorkId {
     let parts = [traffic.as_bytes(), b"\0", tenant.as_bytes(), b"\0", &subject.to_le_bytes()];
-    Name(hashed(parts.into_iter().flatten().copied()))
+    WorkId(hashed(parts.into_iter().flatten().copied()))
 }
 
 impl Service {
@@ -122,7 +124,7 @@
     }
 
     /// What others are to keep of a call, if they are: not of what may run again, nor of what names nothing.
-    pub fn work_of(&self, opening: &Opening) -> Option<Name> {
+    pub fn work_of(&self, opening: &Opening) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
         let lasting = self.startup.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
@@ -142,17 +144,17 @@
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
         what(&mut work.takeover, now);
-        let steps = work.takeover.take_all();
+        let actions = work.takeover.take_all();
         if self.is_deciding() {
             // Danger: what is told to decisions that are out of their place is lost.
-            return self.work().map_or((), |work| work.pending.extend(steps));
+            return self.work().map_or((), |work| work.pending.extend(actions));
         }
-        steps.into_iter().for_each(|step| self.do_for_work(step));
+        actions.into_iter().for_each(|action| self.do_for_work(action));
     }
 
-    pub fn peer_keeps(&mut self, peer: &UnitName, words: Vec<Word>) {
-        for word in words {
-            self.tell_work(|takeover, now| takeover.heard(now, peer, word));
+    pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
+        for message in messages {
+            self.tell_work(|takeover, now| takeover.heard(now, peer, message));
         }
     }
 
@@ -167,7 +169,7 @@
                 if let Some(left) = work.inherits.take() {
                     work.takeover.restore(now, left);
                     info!(
-                        records = work.takeover.keeper.held(),
+                        records = work.takeover.replica.held(),
                         "takes over what the process before kept for others"
                     );
                 }
@@ -189,15 +191,15 @@
 
     /// All that this turn has said goes now, in one frame a peer.
     pub fn send_words(&mut self) {
-        while let Some(steps) = self.work().map(|work| std::mem::take(&mut work.pending)) {
-            if steps.is_empty() {
+        while let Some(actions) = self.work().map(|work| std::mem::take(&mut work.pending)) {
+            if actions.is_empty() {
                 break;
             }
-            steps.into_iter().for_each(|step| self.do_for_work(step));
+            actions.into_iter().for_each(|action| self.do_for_work(action));
         }
         let Some(work) = self.work() else { return };
-        for (peer, words) in std::mem::take(&mut work.words) {
-            self.send_peer(&peer, &Frame::Words(words));
+        for (peer, messages) in std::mem::take(&mut work.messages) {
+            self.send_peer(&peer, &Frame::Words(messages));
         }
     }
 
@@ -284,18 +286,18 @@
         self.tell_work(|takeover, now| takeover.ended(now, call.0, outcome));
     }
 
-    fn do_for_work(&mut self, step: Step) {
-        match step {
-            Step::Say(peer, word) => {
+    fn do_for_work(&mut self, action: Action) {
+        match action {
+            Action::Send(peer, message) => {
                 if let Some(work) = self.work() {
-                    work.words.entry(peer).or_default().push(word);
+                    work.messages.entry(peer).or_default().push(message);
                 }
             }
-            Step::Go(call) => self.may_go(CallId(call)),
-            Step::Unkept(call) => self.not_kept(CallId(call)),
-            Step::InHand(call) => self.in_hand_elsewhere(CallId(call)),
-            Step::Place(call, before) => self.place_again(CallId(call), before),
-            Step::GiveUp(call) => {
+            Action::Proceed(call) => self.may_go(CallId(call)),
+            Action::NotReplicated(call) => self.not_kept(CallId(call)),
+            Action::InFlightElsewhere(call) => self.in_hand_elsewhere(CallId(call)),
+            Action::Admit(call, before) => self.place_again(CallId(call), before),
+            Action::Fail(call) => {
                 debug!(call, "what has been before it cannot be told");
                 if let Some(work) = self.work() {
                     work.counts.given_up += 1;
@@ -357,7 +359,7 @@
         self.look_first(call);
     }
 
-    fn place_again(&mut self, call: CallId, before: Option<Before>) {
+    fn place_again(&mut self, call: CallId, before: Option<PriorAttempt>) {
         let (began, now) = (self.membership.as_ref().map_or(self.now, |of| of.began), self.now);
         let before = before.map(|before| (HostId(before.host), began + Span(before.at.0)));
         if let Some(work) = self.work().filter(|_| before.is_some()) {
--- a/crates/rig/src/bin/estate-figures.rs
+++ b/crates/rig/src/bin/estate-figures.rs
@@ -1,4 +1,4 @@
-//! What clients that stay come back to when their node is killed: `estate-figures NODES VOTERS HOSTS [KILLS]`, where nodes
+//! What clients that stay come back to when their node is killed: `warm_state-figures NODES VOTERS HOSTS [KILLS]`, where nodes
 //! keep what they know of them for each other and where they do not. Bounded, loopback only; counted is what hosts and
 //! clients saw. Beside it stands `rig-node`, which it starts.
 
--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -4,14 +4,14 @@
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
+use glendeck_takeover::{Action, Attempt, Outcome, ReplicaMessage, Takeover, View, WorkId};
 
 #[global_allocator]
 static ALLOC: AllocProfiler = AllocProfiler::system();
 
 const RECALL_MS: u64 = 6_000;
 const LONGEST_MS: u64 = 5_000;
-const KEEPERS: usize = 3;
+const REPLICAS: usize = 3;
 
 fn main() {
     divan::main();
@@ -27,50 +27,50 @@
 
 fn node(at: usize) -> Takeover {
     let mut node = Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RECALL_MS, LONGEST_MS);
-    let view = View { voter_slots: (0..KEEPERS).map(name).collect(), hears: true, ..View::default() };
+    let view = View { voter_slots: (0..REPLICAS).map(name).collect(), hears: true, ..View::default() };
     node.agreed(timestamp(0), view);
     node
 }
 
-/// Three keepers, and a node of its own that begins calls.
+/// Three replicas, and a node of its own that begins calls.
 fn fleet() -> Vec<Takeover> {
-    (0..=KEEPERS).map(node).collect()
+    (0..=REPLICAS).map(node).collect()
 }
 
 /// Carries what is said until nobody says any more; how many words that took.
 fn carry(fleet: &mut [Takeover], now: Timestamp) -> u64 {
-    let mut words = 0;
+    let mut messages = 0;
     loop {
         let mut said = Vec::new();
         for (from, node) in fleet.iter_mut().enumerate() {
-            for step in node.take_all() {
-                if let Step::Say(to, word) = step {
-                    said.push((from, to, word));
+            for action in node.take_all() {
+                if let Action::Send(to, message) = action {
+                    said.push((from, to, message));
                 }
             }
         }
         if said.is_empty() {
-            return words;
+            return messages;
         }
-        words += said.len() as u64;
-        for (from, to, word) in said {
+        messages += said.len() as u64;
+        for (from, to, message) in said {
             let to = (0..fleet.len()).find(|at| name(*at) == to).unwrap();
-            fleet[to].heard(now, &name(from), word);
+            fleet[to].heard(now, &name(from), message);
         }
     }
 }
 
 fn attempt(work: u64) -> Attempt {
-    Attempt { work: Work(work), host: work % 50, ran: None, left_ms: 1_500, latest: timestamp(90_000) }
+    Attempt { work: WorkId(work), host: work % 50, ran: None, left_ms: 1_500, latest: timestamp(90_000) }
 }
 
 fn begin(fleet: &mut [Takeover], work: u64, now: Timestamp) {
-    fleet[KEEPERS].intend(now, work, attempt(work));
+    fleet[REPLICAS].intend(now, work, attempt(work));
     carry(fleet, now);
 }
 
 fn end(fleet: &mut [Takeover], work: u64, now: Timestamp) {
-    fleet[KEEPERS].ended(now, work, Outcome::Answered);
+    fleet[REPLICAS].ended(now, work, Outcome::Answered);
     carry(fleet, now);
 }
 
@@ -102,35 +102,35 @@
     let mut call = 10_000;
     bencher.bench_local(|| {
         call += 1;
-        let work = Work(call % 1_000);
-        fleet[KEEPERS].returned(timestamp(20_010), call, work, 1_400);
+        let work = WorkId(call % 1_000);
+        fleet[REPLICAS].returned(timestamp(20_010), call, work, 1_400);
         carry(&mut fleet, timestamp(20_010));
         end(&mut fleet, call, timestamp(20_010));
     });
 }
 
-/// One keeper that holds so many: the bytes it has allocated, by so many, are a record's.
+/// One replica that holds so many: the bytes it has allocated, by so many, are a record's.
 #[divan::bench(args = [1_000, 10_000, 100_000], sample_count = 5)]
 fn memory_of_a_keeper(bencher: Bencher, records: u64) {
-    // Said by a node that this keeper only hears.
+    // Said by a node that this replica only hears.
     let mut fleet = fleet();
-    let mut words: Vec<Word> = Vec::new();
+    let mut messages: Vec<ReplicaMessage> = Vec::new();
     for work in 0..records {
-        fleet[KEEPERS].intend(timestamp(20_000), work, attempt(work));
-        let keeps = |step| match step {
-            Step::Say(to, word @ Word::Keep(_)) if to == name(0) => Some(word),
+        fleet[REPLICAS].intend(timestamp(20_000), work, attempt(work));
+        let keeps = |action| match action {
+            Action::Send(to, message @ ReplicaMessage::StoreIntent(_)) if to == name(0) => Some(message),
             _ => None,
         };
-        words.extend(fleet[KEEPERS].take_all().into_iter().filter_map(keeps));
+        messages.extend(fleet[REPLICAS].take_all().into_iter().filter_map(keeps));
     }
-    let owner = name(KEEPERS);
+    let owner = name(REPLICAS);
     bencher.bench_local(|| {
-        let mut keeper = node(0);
-        for word in &words {
-            keeper.heard(timestamp(20_000), &owner, word.clone());
-            black_box(keeper.take_all());
+        let mut replica = node(0);
+        for message in &messages {
+            replica.heard(timestamp(20_000), &owner, message.clone());
+            black_box(replica.take_all());
         }
-        assert_eq!(keeper.keeper.held() as u64, records);
-        keeper
+        assert_eq!(replica.replica.held() as u64, records);
+        replica
     });
 }
--- a/crates/takeover/src/fault_injection.rs
+++ b/crates/takeover/src/fault_injection.rs
@@ -6,7 +6,7 @@
 pub enum InjectedFault {
     /// The attempt goes as its intent does.
     SentBeforeKept,
-    /// One keeper's word is enough.
+    /// One replica's word is enough.
     OneIsEnough,
     /// What was kept long ago still lets an attempt go.
     LateSend,
@@ -14,9 +14,9 @@
     NotFenced,
     /// A record goes as soon as its call has its answer.
     DroppedEarly,
-    /// A keeper that has just begun says that it holds nothing.
+    /// A replica that has just begun says that it holds nothing.
     ForgetfulAnswers,
-    /// A keeper takes a repeat's intent whatever else it holds of the work.
+    /// A replica takes a repeat's intent whatever else it holds of the work.
     RaceKept,
     /// A repeat does not wait until a record is over.
     OpenTaken,
@@ -26,11 +26,11 @@
     AnySince,
     /// What a process says is added to what the one before said.
     IncarnationsMixed,
-    /// A keeper that missed something is never told all.
+    /// A replica that missed something is never told all.
     NeverWhole,
     /// A word that comes late undoes what came after it.
     LateCounts,
-    /// Both keepers' words count.
+    /// Both replicas' words count.
     ToldTwice,
     /// What is kept of a node that stays away never goes.
     KeptForever,
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -4,10 +4,10 @@
 //! No I/O and no clock: a [`Takeover`] is told what happened and when, and says what is to be done. The same events give
 //! the same steps.
 
-pub mod estate;
 pub mod fault_injection;
-mod keeper;
 mod owner;
+mod replica;
+pub mod warm_state;
 
 use std::collections::BTreeMap;
 
@@ -16,27 +16,27 @@
 use glendeck_fleet::state::Incarnation;
 use serde::{Deserialize, Serialize};
 
-pub use keeper::Keeper;
-pub use owner::{Before, Owner};
+pub use owner::{Owner, PriorAttempt};
+pub use replica::Replica;
 
 /// An attempt goes within this after its node asked for its intent to be kept, or not at all: two round trips over a crowded
 /// link. Whoever takes a record over waits longer than this.
-pub const SENDS_WITHIN_MS: u64 = 500;
+pub const SEND_WINDOW_MS: u64 = 500;
 
 /// A record is left alone for so long after it was kept, and after its call's time: what its node may still send is out by
 /// then, and clocks that go wrong by a tenth are.
-pub const LEFT_ALONE_MS: u64 = 600;
+pub const QUIET_PERIOD_MS: u64 = 600;
 
 /// Keepers of one work, of which a majority has to agree.
-pub const KEEPERS: usize = 3;
+pub const REPLICAS: usize = 3;
 
 /// What a call concerns, with its traffic class and tenant, as one number: the same for whoever comes again with it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Work(pub u64);
+pub struct WorkId(pub u64);
 
 /// How long ago something went that nobody can tell: longer than any reference is recalled.
-pub const UNKNOWN_MS: u64 = 1 << 40;
+pub const UNKNOWN_AGE_MS: u64 = 1 << 40;
 
 /// A call of one process of one node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -64,12 +64,12 @@
         self.terms.get(of).copied().unwrap_or(0)
     }
 
-    /// A work's keepers, the same at all who know the same seats.
-    pub fn keepers(&self, work: Work) -> Vec<UnitName> {
+    /// A work's replicas, the same at all who know the same seats.
+    pub fn replicas(&self, work: WorkId) -> Vec<UnitName> {
         let mut ranked: Vec<(u64, &UnitName)> =
             self.voter_slots.iter().map(|name| (rank(work, name), name)).collect();
         ranked.sort_unstable();
-        ranked.into_iter().take(KEEPERS).map(|(_, name)| name.clone()).collect()
+        ranked.into_iter().take(REPLICAS).map(|(_, name)| name.clone()).collect()
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Rendezvous: FNV-1a over the name, mixed with the work (the finisher of splitmix64).
-fn rank(work: Work, name: &UnitName) -> u64 {
+fn rank(work: WorkId, name: &UnitName) -> u64 {
     let mut mixed = name_number(name) ^ work.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     pub id: RecordId,
-    pub work: Work,
+    pub work: WorkId,
     pub term: u64,
     pub version: u32,
     /// It comes again, and goes on from these records, each as it was with this attempt.
@@ -114,9 +114,9 @@
     pub left_ms: u64,
 }
 
-/// A record as a keeper shows it.
+/// A record as a replica shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct RecordView {
     pub id: RecordId,
     pub term: u64,
     /// Where the work's first attempt went, and how long ago, in ms.
@@ -130,40 +130,40 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
-    Kept,
+pub enum IntentVerdict {
+    Accepted,
     /// These are not among those that it goes on from.
-    Others,
-    /// This keeper keeps nothing for it now.
-    NotNow,
+    Conflict,
+    /// This replica keeps nothing for it now.
+    Unavailable,
 }
 
-/// What nodes say to keepers, and keepers to them.
+/// What nodes say to replicas, and replicas to them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
-    Keep(Intent),
-    Judged {
+pub enum ReplicaMessage {
+    StoreIntent(Intent),
+    IntentReply {
         id: RecordId,
         no: u32,
-        verdict: Verdict,
+        verdict: IntentVerdict,
     },
-    Look {
+    Query {
         id: RecordId,
         no: u32,
-        work: Work,
+        work: WorkId,
         version: u32,
     },
-    /// Nothing if the keeper may have forgotten some.
-    Shown {
+    /// Nothing if the replica may have forgotten some.
+    QueryReply {
         id: RecordId,
         no: u32,
-        records: Option<Vec<Shown>>,
+        records: Option<Vec<RecordView>>,
     },
     /// As of this attempt: said late, it says nothing of a later one.
-    Ended {
+    CallEnded {
         no: u32,
         id: RecordId,
-        work: Work,
+        work: WorkId,
         outcome: Outcome,
     },
 }
@@ -171,7 +171,7 @@
 /// An attempt that is to go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    pub work: Work,
+    pub work: WorkId,
     /// Any number that means the same at all nodes.
     pub host: u64,
     /// The call's first attempt that may have run: where, and when it went.
@@ -184,30 +184,30 @@
 
 /// What is to be done. A call is named by its caller's number.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    Say(UnitName, Word),
+pub enum Action {
+    Send(UnitName, ReplicaMessage),
     /// The attempt that was asked for may go, now.
-    Go(u64),
+    Proceed(u64),
     /// It may not: nobody can keep its intent.
-    Unkept(u64),
+    NotReplicated(u64),
     /// It may not: the same work is in hand elsewhere. The call is to look again.
-    InHand(u64),
+    InFlightElsewhere(u64),
     /// A call that came again may be placed; this has been before it.
-    Place(u64, Option<Before>),
+    Admit(u64, Option<PriorAttempt>),
     /// What has been before it cannot be told, or is not over: it is to be given up without any assurance.
-    GiveUp(u64),
+    Fail(u64),
 }
 
-/// What a keeper leaves to its next process.
+/// What a replica leaves to its next process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Left {
+pub struct ReplicaHandover {
     /// It answered for repeats.
     remembers: bool,
-    records: Vec<(Work, LeftRecord)>,
+    records: Vec<(WorkId, RecordHandover)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct LeftRecord {
+struct RecordHandover {
     id: RecordId,
     term: u64,
     repeat: bool,
@@ -222,10 +222,10 @@
 #[derive(Clone, Debug)]
 pub struct Takeover {
     me: UnitName,
-    pub keeper: Keeper,
+    pub replica: Replica,
     pub owner: Owner,
     view: View,
-    steps: Vec<Step>,
+    actions: Vec<Action>,
 }
 
 impl Takeover {
@@ -241,11 +241,11 @@
         longest_ms: u64,
     ) -> Takeover {
         Takeover {
-            keeper: Keeper::new(now, recall_ms, longest_ms),
+            replica: Replica::new(now, recall_ms, longest_ms),
             owner: Owner::new(me.clone(), incarnation, seed),
             me,
             view: View::default(),
-            steps: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -256,19 +256,19 @@
         // no change: it says what has been so.
         let first = self.view.voter_slots.is_empty();
         if !first && (view.version != self.view.version || mine(&view) != mine(&self.view)) {
-            self.keeper.begin(now);
+            self.replica.begin(now);
         }
         self.view = view;
     }
 
     /// Before a planned end: it keeps nothing more, and this is for its next process.
-    pub fn leave(&mut self, now: Timestamp) -> Left {
-        self.keeper.leave(now)
+    pub fn leave(&mut self, now: Timestamp) -> ReplicaHandover {
+        self.replica.leave(now)
     }
 
     /// What the process before left when it ended as planned, and nobody else can have had since.
-    pub fn restore(&mut self, now: Timestamp, left: Left) {
-        self.keeper.restore(now, left);
+    pub fn restore(&mut self, now: Timestamp, left: ReplicaHandover) {
+        self.replica.restore(now, left);
     }
 
     pub fn view(&self) -> &View {
@@ -276,59 +276,61 @@
     }
 
     /// A call that comes again: what has been before it has to be known first. It has so long, in ms.
-    pub fn returned(&mut self, now: Timestamp, call: u64, work: Work, left_ms: u64) {
-        let steps = self.owner.returned(now, call, work, left_ms, &self.view);
-        self.take_steps(now, steps);
+    pub fn returned(&mut self, now: Timestamp, call: u64, work: WorkId, left_ms: u64) {
+        let actions = self.owner.returned(now, call, work, left_ms, &self.view);
+        self.carry_out(now, actions);
     }
 
-    /// An attempt is to go: [`Step::Go`] comes, or it must not. `host` is any number that means the same at all nodes.
+    /// An attempt is to go: [`Action::Go`] comes, or it must not. `host` is any number that means the same at all nodes.
     pub fn intend(&mut self, now: Timestamp, call: u64, attempt: Attempt) {
-        let steps = self.owner.intend(now, call, attempt, &self.view);
-        self.take_steps(now, steps);
+        let actions = self.owner.intend(now, call, attempt, &self.view);
+        self.carry_out(now, actions);
     }
 
     /// The call is over. Nothing happens if no intent of it was asked for.
     pub fn ended(&mut self, now: Timestamp, call: u64, outcome: Outcome) {
-        let steps = self.owner.ended(call, outcome, &self.view);
-        self.take_steps(now, steps);
+        let actions = self.owner.ended(call, outcome, &self.view);
+        self.carry_out(now, actions);
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: &UnitName, word: Word) {
-        match word {
-            Word::Keep(_) | Word::Look { .. } | Word::Ended { .. } => {
-                if let Some(answer) = self.keeper.take(now, from, word, &self.view) {
-                    self.steps.push(Step::Say(from.clone(), answer));
+    pub fn heard(&mut self, now: Timestamp, from: &UnitName, message: ReplicaMessage) {
+        match message {
+            ReplicaMessage::StoreIntent(_)
+            | ReplicaMessage::Query { .. }
+            | ReplicaMessage::CallEnded { .. } => {
+                if let Some(answer) = self.replica.take(now, from, message, &self.view) {
+                    self.actions.push(Action::Send(from.clone(), answer));
                 }
             }
             answer => {
-                let steps = self.owner.heard(now, from, answer, &self.view);
-                self.take_steps(now, steps);
+                let actions = self.owner.heard(now, from, answer, &self.view);
+                self.carry_out(now, actions);
             }
         }
     }
 
     /// To be told ten times a second at least.
     pub fn tick(&mut self, now: Timestamp) {
-        self.keeper.tick(now);
-        let steps = self.owner.tick(now, &self.view);
-        self.take_steps(now, steps);
+        self.replica.tick(now);
+        let actions = self.owner.tick(now, &self.view);
+        self.carry_out(now, actions);
     }
 
-    pub fn take_all(&mut self) -> Vec<Step> {
-        std::mem::take(&mut self.steps)
+    pub fn take_all(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
-    /// What is said to this node's own keeper is not sent.
-    fn take_steps(&mut self, now: Timestamp, steps: Vec<Step>) {
-        for step in steps {
-            match step {
-                Step::Say(to, word) if to == self.me => {
-                    if let Some(answer) = self.keeper.take(now, &to, word, &self.view) {
-                        let steps = self.owner.heard(now, &to, answer, &self.view);
-                        self.take_steps(now, steps);
+    /// What is said to this node's own replica is not sent.
+    fn carry_out(&mut self, now: Timestamp, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(to, message) if to == self.me => {
+                    if let Some(answer) = self.replica.take(now, &to, message, &self.view) {
+                        let actions = self.owner.heard(now, &to, answer, &self.view);
+                        self.carry_out(now, actions);
                     }
                 }
-                step => self.steps.push(step),
+                action => self.actions.push(action),
             }
         }
     }
--- a/crates/takeover/src/keeper.rs
+++ b/crates/takeover/src/replica.rs
@@ -7,7 +7,8 @@
 
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::{
-    Intent, LEFT_ALONE_MS, Left, LeftRecord, Outcome, RecordId, Shown, UNKNOWN_MS, Verdict, View, Word, Work,
+    Intent, IntentVerdict, Outcome, QUIET_PERIOD_MS, RecordHandover, RecordId, RecordView, ReplicaHandover,
+    ReplicaMessage, UNKNOWN_AGE_MS, View, WorkId,
 };
 
 /// Records at most: 210 bytes each with what leads to them (`cargo bench -p glendeck-takeover`), so 21 MB.
@@ -32,7 +33,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct Replica {
     recall_ms: u64,
     longest_ms: u64,
     /// All that was to be kept since then is here.
@@ -41,20 +42,20 @@
     trusts: bool,
     /// It has left all to the next process.
     left: bool,
-    records: BTreeMap<Work, Vec<Record>>,
+    records: BTreeMap<WorkId, Vec<Record>>,
     count: usize,
     /// Works to look at then: they may have records that have run out.
-    due: VecDeque<(Timestamp, Work)>,
+    due: VecDeque<(Timestamp, WorkId)>,
 }
 
-/// Danger: a list's first room is for four, and most works have one record: a full keeper took 57 MB for 21.
-fn of_work(records: &mut BTreeMap<Work, Vec<Record>>, work: Work) -> &mut Vec<Record> {
+/// Danger: a list's first room is for four, and most works have one record: a full replica took 57 MB for 21.
+fn of_work(records: &mut BTreeMap<WorkId, Vec<Record>>, work: WorkId) -> &mut Vec<Record> {
     records.entry(work).or_insert_with(|| Vec::with_capacity(1))
 }
 
-impl Keeper {
-    pub fn new(now: Timestamp, recall_ms: u64, longest_ms: u64) -> Keeper {
-        Keeper {
+impl Replica {
+    pub fn new(now: Timestamp, recall_ms: u64, longest_ms: u64) -> Replica {
+        Replica {
             recall_ms,
             longest_ms,
             since: now,
@@ -71,11 +72,11 @@
         (self.since, self.trusts) = (now, false);
     }
 
-    pub(crate) fn leave(&mut self, now: Timestamp) -> Left {
+    pub(crate) fn leave(&mut self, now: Timestamp) -> ReplicaHandover {
         self.left = true;
         let records = self.records.iter().flat_map(|(work, records)| {
             records.iter().map(|record| {
-                let left = LeftRecord {
+                let left = RecordHandover {
                     id: record.id.clone(),
                     term: record.term,
                     repeat: record.repeat,
@@ -88,12 +89,12 @@
                 (*work, left)
             })
         });
-        Left { remembers: self.remembers(now), records: records.collect() }
+        ReplicaHandover { remembers: self.remembers(now), records: records.collect() }
     }
 
     /// Danger: nobody here knows how long it took from one process to the next. When things went is not known any more,
     /// and all that depends on it is over.
-    pub(crate) fn restore(&mut self, now: Timestamp, left: Left) {
+    pub(crate) fn restore(&mut self, now: Timestamp, left: ReplicaHandover) {
         self.trusts = left.remembers;
         for (work, record) in left.records.into_iter().take(MOST) {
             of_work(&mut self.records, work).push(Record {
@@ -109,7 +110,7 @@
                 taken: record.taken,
             });
             self.count += 1;
-            self.due.push_back((now.plus_ms(self.longest_ms + LEFT_ALONE_MS + self.recall_ms), work));
+            self.due.push_back((now.plus_ms(self.longest_ms + QUIET_PERIOD_MS + self.recall_ms), work));
         }
     }
 
@@ -120,22 +121,29 @@
 
     /// All that it could have forgotten has run out.
     pub fn remembers(&self, now: Timestamp) -> bool {
-        let long = now.ms_since(self.since) > self.recall_ms + self.longest_ms + LEFT_ALONE_MS;
+        let long = now.ms_since(self.since) > self.recall_ms + self.longest_ms + QUIET_PERIOD_MS;
         long || self.trusts || is_injected(InjectedFault::ForgetfulAnswers)
     }
 
-    pub(crate) fn take(&mut self, now: Timestamp, from: &UnitName, word: Word, view: &View) -> Option<Word> {
-        match word {
-            Word::Keep(intent) => {
+    pub(crate) fn take(
+        &mut self,
+        now: Timestamp,
+        from: &UnitName,
+        message: ReplicaMessage,
+        view: &View,
+    ) -> Option<ReplicaMessage> {
+        match message {
+            ReplicaMessage::StoreIntent(intent) => {
                 let (id, no) = (intent.id.clone(), intent.no);
-                let verdict = if id.owner == *from { self.keep(now, intent, view) } else { Verdict::NotNow };
-                Some(Word::Judged { id, no, verdict })
+                let verdict =
+                    if id.owner == *from { self.keep(now, intent, view) } else { IntentVerdict::Unavailable };
+                Some(ReplicaMessage::IntentReply { id, no, verdict })
             }
-            Word::Look { id, no, work, version } => {
+            ReplicaMessage::Query { id, no, work, version } => {
                 let can = !self.left && view.hears && version == view.version && self.remembers(now);
-                Some(Word::Shown { records: can.then(|| self.show(now, work, &id)), id, no })
+                Some(ReplicaMessage::QueryReply { records: can.then(|| self.show(now, work, &id)), id, no })
             }
-            Word::Ended { id, work, no, outcome } => {
+            ReplicaMessage::CallEnded { id, work, no, outcome } => {
                 self.ended(now, &id, work, no, outcome);
                 None
             }
@@ -143,7 +151,7 @@
         }
     }
 
-    fn keep(&mut self, now: Timestamp, intent: Intent, view: &View) -> Verdict {
+    fn keep(&mut self, now: Timestamp, intent: Intent, view: &View) -> IntentVerdict {
         let fenced = intent.term < view.term(&intent.id.owner) && !is_injected(InjectedFault::NotFenced);
         if self.left
             || !view.hears
@@ -151,18 +159,18 @@
             || fenced
             || intent.left_ms > self.longest_ms
         {
-            return Verdict::NotNow;
+            return IntentVerdict::Unavailable;
         }
         if intent.repeat && !self.remembers(now) {
-            return Verdict::NotNow;
+            return IntentVerdict::Unavailable;
         }
         let (host, ago) = intent.first;
-        let known = ago < UNKNOWN_MS;
+        let known = ago < UNKNOWN_AGE_MS;
         let first = (host, known.then(|| Timestamp(now.0.saturating_sub(ago.saturating_mul(1_000_000)))));
         let known = self.records.get_mut(&intent.work);
         if let Some(known) = known.and_then(|of| of.iter_mut().find(|record| record.id == intent.id)) {
             if known.taken && !is_injected(InjectedFault::NotFenced) {
-                return Verdict::Others;
+                return IntentVerdict::Conflict;
             }
             // One that comes twice or late says nothing new.
             if intent.no > known.no {
@@ -172,10 +180,10 @@
                 (known.term, known.no, known.last, known.first) =
                     (intent.term, intent.no, now, (first.0, at));
             }
-            return Verdict::Kept;
+            return IntentVerdict::Accepted;
         }
         if self.count >= MOST {
-            return Verdict::NotNow;
+            return IntentVerdict::Unavailable;
         }
         let records = of_work(&mut self.records, intent.work);
         // Danger: two that come again at once have both seen nothing. A call that is no repeat is other work, though it
@@ -184,7 +192,7 @@
         let seen = |record: &Record| intent.over.iter().any(|(id, no)| *id == record.id && *no >= record.no);
         let unseen = |record: &Record| !seen(record) && (intent.repeat || record.repeat);
         if records.iter().any(unseen) && !is_injected(InjectedFault::RaceKept) {
-            return Verdict::Others;
+            return IntentVerdict::Conflict;
         }
         for record in records.iter_mut().filter(|record| seen(record)) {
             record.taken = true;
@@ -204,22 +212,22 @@
         });
         self.count += 1;
         // One that is never said to have ended runs out after its time.
-        self.due.push_back((now.plus_ms(self.longest_ms + LEFT_ALONE_MS + self.recall_ms), intent.work));
-        Verdict::Kept
+        self.due.push_back((now.plus_ms(self.longest_ms + QUIET_PERIOD_MS + self.recall_ms), intent.work));
+        IntentVerdict::Accepted
     }
 
-    fn show(&self, now: Timestamp, work: Work, but: &RecordId) -> Vec<Shown> {
+    fn show(&self, now: Timestamp, work: WorkId, but: &RecordId) -> Vec<RecordView> {
         let left = |record: &Record| {
-            let end = record.until.plus_ms(LEFT_ALONE_MS);
+            let end = record.until.plus_ms(QUIET_PERIOD_MS);
             if now >= end { 0 } else { end.ms_since(now).max(1) }
         };
         let records = self.records.get(&work).into_iter().flatten();
         records
             .filter(|record| record.id != *but)
-            .map(|record| Shown {
+            .map(|record| RecordView {
                 id: record.id.clone(),
                 term: record.term,
-                first: (record.first.0, record.first.1.map_or(UNKNOWN_MS, |at| now.ms_since(at))),
+                first: (record.first.0, record.first.1.map_or(UNKNOWN_AGE_MS, |at| now.ms_since(at))),
                 no: record.no,
                 age_ms: now.ms_since(record.last),
                 open_ms: left(record),
@@ -228,7 +236,7 @@
             .collect()
     }
 
-    fn ended(&mut self, now: Timestamp, id: &RecordId, work: Work, no: u32, outcome: Outcome) {
+    fn ended(&mut self, now: Timestamp, id: &RecordId, work: WorkId, no: u32, outcome: Outcome) {
         let Some(records) = self.records.get_mut(&work) else { return };
         match outcome {
             Outcome::Answered if !is_injected(InjectedFault::DroppedEarly) => {
@@ -254,7 +262,7 @@
             let Some(records) = self.records.get_mut(&work) else { continue };
             let before = records.len();
             // What answered early has been kept longer than it has to be: one date each is enough.
-            records.retain(|record| record.kept.plus_ms(self.longest_ms + LEFT_ALONE_MS + recall_ms) > at);
+            records.retain(|record| record.kept.plus_ms(self.longest_ms + QUIET_PERIOD_MS + recall_ms) > at);
             self.count -= before - records.len();
             if records.is_empty() {
                 self.records.remove(&work);
@@ -273,13 +281,13 @@
     fn a_full_keeper_refuses_takes_again_and_has_no_room_to_spare() {
         let (at, from) = (|ms: u64| Timestamp((100_000_000 + ms) * 1_000_000), UnitName("n3".into()));
         let view = View { voter_slots: vec![UnitName("n0".into())], hears: true, ..View::default() };
-        let mut keeper = Keeper::new(at(0), 6_000, 5_000);
-        let keep = |keeper: &mut Keeper, ms: u64, count: u64| {
+        let mut replica = Replica::new(at(0), 6_000, 5_000);
+        let keep = |replica: &mut Replica, ms: u64, count: u64| {
             let id = RecordId { owner: from.clone(), incarnation: Incarnation(1), count };
             let (term, version, repeat, over, no) = (0, 0, false, vec![], 1);
             let intent = Intent {
                 id,
-                work: Work(count),
+                work: WorkId(count),
                 term,
                 version,
                 repeat,
@@ -288,17 +296,17 @@
                 no,
                 left_ms: 1_500,
             };
-            match keeper.take(at(ms), &from, Word::Keep(intent), &view) {
-                Some(Word::Judged { verdict, .. }) => verdict,
+            match replica.take(at(ms), &from, ReplicaMessage::StoreIntent(intent), &view) {
+                Some(ReplicaMessage::IntentReply { verdict, .. }) => verdict,
                 other => panic!("{other:?}"),
             }
         };
         let most = MOST as u64;
-        assert!((0..most).all(|count| keep(&mut keeper, 0, count) == Verdict::Kept));
-        assert_eq!(keep(&mut keeper, 0, most), Verdict::NotNow);
-        assert!(keeper.records.values().all(|records| records.capacity() == 1));
-        keeper.tick(at(11_600));
-        assert_eq!(keeper.held(), 0);
-        assert_eq!(keep(&mut keeper, 11_600, most), Verdict::Kept);
+        assert!((0..most).all(|count| keep(&mut replica, 0, count) == IntentVerdict::Accepted));
+        assert_eq!(keep(&mut replica, 0, most), IntentVerdict::Unavailable);
+        assert!(replica.records.values().all(|records| records.capacity() == 1));
+        replica.tick(at(11_600));
+        assert_eq!(replica.held(), 0);
+        assert_eq!(keep(&mut replica, 11_600, most), IntentVerdict::Accepted);
     }
 }
--- a/crates/takeover/src/estate.rs
+++ b/crates/takeover/src/warm_state.rs
@@ -12,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::{View, Work, name_number};
+use crate::{View, WorkId, name_number};
 
-/// Of the three keepers that a node's name draws, so many keep for it: hints need no majority, and one may be lost.
-const KEEPERS_OF_ONE: usize = 2;
+/// Of the three replicas that a node's name draws, so many keep for it: hints need no majority, and one may be lost.
+const REPLICAS_PER_NODE: usize = 2;
 
-/// Whoever has nothing new to say shows so often that its keepers are in step. A keeper that missed its last word does not
+/// Whoever has nothing new to say shows so often that its replicas are in step. A replica that missed its last word does not
 /// know it before.
 const SAY_ANYWAY_MS: u64 = 5_000;
 
@@ -29,23 +29,23 @@
 /// Told later than this it is of no use any more.
 const OF_USE_MS: u64 = 2_000;
 
-/// Danger: when many are lost at once a keeper would say each of them to everybody in one turn.
+/// Danger: when many are lost at once a replica would say each of them to everybody in one turn.
 const MOST_A_TICK: usize = 64;
 
-/// What one node may have kept: some 24 bytes each at a keeper.
-pub const MOST: usize = 4_096;
+/// What one node may have kept: some 24 bytes each at a replica.
+pub const MAX_HINTS: usize = 4_096;
 
-/// What a keeper has of a node that stays away goes after this, and so does the memory of having heard it.
+/// What a replica has of a node that stays away goes after this, and so does the memory of having heard it.
 const FORGET_MS: u64 = 60_000;
 
-/// Told of the same process again within this, a node takes it for the other keeper's word, which is at most 2 s in a queue
+/// Told of the same process again within this, a node takes it for the other replica's word, which is at most 2 s in a queue
 /// and as much later as the other's link fell silent. Danger: of a node that is lost soon after a false alarm nobody would
 /// be told; with 10 s drawn days met that.
 const ONCE_MS: u64 = 4_000;
 
 /// One thing that is known, by any numbers that mean the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Known {
+pub enum Hint {
     /// A host has connections of a group.
     Home { group: u64, host: u64 },
     /// What a client's connection asks for is told.
@@ -53,29 +53,29 @@
 }
 
 /// A load in millionths of work a second, or 1 for a home.
-pub type Facts = BTreeMap<Known, u32>;
+pub type Hints = BTreeMap<Hint, u32>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
-    /// A node to its keepers: what has changed since its word of the number `since`, or all there is.
-    Tell {
+pub enum WarmStateMessage {
+    /// A node to its replicas: what has changed since its word of the number `since`, or all there is.
+    Update {
         incarnation: Incarnation,
         no: u32,
         since: Option<u32>,
-        changes: Vec<(Known, Option<u32>)>,
+        changes: Vec<(Hint, Option<u32>)>,
         parting: bool,
     },
-    /// A keeper has missed something, and has to be told all.
-    Behind { incarnation: Incarnation },
-    /// A keeper to everybody: this node has gone.
-    Gone { of: UnitName, incarnation: Incarnation, facts: Vec<(Known, u32)> },
+    /// A replica has missed something, and has to be told all.
+    OutOfSync { incarnation: Incarnation },
+    /// A replica to everybody: this node has gone.
+    NodeGone { of: UnitName, incarnation: Incarnation, hints: Vec<(Hint, u32)> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Do {
-    Say(UnitName, Said),
+pub enum WarmStateAction {
+    Send(UnitName, WarmStateMessage),
     /// The clients of a node that has gone come to this one and others.
-    Expect(UnitName, Vec<(Known, u32)>),
+    Adopt(UnitName, Vec<(Hint, u32)>),
 }
 
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
     /// The process before it. Danger: its words may come late.
     before: Option<Incarnation>,
     no: u32,
-    facts: Facts,
+    hints: Hints,
     /// It had a link then.
     linked: Timestamp,
     parting: bool,
@@ -93,15 +93,15 @@
 
 /// One node's part: what it has others keep, what it keeps, and what it has heard.
 #[derive(Clone, Debug)]
-pub struct Estates {
+pub struct WarmStateExchange {
     me: UnitName,
     incarnation: Incarnation,
-    said: Facts,
+    said: Hints,
     no: u32,
     said_at: Timestamp,
     parting: bool,
-    /// Its keepers, and whether each has been told all there was.
-    keepers: BTreeMap<UnitName, bool>,
+    /// Its replicas, and whether each has been told all there was.
+    replicas: BTreeMap<UnitName, bool>,
     kept: BTreeMap<UnitName, Kept>,
     /// To whom which node's is still to be told, since when.
     queue: VecDeque<(Timestamp, UnitName, UnitName)>,
@@ -110,27 +110,27 @@
 }
 
 /// Who keeps for a node: the same at all who know the same seats.
-pub fn keepers_of(view: &View, of: &UnitName) -> Vec<UnitName> {
-    let mut keepers = view.keepers(Work(name_number(of)));
-    keepers.retain(|keeper| keeper != of);
-    keepers.truncate(KEEPERS_OF_ONE);
-    keepers
+pub fn replicas_of(view: &View, of: &UnitName) -> Vec<UnitName> {
+    let mut replicas = view.replicas(WorkId(name_number(of)));
+    replicas.retain(|replica| replica != of);
+    replicas.truncate(REPLICAS_PER_NODE);
+    replicas
 }
 
-fn listed(facts: &Facts) -> Vec<(Known, u32)> {
-    facts.iter().map(|(known, of)| (*known, *of)).collect()
+fn listed(hints: &Hints) -> Vec<(Hint, u32)> {
+    hints.iter().map(|(known, of)| (*known, *of)).collect()
 }
 
-impl Estates {
-    pub fn new(now: Timestamp, me: UnitName, incarnation: Incarnation) -> Estates {
-        Estates {
+impl WarmStateExchange {
+    pub fn new(now: Timestamp, me: UnitName, incarnation: Incarnation) -> WarmStateExchange {
+        WarmStateExchange {
             me,
             incarnation,
-            said: Facts::new(),
+            said: Hints::new(),
             no: 0,
             said_at: now,
             parting: false,
-            keepers: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             kept: BTreeMap::new(),
             queue: VecDeque::new(),
             heard: BTreeMap::new(),
@@ -139,48 +139,54 @@
 
     /// What this process keeps for others: nodes, and things known of them.
     pub fn held(&self) -> (usize, usize) {
-        (self.kept.len(), self.kept.values().map(|kept| kept.facts.len()).sum())
+        (self.kept.len(), self.kept.values().map(|kept| kept.hints.len()).sum())
     }
 
     /// What it has of a node.
-    pub fn kept(&self, of: &UnitName) -> Option<&Facts> {
-        self.kept.get(of).map(|kept| &kept.facts)
+    pub fn kept(&self, of: &UnitName) -> Option<&Hints> {
+        self.kept.get(of).map(|kept| &kept.hints)
     }
 
     /// What this node knows now, once a second, and who has a link to it. `parting`: it sends its clients away as planned.
     pub fn tell(
         &mut self,
         now: Timestamp,
-        mut facts: Facts,
+        mut hints: Hints,
         parting: bool,
         view: &View,
         linked: &BTreeSet<UnitName>,
-    ) -> Vec<Do> {
-        while facts.len() > MOST {
-            facts.pop_last();
+    ) -> Vec<WarmStateAction> {
+        while hints.len() > MAX_HINTS {
+            hints.pop_last();
         }
-        let gone = self.said.keys().filter(|known| !facts.contains_key(known)).map(|known| (*known, None));
-        let news = facts.iter().filter(|(known, of)| self.said.get(known) != Some(of));
+        let gone = self.said.keys().filter(|known| !hints.contains_key(known)).map(|known| (*known, None));
+        let news = hints.iter().filter(|(known, of)| self.said.get(known) != Some(of));
         let changes: Vec<_> = gone.chain(news.map(|(known, of)| (*known, Some(*of)))).collect();
         let since = self.no;
         let turns = parting != self.parting;
-        (self.said, self.parting) = (facts, parting);
+        (self.said, self.parting) = (hints, parting);
         self.no += u32::from(!changes.is_empty());
-        let mut keepers = keepers_of(view, &self.me);
-        keepers.retain(|keeper| linked.contains(keeper));
-        self.keepers.retain(|keeper, _| keepers.contains(keeper));
+        let mut replicas = replicas_of(view, &self.me);
+        replicas.retain(|replica| linked.contains(replica));
+        self.replicas.retain(|replica, _| replicas.contains(replica));
         let anyway = turns || now.ms_since(self.said_at) >= SAY_ANYWAY_MS;
         let speaks = !changes.is_empty() || anyway;
         let mut acts = Vec::new();
-        for keeper in keepers {
-            let in_step = self.keepers.insert(keeper.clone(), true).unwrap_or(false);
+        for replica in replicas {
+            let in_step = self.replicas.insert(replica.clone(), true).unwrap_or(false);
             let (since, changes) = match in_step {
                 true if !speaks => continue,
                 true => (Some(since), changes.clone()),
                 false => (None, self.said.iter().map(|(known, of)| (*known, Some(*of))).collect()),
             };
-            let said = Said::Tell { incarnation: self.incarnation, no: self.no, since, changes, parting };
-            acts.push(Do::Say(keeper, said));
+            let said = WarmStateMessage::Update {
+                incarnation: self.incarnation,
+                no: self.no,
+                since,
+                changes,
+                parting,
+            };
+            acts.push(WarmStateAction::Send(replica, said));
         }
         if speaks {
             self.said_at = now;
@@ -188,26 +194,32 @@
         acts
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: &UnitName, said: Said, view: &View) -> Vec<Do> {
+    pub fn heard(
+        &mut self,
+        now: Timestamp,
+        from: &UnitName,
+        said: WarmStateMessage,
+        view: &View,
+    ) -> Vec<WarmStateAction> {
         match said {
-            Said::Tell { incarnation, no, since, changes, parting } => {
+            WarmStateMessage::Update { incarnation, no, since, changes, parting } => {
                 if self.keep(now, from, (incarnation, no, since), changes, parting) {
                     return vec![];
                 }
-                vec![Do::Say(from.clone(), Said::Behind { incarnation })]
+                vec![WarmStateAction::Send(from.clone(), WarmStateMessage::OutOfSync { incarnation })]
             }
-            Said::Behind { incarnation } => {
+            WarmStateMessage::OutOfSync { incarnation } => {
                 if incarnation == self.incarnation && !is_injected(InjectedFault::NeverWhole) {
-                    self.keepers.entry(from.clone()).and_modify(|in_step| *in_step = false);
+                    self.replicas.entry(from.clone()).and_modify(|in_step| *in_step = false);
                 }
                 vec![]
             }
-            Said::Gone { of, incarnation, facts } => {
+            WarmStateMessage::NodeGone { of, incarnation, hints } => {
                 // Whoever holds no seat keeps nothing, and has nothing to tell.
                 if of == self.me || !view.voter_slots.contains(from) || !self.is_news(now, &of, incarnation) {
                     return vec![];
                 }
-                vec![Do::Expect(of, facts)]
+                vec![WarmStateAction::Adopt(of, hints)]
             }
         }
     }
@@ -228,7 +240,7 @@
         now: Timestamp,
         from: &UnitName,
         (incarnation, no, since): (Incarnation, u32, Option<u32>),
-        changes: Vec<(Known, Option<u32>)>,
+        changes: Vec<(Hint, Option<u32>)>,
         parting: bool,
     ) -> bool {
         let of = self.kept.get(from);
@@ -246,29 +258,29 @@
             return true;
         }
         let follows = |kept: &&Kept| since == Some(kept.no) || is_injected(InjectedFault::AnySince);
-        let mut facts = match (since, known.filter(follows)) {
-            (None, _) => Facts::new(),
-            (_, Some(kept)) => kept.facts.clone(),
+        let mut hints = match (since, known.filter(follows)) {
+            (None, _) => Hints::new(),
+            (_, Some(kept)) => kept.hints.clone(),
             // Said again what is here already.
             (Some(_), None) => return known.is_some_and(|kept| kept.no == no),
         };
         for (known, of) in changes {
             let _ = match of {
-                Some(of) => facts.insert(known, of),
-                None => facts.remove(&known),
+                Some(of) => hints.insert(known, of),
+                None => hints.remove(&known),
             };
         }
-        if facts.len() > MOST {
+        if hints.len() > MAX_HINTS {
             self.kept.remove(from);
             return true;
         }
         let told = parting && self.kept.get(from).is_some_and(|kept| kept.parting && kept.told);
-        self.kept.insert(from.clone(), Kept { incarnation, before, no, facts, linked: now, parting, told });
+        self.kept.insert(from.clone(), Kept { incarnation, before, no, hints, linked: now, parting, told });
         true
     }
 
     /// To be told ten times a second: who has a link to this node now.
-    pub fn tick(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<Do> {
+    pub fn tick(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<WarmStateAction> {
         let has_link = |of: &UnitName| linked.contains(of);
         let mut acts = Vec::new();
         let stays =
@@ -282,7 +294,7 @@
                 kept.told &= kept.parting;
             }
             let is_gone = kept.parting || now.ms_since(kept.linked) >= GONE_MS;
-            if is_gone && !std::mem::replace(&mut kept.told, true) && !kept.facts.is_empty() {
+            if is_gone && !std::mem::replace(&mut kept.told, true) && !kept.hints.is_empty() {
                 gone.push((of.clone(), kept.incarnation));
             }
         }
@@ -292,7 +304,7 @@
             if self.is_news(now, &of, incarnation)
                 && let Some(kept) = self.kept.get(&of)
             {
-                acts.push(Do::Expect(of, listed(&kept.facts)));
+                acts.push(WarmStateAction::Adopt(of, listed(&kept.hints)));
             }
         }
         for _ in 0..MOST_A_TICK {
@@ -302,9 +314,9 @@
             if back || now.ms_since(since) >= OF_USE_MS {
                 continue;
             }
-            acts.push(Do::Say(
+            acts.push(WarmStateAction::Send(
                 to,
-                Said::Gone { of, incarnation: kept.incarnation, facts: listed(&kept.facts) },
+                WarmStateMessage::NodeGone { of, incarnation: kept.incarnation, hints: listed(&kept.hints) },
             ));
         }
         acts
--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! The core protocol in all its orders: two nodes, two keepers, one client with one once-only work. Words come in any
-//! order, get lost or come twice; the first node dies, or the client leaves it too early; a keeper forgets; the first
+//! The core protocol in all its orders: two nodes, two replicas, one client with one once-only work. Words come in any
+//! order, get lost or come twice; the first node dies, or the client leaves it too early; a replica forgets; the first
 //! node is called lost, and each hears of that at a moment of its own; time passes at any moment.
 
 use std::collections::BTreeMap;
@@ -9,14 +9,14 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::fault_injection::{InjectedFault, inject};
-use glendeck_takeover::{Attempt, Outcome, Step, Takeover, View, Word, Work};
+use glendeck_takeover::{Action, Attempt, Outcome, ReplicaMessage, Takeover, View, WorkId};
 use stateright::{Checker, Model, Property};
 use test_case::test_case;
 
 const NAMES: [&str; 4] = ["a", "b", "k", "l"];
 const A: usize = 0;
 const B: usize = 1;
-const KEEPERS: [usize; 2] = [2, 3];
+const REPLICAS: [usize; 2] = [2, 3];
 const CALL: u64 = 1;
 const RECALL: u64 = 4_000;
 const LONGEST: u64 = 1_500;
@@ -32,7 +32,7 @@
     now: u64,
     nodes: Vec<Option<Takeover>>,
     /// From, to, word.
-    net: Vec<(usize, usize, Word)>,
+    net: Vec<(usize, usize, ReplicaMessage)>,
     term: u64,
     /// What each knows of it.
     heard: Vec<u64>,
@@ -48,7 +48,7 @@
 
 impl Spot {
     fn text(&self) -> String {
-        let mut net: Vec<String> = self.net.iter().map(|word| format!("{word:?}")).collect();
+        let mut net: Vec<String> = self.net.iter().map(|message| format!("{message:?}")).collect();
         net.sort();
         format!(
             "{} {:?} {net:?} {} {:?} {:?} {} {} {:?} {} {} {}",
@@ -72,7 +72,7 @@
 
     fn view(&self, at: usize) -> View {
         View {
-            voter_slots: KEEPERS.map(name).to_vec(),
+            voter_slots: REPLICAS.map(name).to_vec(),
             version: 0,
             hears: true,
             terms: [(name(A), self.heard[at])].into(),
@@ -82,26 +82,26 @@
     fn act(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at] else { return };
         let now = Timestamp::ms(self.now);
-        for step in takeover.take_all() {
-            match step {
-                Step::Say(to, word) => {
+        for action in takeover.take_all() {
+            match action {
+                Action::Send(to, message) => {
                     let to = NAMES.iter().position(|name| *name == to.0).unwrap();
-                    self.net.push((at, to, word));
+                    self.net.push((at, to, message));
                 }
-                Step::Go(_) => {
+                Action::Proceed(_) => {
                     self.ran += 1;
                     self.in_hand.insert(at, true);
                 }
-                Step::Place(_, None) => self.intend(at),
-                Step::InHand(_) => {
+                Action::Admit(_, None) => self.intend(at),
+                Action::InFlightElsewhere(_) => {
                     if let Some(takeover) = &mut self.nodes[at] {
-                        takeover.returned(now, CALL, Work(1), LONGEST);
+                        takeover.returned(now, CALL, WorkId(1), LONGEST);
                     }
                     self.act(at);
                 }
                 // Once-only: what may have run is released.
-                Step::Place(_, Some(_)) | Step::GiveUp(_) => self.answer(at, "released"),
-                Step::Unkept(_) => self.answer(at, "busy"),
+                Action::Admit(_, Some(_)) | Action::Fail(_) => self.answer(at, "released"),
+                Action::NotReplicated(_) => self.answer(at, "busy"),
             }
         }
     }
@@ -109,7 +109,7 @@
     fn intend(&mut self, at: usize) {
         let now = self.timestamp();
         let attempt =
-            Attempt { work: Work(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
+            Attempt { work: WorkId(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
         if let Some(takeover) = &mut self.nodes[at] {
             takeover.intend(now, CALL, attempt);
         }
@@ -160,7 +160,7 @@
     /// The client leaves the first node, which does not notice, and comes to the second.
     ComesAgain,
     Forgets(usize),
-    Verdict,
+    IntentVerdict,
     Hears(usize),
 }
 
@@ -236,10 +236,10 @@
         }
         // Where both may forget, only after something has run: there are too many orders else.
         if spot.forgot < self.forgets && (self.forgets < 2 || spot.ran > 0 && spot.nodes[A].is_none()) {
-            actions.extend(KEEPERS.map(Event::Forgets));
+            actions.extend(REPLICAS.map(Event::Forgets));
         }
         if spot.term < self.verdicts {
-            actions.push(Event::Verdict);
+            actions.push(Event::IntentVerdict);
         }
         actions.extend((0..4).filter(|at| spot.heard[*at] < spot.term).map(Event::Hears));
     }
@@ -250,9 +250,9 @@
         let now = spot.timestamp();
         match event {
             Event::Arrives(at) => {
-                let (from, to, word) = spot.net.remove(at);
+                let (from, to, message) = spot.net.remove(at);
                 if let Some(takeover) = &mut spot.nodes[to] {
-                    takeover.heard(now, &name(from), word);
+                    takeover.heard(now, &name(from), message);
                 }
                 spot.act(to);
             }
@@ -261,8 +261,8 @@
                 spot.lost += 1;
             }
             Event::Twice(at) => {
-                let word = spot.net[at].clone();
-                spot.net.push(word);
+                let message = spot.net[at].clone();
+                spot.net.push(message);
                 spot.doubled += 1;
             }
             Event::Passes => {
@@ -284,7 +284,7 @@
                 spot.came_again = true;
                 spot.in_hand.insert(B, false);
                 if let Some(takeover) = &mut spot.nodes[B] {
-                    takeover.returned(now, CALL, Work(1), LONGEST);
+                    takeover.returned(now, CALL, WorkId(1), LONGEST);
                 }
                 spot.act(B);
             }
@@ -295,7 +295,7 @@
                 spot.nodes[at] = Some(fresh);
                 spot.forgot += 1;
             }
-            Event::Verdict => spot.term = 1,
+            Event::IntentVerdict => spot.term = 1,
             Event::Hears(at) => {
                 spot.heard[at] = spot.term;
                 let view = spot.view(at);
--- a/crates/takeover/tests/estates.rs
+++ b/crates/takeover/tests/warm_state.rs
@@ -8,8 +8,10 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::View;
-use glendeck_takeover::estate::{Do, Estates, Facts, Known, Said, keepers_of};
 use glendeck_takeover::fault_injection::{InjectedFault, inject};
+use glendeck_takeover::warm_state::{
+    Hint, Hints, WarmStateAction, WarmStateExchange, WarmStateMessage, replicas_of,
+};
 use nanorand::{Rng, WyRand};
 use test_case::test_case;
 
@@ -22,7 +24,7 @@
 
 enum Event {
     Tick,
-    Said(usize, u64, usize, Said),
+    WarmStateMessage(usize, u64, usize, WarmStateMessage),
     Fault(Fault),
 }
 
@@ -37,12 +39,12 @@
 }
 
 struct Node {
-    estates: Option<Estates>,
+    warm_states: Option<WarmStateExchange>,
     incarnation: u64,
     since: u64,
     parting: bool,
     next_tell: u64,
-    facts: Facts,
+    hints: Hints,
     said: u64,
 }
 
@@ -57,8 +59,8 @@
     cuts: BTreeMap<(usize, usize), (u64, u64)>,
     /// Of a hundred words: lost, said twice and late.
     noise: [u64; 2],
-    history: BTreeMap<(usize, u64, u64), Facts>,
-    /// The last that a keeper was seen to have of a process.
+    history: BTreeMap<(usize, u64, u64), Hints>,
+    /// The last that a replica was seen to have of a process.
     marks: BTreeMap<(usize, u64, usize, u64), u64>,
     told: BTreeMap<(usize, u64, usize, u64), u64>,
     kills: Vec<(u64, usize, u64)>,
@@ -79,9 +81,9 @@
 }
 
 /// Of which process it is, and the so-manieth that it said.
-fn mark(facts: impl IntoIterator<Item = Known>) -> Option<(u64, u64)> {
-    facts.into_iter().find_map(|known| match known {
-        Known::Home { group, host } if group % 1_000 == MARK => Some((group / 1_000, host)),
+fn mark(hints: impl IntoIterator<Item = Hint>) -> Option<(u64, u64)> {
+    hints.into_iter().find_map(|known| match known {
+        Hint::Home { group, host } if group % 1_000 == MARK => Some((group / 1_000, host)),
         _ => None,
     })
 }
@@ -93,12 +95,12 @@
 impl World {
     fn new(seed: u64, noise: [u64; 2], faults: Vec<(u64, Fault)>) -> World {
         let fresh = |_| Node {
-            estates: None,
+            warm_states: None,
             incarnation: 0,
             since: 0,
             parting: false,
             next_tell: 0,
-            facts: Facts::new(),
+            hints: Hints::new(),
             said: 0,
         };
         let mut world = World {
@@ -164,16 +166,16 @@
     }
 
     fn start(&mut self, at: usize) {
-        if self.nodes[at].estates.is_some() {
+        if self.nodes[at].warm_states.is_some() {
             return;
         }
         let (timestamp, first) = (self.timestamp(), self.now + self.roll(1_000));
         let node = &mut self.nodes[at];
         node.incarnation += 1;
         let incarnation = Incarnation(node.incarnation * 10 + at as u64);
-        node.estates = Some(Estates::new(timestamp, name(at), incarnation));
+        node.warm_states = Some(WarmStateExchange::new(timestamp, name(at), incarnation));
         (node.since, node.parting, node.next_tell) = (self.now, false, first);
-        (node.facts, node.said) = (Facts::new(), 0);
+        (node.hints, node.said) = (Hints::new(), 0);
     }
 
     /// As a node sees it: a cut shows when the link has been silent for long.
@@ -182,7 +184,7 @@
         let seen = cut.0 <= self.now || self.now < cut.1 + SILENT;
         at != to
             && (at < SEATS || to < SEATS)
-            && self.nodes[to].estates.is_some()
+            && self.nodes[to].warm_states.is_some()
             && self.now >= cut.1
             && seen
     }
@@ -198,12 +200,12 @@
             self.now = at;
             match self.events.remove(&seq) {
                 Some(Event::Tick) => self.tick(),
-                Some(Event::Said(to, incarnation, from, said))
+                Some(Event::WarmStateMessage(to, incarnation, from, said))
                     if self.nodes[to].incarnation == incarnation =>
                 {
                     let timestamp = self.timestamp();
-                    let Some(estates) = &mut self.nodes[to].estates else { continue };
-                    let acts = estates.heard(timestamp, &name(from), said, &view());
+                    let Some(warm_states) = &mut self.nodes[to].warm_states else { continue };
+                    let acts = warm_states.heard(timestamp, &name(from), said, &view());
                     self.act(to, acts);
                 }
                 Some(Event::Fault(fault)) => self.strike(fault),
@@ -217,7 +219,7 @@
         match fault {
             Fault::Kill(at) => {
                 let node = &mut self.nodes[at];
-                if node.estates.take().is_some() && !node.parting && self.now > node.since + 7_000 {
+                if node.warm_states.take().is_some() && !node.parting && self.now > node.since + 7_000 {
                     self.kills.push((self.now, at, node.incarnation));
                 }
             }
@@ -233,7 +235,7 @@
         let timestamp = self.timestamp();
         for at in 0..NODES {
             let (linked, tells) = (self.links(at), self.now >= self.nodes[at].next_tell);
-            if self.nodes[at].estates.is_none() {
+            if self.nodes[at].warm_states.is_none() {
                 continue;
             }
             let mut acts = Vec::new();
@@ -241,12 +243,12 @@
                 self.learn(at);
                 let node = &mut self.nodes[at];
                 node.next_tell = self.now + 1_000;
-                if let Some(estates) = &mut node.estates {
-                    acts = estates.tell(timestamp, node.facts.clone(), node.parting, &view(), &linked);
+                if let Some(warm_states) = &mut node.warm_states {
+                    acts = warm_states.tell(timestamp, node.hints.clone(), node.parting, &view(), &linked);
                 }
             }
-            if let Some(estates) = &mut self.nodes[at].estates {
-                acts.extend(estates.tick(timestamp, &linked));
+            if let Some(warm_states) = &mut self.nodes[at].warm_states {
+                acts.extend(warm_states.tick(timestamp, &linked));
             }
             self.act(at, acts);
         }
@@ -260,34 +262,34 @@
             let (incarnation, which, load) =
                 (self.nodes[at].incarnation, self.roll(20), self.roll(900) as u32);
             let known = match self.roll(2) {
-                0 => Known::Home { group: incarnation * 1_000 + which, host: which % 5 },
-                _ => Known::Load { subject: incarnation * 1_000 + which },
+                0 => Hint::Home { group: incarnation * 1_000 + which, host: which % 5 },
+                _ => Hint::Load { subject: incarnation * 1_000 + which },
             };
             let gone = self.roll(3) == 0;
-            let facts = &mut self.nodes[at].facts;
-            let _ = if gone { facts.remove(&known) } else { facts.insert(known, load) };
+            let hints = &mut self.nodes[at].hints;
+            let _ = if gone { hints.remove(&known) } else { hints.insert(known, load) };
         }
         let node = &mut self.nodes[at];
-        let marked = |incarnation, host| Known::Home { group: incarnation * 1_000 + MARK, host };
-        node.facts.remove(&marked(node.incarnation, node.said));
+        let marked = |incarnation, host| Hint::Home { group: incarnation * 1_000 + MARK, host };
+        node.hints.remove(&marked(node.incarnation, node.said));
         node.said += 1;
-        node.facts.insert(marked(node.incarnation, node.said), 1);
-        self.history.insert((at, node.incarnation, node.said), node.facts.clone());
+        node.hints.insert(marked(node.incarnation, node.said), 1);
+        self.history.insert((at, node.incarnation, node.said), node.hints.clone());
     }
 
-    fn act(&mut self, at: usize, acts: Vec<Do>) {
+    fn act(&mut self, at: usize, acts: Vec<WarmStateAction>) {
         for act in acts {
             match act {
-                Do::Say(to, said) => self.send(at, number(&to), said),
-                Do::Expect(of, facts) => {
+                WarmStateAction::Send(to, said) => self.send(at, number(&to), said),
+                WarmStateAction::Adopt(of, hints) => {
                     let of = number(&of);
-                    let facts: Facts = facts.into_iter().collect();
-                    let Some((incarnation, said)) = mark(facts.keys().copied()) else {
+                    let hints: Hints = hints.into_iter().collect();
+                    let Some((incarnation, said)) = mark(hints.keys().copied()) else {
                         self.break_rule(format!("n{at} is told of n{of} what nobody said"));
                         continue;
                     };
                     self.heard += 1;
-                    self.check_whole(at, of, &facts);
+                    self.check_whole(at, of, &hints);
                     let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     if self.told.get(&mine).is_some_and(|before| self.now < before + 4_000) {
                         self.break_rule(format!("n{at} is told twice of n{of}, said {said}"));
@@ -298,7 +300,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, said: Said) {
+    fn send(&mut self, from: usize, to: usize, said: WarmStateMessage) {
         let [lost, twice] = self.noise;
         let cut = self.cuts.get(&pair(from, to)).copied().unwrap_or_default();
         if !self.linked(from, to) || self.now < cut.0 {
@@ -307,33 +309,33 @@
         let (ms, incarnation) = (1 + self.roll(5), self.nodes[to].incarnation);
         if self.roll(100) < twice {
             let later = ms + self.roll(2_500);
-            self.at(later, Event::Said(to, incarnation, from, said.clone()));
+            self.at(later, Event::WarmStateMessage(to, incarnation, from, said.clone()));
         }
         if self.roll(100) >= lost {
-            self.at(ms, Event::Said(to, incarnation, from, said));
+            self.at(ms, Event::WarmStateMessage(to, incarnation, from, said));
         }
     }
 
     // What has to hold.
 
     /// It is what one process knew at one moment, whole.
-    fn check_whole(&mut self, at: usize, of: usize, facts: &Facts) {
-        let was = mark(facts.keys().copied())
+    fn check_whole(&mut self, at: usize, of: usize, hints: &Hints) {
+        let was = mark(hints.keys().copied())
             .and_then(|(incarnation, said)| self.history.get(&(of, incarnation, said)));
-        if was != Some(facts) {
-            self.break_rule(format!("n{at} has of n{of} what it never knew at one moment: {facts:?}"));
+        if was != Some(hints) {
+            self.break_rule(format!("n{at} has of n{of} what it never knew at one moment: {hints:?}"));
         }
     }
 
     fn check_keepers(&mut self) {
         for at in 0..SEATS {
             for of in 0..NODES {
-                let Some(estates) = &self.nodes[at].estates else { continue };
-                let kept = estates.kept(&name(of)).cloned();
-                if let Some(facts) = &kept {
-                    self.check_whole(at, of, facts);
+                let Some(warm_states) = &self.nodes[at].warm_states else { continue };
+                let kept = warm_states.kept(&name(of)).cloned();
+                if let Some(hints) = &kept {
+                    self.check_whole(at, of, hints);
                 }
-                let had = kept.and_then(|facts| mark(facts.keys().copied()));
+                let had = kept.and_then(|hints| mark(hints.keys().copied()));
                 if let Some((incarnation, said)) = had {
                     let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     let before = self.marks.insert(mine, said);
@@ -341,12 +343,12 @@
                         self.break_rule(format!("n{at} goes back from {before:?} to {said} of n{of}"));
                     }
                 }
-                // In peace a keeper has what was said within the last two seconds, once it has had time to hear all.
+                // In peace a replica has what was said within the last two seconds, once it has had time to hear all.
                 let (one, other) = (&self.nodes[at], &self.nodes[of]);
                 let quiet = self.now > one.since.max(other.since) + 7_000
                     && self.cuts.get(&pair(at, of)).is_none_or(|cut| self.now > cut.0.max(cut.1) + 7_000);
-                let keeps = keepers_of(&view(), &name(of)).contains(&name(at));
-                let well = self.noise == [0, 0] && quiet && keeps && other.estates.is_some();
+                let keeps = replicas_of(&view(), &name(of)).contains(&name(at));
+                let well = self.noise == [0, 0] && quiet && keeps && other.warm_states.is_some();
                 if well
                     && had.is_none_or(|(incarnation, said)| {
                         incarnation != other.incarnation || said + 2 < other.said
@@ -361,7 +363,7 @@
         }
     }
 
-    /// Everybody who is linked to a keeper of it is told of a node that was killed, in time to be of use.
+    /// Everybody who is linked to a replica of it is told of a node that was killed, in time to be of use.
     fn check_kills(&mut self) {
         let due: Vec<_> = self.kills.iter().copied().filter(|kill| self.now >= kill.0 + 600).collect();
         self.kills.retain(|kill| self.now < kill.0 + 600);
@@ -369,24 +371,24 @@
         for (killed, of, incarnation) in due {
             // Back within that, or an uneasy time: nothing is asked.
             let uneasy = self.noise != [0, 0]
-                || self.nodes[of].estates.is_some()
+                || self.nodes[of].warm_states.is_some()
                 || self.nodes[of].incarnation != incarnation
                 || self.cuts.values().any(|cut| !quiet(cut.0.max(cut.1), killed));
-            let keeper = keepers_of(&view(), &name(of))
+            let replica = replicas_of(&view(), &name(of))
                 .iter()
                 .map(number)
-                .find(|at| self.nodes[*at].estates.is_some() && quiet(self.nodes[*at].since, killed));
-            let Some(keeper) = keeper.filter(|_| !uneasy) else { continue };
+                .find(|at| self.nodes[*at].warm_states.is_some() && quiet(self.nodes[*at].since, killed));
+            let Some(replica) = replica.filter(|_| !uneasy) else { continue };
             for at in (0..NODES).filter(|at| *at != of) {
                 let node = &self.nodes[at];
-                let there = node.estates.is_some() && quiet(node.since, killed);
+                let there = node.warm_states.is_some() && quiet(node.since, killed);
                 let told = self
                     .told
                     .get(&(at, node.incarnation, of, incarnation))
                     .is_some_and(|told| *told >= killed);
                 if there && !told {
                     self.break_rule(format!(
-                        "n{at} is not told of n{of}, killed at {killed}, which n{keeper} keeps"
+                        "n{at} is not told of n{of}, killed at {killed}, which n{replica} keeps"
                     ));
                 }
             }
@@ -397,11 +399,11 @@
 fn play(seed: u64) -> World {
     let mut world = World::drawn(seed);
     world.run(60_000);
-    // All but one keeper end: what it keeps of them goes.
+    // All but one replica end: what it keeps of them goes.
     (1..NODES).for_each(|at| world.strike(Fault::Kill(at)));
     world.start(0);
     world.run(90_000);
-    let held = world.nodes[0].estates.as_ref().map(Estates::held);
+    let held = world.nodes[0].warm_states.as_ref().map(WarmStateExchange::held);
     if held != Some((0, 0)) {
         world.break_rule(format!("n0 still keeps {held:?}"));
     }
--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -6,8 +6,11 @@
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::estate::{Known, Said};
-use glendeck_takeover::{Intent, Left, Outcome, RecordId, Shown, Takeover, Verdict, View, Word, Work};
+use glendeck_takeover::warm_state::{Hint, WarmStateMessage};
+use glendeck_takeover::{
+    Intent, IntentVerdict, Outcome, RecordId, RecordView, ReplicaHandover, ReplicaMessage, Takeover, View,
+    WorkId,
+};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
@@ -20,7 +23,7 @@
 fn intent(repeat: bool) -> Intent {
     Intent {
         id: id(3),
-        work: Work(0x1234_5678_9abc),
+        work: WorkId(0x1234_5678_9abc),
         term: 2,
         version: 1,
         repeat,
@@ -31,31 +34,37 @@
     }
 }
 
-fn words() -> Vec<(&'static str, Word)> {
+fn messages() -> Vec<(&'static str, ReplicaMessage)> {
     let shown =
-        Shown { id: id(3), term: 2, first: (81, 120), no: 1, age_ms: 45, open_ms: 800, answered: true };
-    let judged = |verdict| Word::Judged { id: id(3), no: 1, verdict };
+        RecordView { id: id(3), term: 2, first: (81, 120), no: 1, age_ms: 45, open_ms: 800, answered: true };
+    let judged = |verdict| ReplicaMessage::IntentReply { id: id(3), no: 1, verdict };
     vec![
-        ("keep", Word::Keep(intent(false))),
-        ("keep_repeat", Word::Keep(intent(true))),
-        ("judged_kept", judged(Verdict::Kept)),
-        ("judged_others", judged(Verdict::Others)),
-        ("judged_not_now", judged(Verdict::NotNow)),
-        ("look", Word::Look { id: id(4), no: 0, work: Work(5), version: 1 }),
-        ("shown", Word::Shown { id: id(4), no: 0, records: Some(vec![shown]) }),
-        ("shown_nothing", Word::Shown { id: id(4), no: 0, records: None }),
-        ("ended_never_ran", Word::Ended { no: 1, id: id(3), work: Work(5), outcome: Outcome::NeverRan }),
-        ("ended_answered", Word::Ended { no: 1, id: id(3), work: Work(5), outcome: Outcome::Answered }),
+        ("keep", ReplicaMessage::StoreIntent(intent(false))),
+        ("keep_repeat", ReplicaMessage::StoreIntent(intent(true))),
+        ("judged_kept", judged(IntentVerdict::Accepted)),
+        ("judged_others", judged(IntentVerdict::Conflict)),
+        ("judged_not_now", judged(IntentVerdict::Unavailable)),
+        ("look", ReplicaMessage::Query { id: id(4), no: 0, work: WorkId(5), version: 1 }),
+        ("shown", ReplicaMessage::QueryReply { id: id(4), no: 0, records: Some(vec![shown]) }),
+        ("shown_nothing", ReplicaMessage::QueryReply { id: id(4), no: 0, records: None }),
+        (
+            "ended_never_ran",
+            ReplicaMessage::CallEnded { no: 1, id: id(3), work: WorkId(5), outcome: Outcome::NeverRan },
+        ),
+        (
+            "ended_answered",
+            ReplicaMessage::CallEnded { no: 1, id: id(3), work: WorkId(5), outcome: Outcome::Answered },
+        ),
     ]
 }
 
-fn estates() -> Vec<(&'static str, Said)> {
-    let home = Known::Home { group: 4, host: 5 };
-    let load = Known::Load { subject: 6 };
+fn warm_states() -> Vec<(&'static str, WarmStateMessage)> {
+    let home = Hint::Home { group: 4, host: 5 };
+    let load = Hint::Load { subject: 6 };
     vec![
         (
             "tell",
-            Said::Tell {
+            WarmStateMessage::Update {
                 incarnation: Incarnation(77),
                 no: 2,
                 since: Some(1),
@@ -63,31 +72,31 @@
                 parting: true,
             },
         ),
-        ("behind", Said::Behind { incarnation: Incarnation(77) }),
+        ("behind", WarmStateMessage::OutOfSync { incarnation: Incarnation(77) }),
         (
             "gone",
-            Said::Gone {
+            WarmStateMessage::NodeGone {
                 of: UnitName::from("a"),
                 incarnation: Incarnation(77),
-                facts: vec![(home, 1), (load, 250_000)],
+                hints: vec![(home, 1), (load, 250_000)],
             },
         ),
     ]
 }
 
-/// What a keeper leaves that keeps two records, one of them answered.
-fn left() -> Left {
+/// What a replica leaves that keeps two records, one of them answered.
+fn left() -> ReplicaHandover {
     let me = UnitName::from("k");
     let mut takeover = Takeover::new(START, me.clone(), Incarnation(9), 1, 30_000, 3_000);
     let voter_slots = ["k", "l", "m"].map(UnitName::from).to_vec();
     takeover.agreed(START, View { voter_slots, version: 0, hears: true, ..View::default() });
     let owner = UnitName::from("a");
     let later = START.plus_ms(100);
-    let second = Intent { id: id(4), work: Work(7), term: 0, version: 0, ..intent(false) };
+    let second = Intent { id: id(4), work: WorkId(7), term: 0, version: 0, ..intent(false) };
     let first = Intent { term: 0, version: 0, ..intent(false) };
-    takeover.heard(later, &owner, Word::Keep(first));
-    takeover.heard(later, &owner, Word::Keep(second));
-    let ended = Word::Ended { no: 1, id: id(4), work: Work(7), outcome: Outcome::Answered };
+    takeover.heard(later, &owner, ReplicaMessage::StoreIntent(first));
+    takeover.heard(later, &owner, ReplicaMessage::StoreIntent(second));
+    let ended = ReplicaMessage::CallEnded { no: 1, id: id(4), work: WorkId(7), outcome: Outcome::Answered };
     takeover.heard(START.plus_ms(150), &owner, ended);
     takeover.leave(START.plus_ms(200))
 }
@@ -100,10 +109,10 @@
 
 fn frames() -> String {
     let mut text = String::new();
-    for (name, word) in words() {
-        line(&mut text, &format!("word_{name}"), &word);
+    for (name, message) in messages() {
+        line(&mut text, &format!("word_{name}"), &message);
     }
-    for (name, said) in estates() {
+    for (name, said) in warm_states() {
         line(&mut text, &format!("estate_{name}"), &said);
     }
     line(&mut text, "left", &(3u64, left()));
@@ -128,9 +137,11 @@
             .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits"))
             .collect();
         let written = match name.split('_').next() {
-            Some("word") => postcard::to_stdvec(&postcard::from_bytes::<Word>(&bytes).expect(name)),
-            Some("estate") => postcard::to_stdvec(&postcard::from_bytes::<Said>(&bytes).expect(name)),
-            _ => postcard::to_stdvec(&postcard::from_bytes::<(u64, Left)>(&bytes).expect(name)),
+            Some("word") => postcard::to_stdvec(&postcard::from_bytes::<ReplicaMessage>(&bytes).expect(name)),
+            Some("estate") => {
+                postcard::to_stdvec(&postcard::from_bytes::<WarmStateMessage>(&bytes).expect(name))
+            }
+            _ => postcard::to_stdvec(&postcard::from_bytes::<(u64, ReplicaHandover)>(&bytes).expect(name)),
         };
         assert_eq!(written.expect("what was read is written"), bytes, "{name}");
     }
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::{Attempt, Before, Outcome, Step, Takeover, Word, Work};
+use glendeck_takeover::{Action, Attempt, Outcome, PriorAttempt, ReplicaMessage, Takeover, WorkId};
 use nanorand::{Rng, WyRand};
 
 const NODES: usize = 5;
@@ -33,13 +33,13 @@
     Tick,
     /// A client comes to a node with this work, for the so-manieth time.
     Come(usize, usize, u32),
-    Word(usize, u64, usize, Word),
+    ReplicaMessage(usize, u64, usize, ReplicaMessage),
     /// A node reads what has come of a client: its line, or its end.
     Read(usize, u64, u64),
-    Left(usize, u64, u64),
+    ReplicaHandover(usize, u64, u64),
     /// An attempt of a node's call reaches its host.
     AtHost(usize, u64, u64, u32, u64),
-    FromHost(usize, u64, u64, u32, Said),
+    FromHost(usize, u64, u64, u32, WarmStateMessage),
     AttemptDeadline(usize, u64, u64, u32),
     /// A client hears how its coming ended; nothing if it broke.
     Heard(usize, u32, Option<Heard>),
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Said {
+enum WarmStateMessage {
     Up,
     Busy,
     Error,
@@ -149,7 +149,7 @@
                     }
                 }
                 _ => {
-                    // Some at once: keepers with their node, a zone, or all.
+                    // Some at once: replicas with their node, a zone, or all.
                     let some = 1 + roll((1 << NODES) - 1);
                     for at_once in (0..NODES).filter(|node| some >> node & 1 == 1) {
                         faults.push((at, Fault::Kill(at_once)));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// A node that serves and reaches two keepers is called lost: the leader does not hear it.
+    /// A node that serves and reaches two replicas is called lost: the leader does not hear it.
     fn false_verdict(seed: u64) -> Day {
         let mut chance = WyRand::new_seed(seed ^ 0xfa15e);
         let mut roll = |below: u64| chance.generate_range(0..below);
@@ -190,7 +190,7 @@
     time: u32,
     guard: u64,
     attempts: u32,
-    before: Option<Before>,
+    before: Option<PriorAttempt>,
     ran: Option<(u64, Timestamp)>,
     /// The host of the attempt that is to go or is out; whether it is out.
     out: Option<(u64, bool)>,
@@ -209,7 +209,7 @@
     term: u64,
     /// What it showed at the world's beginning, and thousandths that it goes by.
     clock: (u64, u64),
-    left: Option<glendeck_takeover::Left>,
+    left: Option<glendeck_takeover::ReplicaHandover>,
 }
 
 struct OneWork {
@@ -320,7 +320,7 @@
                 open: BTreeMap::new(),
                 done: false,
             });
-            // Early ones come before keepers that have just begun answer for repeats.
+            // Early ones come before replicas that have just begun answer for repeats.
             let (at, node) = match world.day.crowd {
                 Some((node, from, to)) => (from + world.roll(to - from), node),
                 None => (1_000 + world.roll(32_000), world.roll(NODES as u64) as usize),
@@ -372,7 +372,7 @@
     }
 
     pub fn held(&self) -> usize {
-        self.nodes.iter().filter_map(|node| node.takeover.as_ref()).map(|of| of.keeper.held()).sum()
+        self.nodes.iter().filter_map(|node| node.takeover.as_ref()).map(|of| of.replica.held()).sum()
     }
 
     /// What a node's own clock shows. Clocks are apart by hours, and none goes right.
@@ -461,11 +461,13 @@
 
     fn happen(&mut self, event: Event) {
         let whose = match &event {
-            Event::Word(to, incarnation, ..) => Some((*to, *incarnation)),
+            Event::ReplicaMessage(to, incarnation, ..) => Some((*to, *incarnation)),
             Event::FromHost(at, incarnation, ..) | Event::AttemptDeadline(at, incarnation, ..) => {
                 Some((*at, *incarnation))
             }
-            Event::Read(at, incarnation, _) | Event::Left(at, incarnation, _) => Some((*at, *incarnation)),
+            Event::Read(at, incarnation, _) | Event::ReplicaHandover(at, incarnation, _) => {
+                Some((*at, *incarnation))
+            }
             _ => None,
         };
         if let Some((at, incarnation)) = whose {
@@ -484,15 +486,15 @@
                 self.at(100, Event::Tick);
             }
             Event::Come(node, work, time) => self.come(node, work, time),
-            Event::Word(to, _, from, word) => {
+            Event::ReplicaMessage(to, _, from, message) => {
                 let timestamp = self.timestamp(to);
                 if let Some(takeover) = &mut self.nodes[to].takeover {
-                    takeover.heard(timestamp, &name(from), word);
+                    takeover.heard(timestamp, &name(from), message);
                 }
                 self.act(to);
             }
             Event::Read(node, _, call) => self.read(node, call),
-            Event::Left(node, _, call) => self.end(node, call),
+            Event::ReplicaHandover(node, _, call) => self.end(node, call),
             Event::AtHost(node, incarnation, call, attempt, host) => {
                 self.at_host(node, incarnation, call, attempt, host)
             }
@@ -590,7 +592,7 @@
         let Some(held) = self.nodes[node].calls.get_mut(&call) else { return };
         // Its time counts from when it is read, as far as the node knows.
         held.guard = now + GUARD;
-        let of = Work(held.work as u64);
+        let of = WorkId(held.work as u64);
         if held.time > 0 {
             if let Some(takeover) = &mut self.nodes[node].takeover {
                 takeover.returned(timestamp, call, of, GUARD);
@@ -610,7 +612,7 @@
         };
         let incarnation = self.nodes[node].incarnation;
         let unseen = if self.day.impatient > 0 { self.roll(2_500) } else { 0 };
-        self.at(unseen, Event::Left(node, incarnation, call));
+        self.at(unseen, Event::ReplicaHandover(node, incarnation, call));
     }
 
     fn come_again(&mut self, work: usize) {
@@ -706,7 +708,7 @@
         let until = self.then(at, guard - 60);
         let latest = first.map_or(until, |(_, sent)| until.min(sent.plus_ms(WINDOW - 100)));
         let attempt =
-            Attempt { work: Work(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
+            Attempt { work: WorkId(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
         let timestamp = self.timestamp(at);
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = Some((host, false));
@@ -719,35 +721,35 @@
 
     fn act(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at].takeover else { return };
-        for step in takeover.take_all() {
-            match step {
-                Step::Say(to, word) => self.send(at, to.0[1..].parse().unwrap(), word),
-                Step::Go(call) => self.go(at, call),
-                Step::Unkept(call) => {
+        for action in takeover.take_all() {
+            match action {
+                Action::Send(to, message) => self.send(at, to.0[1..].parse().unwrap(), message),
+                Action::Proceed(call) => self.go(at, call),
+                Action::NotReplicated(call) => {
                     let none = self.nodes[at].calls.get_mut(&call).is_some_and(|held| {
                         held.out = None;
                         held.before.is_none() && held.ran.is_none()
                     });
                     self.answer(at, call, if none { Heard::Busy } else { Heard::Released });
                 }
-                Step::InHand(call) => {
+                Action::InFlightElsewhere(call) => {
                     self.seen.raced += 1;
                     let Some(held) = self.nodes[at].calls.get_mut(&call) else { continue };
                     held.out = None;
                     let (work, left) = (held.work, held.guard.saturating_sub(self.now));
                     let timestamp = self.timestamp(at);
                     if let Some(takeover) = &mut self.nodes[at].takeover {
-                        takeover.returned(timestamp, call, Work(work as u64), left);
+                        takeover.returned(timestamp, call, WorkId(work as u64), left);
                     }
                     self.act(at);
                 }
-                Step::Place(call, before) => {
+                Action::Admit(call, before) => {
                     self.seen.over += u64::from(before.is_some());
                     let Some(held) = self.nodes[at].calls.get_mut(&call) else { continue };
                     held.before = before;
                     self.place(at, call);
                 }
-                Step::GiveUp(call) => self.answer(at, call, Heard::Released),
+                Action::Fail(call) => self.answer(at, call, Heard::Released),
             }
         }
     }
@@ -777,8 +779,8 @@
         self.at(limit, Event::AttemptDeadline(at, incarnation, call, attempt));
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
-        self.say(|| format!("n{from} -> n{to}: {word:?}"));
+    fn send(&mut self, from: usize, to: usize, message: ReplicaMessage) {
+        self.say(|| format!("n{from} -> n{to}: {message:?}"));
         let [lost, twice] = self.day.noise;
         let ms = match self.link(from, to) {
             Link::Cut => return,
@@ -787,30 +789,30 @@
         };
         let incarnation = self.nodes[to].incarnation;
         let (damaged, sums) = self.damaged;
-        let word = match damaged > 0 && self.roll(100) < damaged {
+        let message = match damaged > 0 && self.roll(100) < damaged {
             true if sums => return,
-            true => match self.turn_over(&word) {
-                Some(word) => word,
+            true => match self.turn_over(&message) {
+                Some(message) => message,
                 None => return,
             },
-            false => word,
+            false => message,
         };
         if self.roll(100) < twice {
             let later = ms + self.roll(1_500);
-            self.at(later, Event::Word(to, incarnation, from, word.clone()));
+            self.at(later, Event::ReplicaMessage(to, incarnation, from, message.clone()));
         }
         if self.roll(100) >= lost {
-            self.at(ms, Event::Word(to, incarnation, from, word));
+            self.at(ms, Event::ReplicaMessage(to, incarnation, from, message));
         }
     }
 
     /// One bit of it, if it can still be read.
-    fn turn_over(&mut self, word: &Word) -> Option<Word> {
-        let mut bytes = postcard::to_stdvec(word).unwrap();
+    fn turn_over(&mut self, message: &ReplicaMessage) -> Option<ReplicaMessage> {
+        let mut bytes = postcard::to_stdvec(message).unwrap();
         let bit = self.roll(bytes.len() as u64 * 8) as usize;
         bytes[bit / 8] ^= 1 << (bit % 8);
         match postcard::take_from_bytes(&bytes) {
-            Ok((word, [])) => Some(word),
+            Ok((message, [])) => Some(message),
             _ => None,
         }
     }
@@ -826,17 +828,17 @@
         if way < busy {
             // Some only after a while in a queue.
             let ms = if self.roll(2) == 0 { soon } else { 300 + self.roll(LEG - 310) };
-            return self.at(ms, Event::FromHost(node, incarnation, call, attempt, Said::Busy));
+            return self.at(ms, Event::FromHost(node, incarnation, call, attempt, WarmStateMessage::Busy));
         }
         self.run_at(host, work);
         let (ms, said) = if way < busy + silent {
             return;
         } else if way < busy + silent + late {
-            (LEG + self.roll(800), Said::Up)
+            (LEG + self.roll(800), WarmStateMessage::Up)
         } else if way < busy + silent + late + fails {
-            (soon, Said::Error)
+            (soon, WarmStateMessage::Error)
         } else {
-            (soon, Said::Up)
+            (soon, WarmStateMessage::Up)
         };
         self.at(ms, Event::FromHost(node, incarnation, call, attempt, said));
     }
@@ -861,14 +863,14 @@
         }
     }
 
-    fn host_said(&mut self, at: usize, call: u64, attempt: u32, said: Said) {
+    fn host_said(&mut self, at: usize, call: u64, attempt: u32, said: WarmStateMessage) {
         let timestamp = self.timestamp(at);
         let Some(held) = self.nodes[at].calls.get_mut(&call) else { return };
         let Some((host, true)) = held.out.filter(|_| held.attempts == attempt) else { return };
         match said {
-            Said::Up => return self.answer(at, call, Heard::Up),
-            Said::Busy => {}
-            Said::Error => drop(held.ran.get_or_insert((host, moment_back(timestamp, 100)))),
+            WarmStateMessage::Up => return self.answer(at, call, Heard::Up),
+            WarmStateMessage::Busy => {}
+            WarmStateMessage::Error => drop(held.ran.get_or_insert((host, moment_back(timestamp, 100)))),
         }
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = None;
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -342,7 +342,7 @@
 
 /// What a node that was lost had in hand, for those to whom its clients come.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Estate {
+pub struct WarmState {
     /// Hosts that had some of each group.
     pub homes: Vec<(GroupId, HostId)>,
     /// What clients' connections asked for, in seconds of work a second.
--- a/src/renewal.rs
+++ b/src/renewal.rs
@@ -93,7 +93,7 @@
 
     /// What its clients come back to, should this node be lost: at most so much of each, of loads what is furthest from
     /// what anybody would expect.
-    pub fn estate(&self, most: usize) -> Estate {
+    pub fn warm_state(&self, most: usize) -> WarmState {
         let mut homes: Vec<(GroupId, HostId)> =
             self.groups.homes().map(|(group, host)| (group, self.hosts[host].id)).collect();
         homes.sort_unstable();
@@ -105,17 +105,17 @@
         let mut loads: Vec<(SubjectId, f64)> = told.collect();
         loads.sort_unstable_by(|one, other| odd(other.1).total_cmp(&odd(one.1)).then(one.0.cmp(&other.0)));
         loads.truncate(most);
-        Estate { homes, loads }
+        WarmState { homes, loads }
     }
 
     /// A node was lost, and its clients come to this one and others.
-    pub fn expect(&mut self, now: Time, estate: &Estate) {
+    pub fn adopt_warm_state(&mut self, now: Time, warm_state: &WarmState) {
         self.now = now;
-        for (group, host) in &estate.homes {
+        for (group, host) in &warm_state.homes {
             if let Some(host) = self.host_no.get(host) {
                 self.groups.keep_home(*group, *host, 10);
             }
         }
-        estate.loads.iter().for_each(|(subject, load)| self.remembered.keep_left(*subject, *load));
+        warm_state.loads.iter().for_each(|(subject, load)| self.remembered.keep_left(*subject, *load));
     }
 }
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -547,11 +547,11 @@
     }
 
     fn lose_node(&mut self, now: Time) {
-        let mut estate = self.node.estate(50);
-        self.digest_estate(&estate);
-        estate.homes.push((GroupId(3), self.hosts[0].0.host));
-        estate.loads.push((SubjectId(5), 0.4));
-        self.node.expect(now, &estate);
+        let mut warm_state = self.node.warm_state(50);
+        self.digest_estate(&warm_state);
+        warm_state.homes.push((GroupId(3), self.hosts[0].0.host));
+        warm_state.loads.push((SubjectId(5), 0.4));
+        self.node.adopt_warm_state(now, &warm_state);
     }
 
     /// What the world does with what the node asked for.
@@ -661,13 +661,13 @@
         rates.iter().chain(&snapshot.of_type).for_each(|number| digest.add_float(*number));
     }
 
-    fn digest_estate(&mut self, estate: &Estate) {
+    fn digest_estate(&mut self, warm_state: &WarmState) {
         let digest = &mut self.recorder.digest;
-        for (group, host) in &estate.homes {
+        for (group, host) in &warm_state.homes {
             digest.add(group.0);
             digest.add(host.0);
         }
-        for (subject, load) in &estate.loads {
+        for (subject, load) in &warm_state.loads {
             digest.add(subject.0);
             digest.add_float(*load);
         }
--- a/tests/lost_node.rs
+++ b/tests/lost_node.rs
@@ -113,7 +113,7 @@
     clients: Vec<Client>,
     next: u64,
     told_after_ms: Option<u64>,
-    estate: Estate,
+    warm_state: WarmState,
     /// In the 10 s from the kill on: seconds asked for, and those well served.
     seen: Seen,
     killed: Option<u64>,
@@ -167,7 +167,7 @@
             clients: Vec::new(),
             next: 0,
             told_after_ms,
-            estate: Estate::default(),
+            warm_state: WarmState::default(),
             seen: Seen::default(),
             killed: None,
         };
@@ -364,9 +364,9 @@
             Event::Second => self.second(),
             Event::Kill => self.kill(),
             Event::Tell => {
-                let estate = self.estate.clone();
+                let warm_state = self.warm_state.clone();
                 for at in 1..self.nodes.len() {
-                    self.tell(at, |node, now, _| node.expect(now, &estate));
+                    self.tell(at, |node, now, _| node.adopt_warm_state(now, &warm_state));
                 }
             }
         }
@@ -453,7 +453,7 @@
         self.killed = Some(self.now);
         let lost = if self.shape.lives { None } else { self.nodes[0].take() };
         let of = lost.as_ref().or(self.nodes[0].as_ref());
-        self.estate = of.map(|node| node.estate(2_048)).unwrap_or_default();
+        self.warm_state = of.map(|node| node.warm_state(2_048)).unwrap_or_default();
         if let Some(after_ms) = self.told_after_ms {
             self.at(after_ms, Event::Tell);
         }
