--- a/crates/cli/src/door.rs
+++ b/crates/cli/src/admin.rs
@@ -14,16 +14,16 @@
 /// An order is said again, under its one name, for so long: elections take a second or two.
 const AGAIN_FOR: Duration = Duration::from_secs(10);
 
-pub struct Door<'a> {
+pub struct AdminClient<'a> {
     doors: &'a [SocketAddr],
 }
 
-fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<(u16, Value)> {
-    let mut stream = TcpStream::connect_timeout(&door, PATIENCE)?;
+fn call(admin: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<(u16, Value)> {
+    let mut stream = TcpStream::connect_timeout(&admin, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     write!(
         stream,
-        "{method} {path} HTTP/1.1\r\nHost: {door}\r\nContent-Length: {}\r\n\r\n{body}",
+        "{method} {path} HTTP/1.1\r\nHost: {admin}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )?;
     let mut text = String::new();
@@ -34,18 +34,18 @@
     Ok((status, serde_json::from_str(body).unwrap_or(Value::Null)))
 }
 
-impl Door<'_> {
-    pub fn new(doors: &[SocketAddr]) -> Door<'_> {
-        Door { doors }
+impl AdminClient<'_> {
+    pub fn new(doors: &[SocketAddr]) -> AdminClient<'_> {
+        AdminClient { doors }
     }
 
     /// The first door that answers.
     fn ask(&self, method: &str, path: &str, body: &str) -> Result<(u16, Value), Failure> {
         let mut last = String::new();
-        for door in self.doors {
-            match call(*door, method, path, body) {
+        for admin in self.doors {
+            match call(*admin, method, path, body) {
                 Ok(reply) => return Ok(reply),
-                Err(fault) => last = format!("no answer at {door}: {fault}"),
+                Err(fault) => last = format!("no answer at {admin}: {fault}"),
             }
         }
         Err(Failure::Unanswered(last))
@@ -60,10 +60,10 @@
 
     /// What each door says, or why it says nothing.
     pub fn each_status(&self) -> Vec<(SocketAddr, Result<Value, String>)> {
-        let ask = |door: &SocketAddr| match call(*door, "GET", "/v1/fleet/status", "") {
-            Ok((200, status)) => (*door, Ok(status)),
-            Ok((_, other)) => (*door, Err(why(&other))),
-            Err(fault) => (*door, Err(fault.to_string())),
+        let ask = |admin: &SocketAddr| match call(*admin, "GET", "/v1/fleet/status", "") {
+            Ok((200, status)) => (*admin, Ok(status)),
+            Ok((_, other)) => (*admin, Err(why(&other))),
+            Err(fault) => (*admin, Err(fault.to_string())),
         };
         self.doors.iter().map(ask).collect()
     }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Fleet, Shape};
+use glendeck_harness::{Fleet, Shape};
 use serde_json::json;
 
 use crate::{Failure, show};
@@ -59,7 +59,7 @@
     println!("the group is being founded; each node counts once it was seen to serve for 5 s");
     wait("all are seen to serve", || settled(&fleet))?;
     for at in 0..3 {
-        println!("  n{at}: its operators' door is {}", fleet.door(at));
+        println!("  n{at}: its operators' door is {}", fleet.admin_address(at));
     }
     println!("{}\n", show::status(&status(&fleet).unwrap_or_default()));
     let order = |path: &str, body: serde_json::Value| -> Result<(), Failure> {
@@ -96,7 +96,7 @@
         println!(
             "\nit goes on for {} s: try `glendeck fleet status --door {}`",
             stay.as_secs(),
-            fleet.door(0)
+            fleet.admin_address(0)
         );
         std::thread::sleep(stay);
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,9 +2,9 @@
 //! asked is so, 1 when it was refused or is not so, 2 when the call itself is wrong, 3 when nobody answered or nothing
 //! was decided in time.
 
+mod admin;
 mod check;
 mod demo;
-mod door;
 mod show;
 mod trace;
 
@@ -16,7 +16,7 @@
 use clap::{Args, Parser, Subcommand};
 use serde_json::{Value, json};
 
-use door::Door;
+use admin::AdminClient;
 
 #[derive(Parser)]
 #[command(
@@ -43,7 +43,7 @@
         default_value = "127.0.0.1:9901",
         global = true
     )]
-    door: Vec<SocketAddr>,
+    admin: Vec<SocketAddr>,
     /// Says what came back as one JSON object.
     #[arg(long, global = true)]
     json: bool,
@@ -175,12 +175,12 @@
 }
 
 fn run(cli: &Cli) -> Result<(), Failure> {
-    let door = Door::new(&cli.to.door);
+    let admin = AdminClient::new(&cli.to.admin);
     let order = |path: &str, mut body: Value| -> Result<(), Failure> {
         // Drawn once, and the same however often it is said again.
         let drawn = || format!("{:016x}{:016x}", draw(), draw());
         body["id"] = cli.to.id.clone().unwrap_or_else(drawn).into();
-        let reply = door.order(path, &body)?;
+        let reply = admin.order(path, &body)?;
         if cli.to.json {
             println!("{reply}");
         } else {
@@ -189,10 +189,10 @@
         Ok(())
     };
     match &cli.what {
-        What::Fleet(OfFleet::Status) => show(cli, &door.status()?, show::status),
-        What::Fleet(OfFleet::Members) => show(cli, &door.status()?, show::members),
-        What::Fleet(OfFleet::Hosts) => show(cli, &door.status()?, show::hosts),
-        What::Fleet(OfFleet::Work) => work(cli, &door),
+        What::Fleet(OfFleet::Status) => show(cli, &admin.status()?, show::status),
+        What::Fleet(OfFleet::Members) => show(cli, &admin.status()?, show::members),
+        What::Fleet(OfFleet::Hosts) => show(cli, &admin.status()?, show::hosts),
+        What::Fleet(OfFleet::Work) => work(cli, &admin),
         What::Fleet(OfFleet::Trace { id, logs }) => {
             trace::of(id, logs)?.iter().for_each(|line| println!("{line}"));
             Ok(())
@@ -217,8 +217,8 @@
             let plan = serde_json::to_value(plan).map_err(|fault| Failure::Wrong(fault.to_string()))?;
             order("/v1/fleet/release/start", json!({"plan": plan}))
         }
-        What::Release(OfRelease::Status { watch: false }) => show(cli, &door.status()?, show::release),
-        What::Release(OfRelease::Status { watch: true }) => watch(cli, &door),
+        What::Release(OfRelease::Status { watch: false }) => show(cli, &admin.status()?, show::release),
+        What::Release(OfRelease::Status { watch: true }) => watch(cli, &admin),
         What::Release(OfRelease::Halt { why }) => order("/v1/fleet/release/halt", json!({"why": why})),
         What::Release(OfRelease::Resume) => order("/v1/fleet/release/resume", json!({})),
         What::Release(OfRelease::Back) => order("/v1/fleet/release/back", json!({})),
@@ -230,9 +230,9 @@
     }
 }
 
-fn work(cli: &Cli, door: &Door) -> Result<(), Failure> {
+fn work(cli: &Cli, admin: &AdminClient) -> Result<(), Failure> {
     let mut unanswered = None;
-    for (at, said) in door.each_status() {
+    for (at, said) in admin.each_status() {
         match said {
             Ok(status) if cli.to.json => {
                 println!("{}", json!({"name": status["name"], "work": status["work"]}));
@@ -267,10 +267,10 @@
 }
 
 /// Tells each change once, until the release is over: 0 if it is finished, 1 if it is halted.
-fn watch(cli: &Cli, door: &Door) -> Result<(), Failure> {
+fn watch(cli: &Cli, admin: &AdminClient) -> Result<(), Failure> {
     let mut before = String::new();
     loop {
-        let status = door.status()?;
+        let status = admin.status()?;
         let text = if cli.to.json { status["state"]["release"].to_string() } else { show::release(&status) };
         if text != before {
             println!("{text}");
--- a/crates/fleet/src/policy.rs
+++ b/crates/fleet/src/policy.rs
@@ -201,13 +201,13 @@
 /// What is wrong with a fleet policy or a plan: the key, and why.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {why}")]
-pub struct Faulty {
+pub struct PolicyError {
     pub key: String,
     pub why: String,
 }
 
-fn faulty(key: impl Into<String>, why: impl Into<String>) -> Faulty {
-    Faulty { key: key.into(), why: why.into() }
+fn policy_error(key: impl Into<String>, why: impl Into<String>) -> PolicyError {
+    PolicyError { key: key.into(), why: why.into() }
 }
 
 /// The sets that limits are over: what each is called, its limit and the units in it.
@@ -240,20 +240,20 @@
     /// # Errors
     /// Names the key: voters that are no units, doubled or more than nine (each hears all others twice a second),
     /// and limits that would let some unit never go out.
-    pub fn check(&self) -> Result<(), Faulty> {
+    pub fn check(&self) -> Result<(), PolicyError> {
         if self.group.is_empty() {
-            return Err(faulty("group", "is empty"));
+            return Err(policy_error("group", "is empty"));
         }
         if self.voters.is_empty() || self.voters.len() > 9 {
-            return Err(faulty("voters", "expected 1 to 9 names"));
+            return Err(policy_error("voters", "expected 1 to 9 names"));
         }
         let mut seen = BTreeSet::new();
         for voter in &self.voters {
             if !self.units.contains_key(voter) {
-                return Err(faulty("voters", format!("{voter} is none of the units")));
+                return Err(policy_error("voters", format!("{voter} is none of the units")));
             }
             if !seen.insert(voter) {
-                return Err(faulty("voters", format!("{voter} stands twice")));
+                return Err(policy_error("voters", format!("{voter} stands twice")));
             }
         }
         for unit in self.units.keys() {
@@ -262,22 +262,22 @@
                     let key = format!("limits.{}", scope.split(' ').next().unwrap_or_default());
                     let why =
                         format!("of {} units in {scope} none may ever be out, so {unit} never", units.len());
-                    return Err(faulty(key, why));
+                    return Err(policy_error(key, why));
                 }
             }
         }
         if self.work.as_ref().is_some_and(|work| !(1..=3_600).contains(&work.recall_s)) {
-            return Err(faulty("work.recall_s", "expected 1 to 3600"));
+            return Err(policy_error("work.recall_s", "expected 1 to 3600"));
         }
         let Some(hosts) = &self.hosts else { return Ok(()) };
         if hosts.moves_per_second == 0 {
-            return Err(faulty("hosts.moves_per_second", "is 0: nothing would ever be eased off"));
+            return Err(policy_error("hosts.moves_per_second", "is 0: nothing would ever be eased off"));
         }
         let Limits { fleet, zone, cell, kind } = &hosts.limits;
         for (key, limit) in [("fleet", fleet), ("zone", zone), ("cell", cell), ("kind", kind)] {
             // How many there will be is not known: of very many some must be able to go.
             if limit.room(1_000_000) == 0 {
-                return Err(faulty(
+                return Err(policy_error(
                     format!("hosts.limits.{key}"),
                     "lets no host ever go out, however many there are",
                 ));
@@ -381,21 +381,21 @@
 impl Plan {
     /// # Errors
     /// Names the key.
-    pub fn check(&self, policy: &FleetPolicy) -> Result<(), Faulty> {
+    pub fn check(&self, policy: &FleetPolicy) -> Result<(), PolicyError> {
         if self.version.is_empty() {
-            return Err(faulty("version", "is empty"));
+            return Err(policy_error("version", "is empty"));
         }
         if let Some(stranger) = self.units.iter().find(|unit| !policy.units.contains_key(unit)) {
-            return Err(faulty("units", format!("{stranger} is none of the fleet's units")));
+            return Err(policy_error("units", format!("{stranger} is none of the fleet's units")));
         }
         if self.waves.is_empty() || self.waves.iter().any(|wave| wave.up(1000) == 0) {
-            return Err(faulty("waves", "expected at least one, each of more than nothing"));
+            return Err(policy_error("waves", "expected at least one, each of more than nothing"));
         }
         if self.watch_s == 0 {
-            return Err(faulty("watch_s", "is 0: a unit that was not seen to serve is not back"));
+            return Err(policy_error("watch_s", "is 0: a unit that was not seen to serve is not back"));
         }
         if self.unit_limit_s <= self.watch_s {
-            return Err(faulty("unit_limit_s", "must be longer than watch_s"));
+            return Err(policy_error("unit_limit_s", "must be longer than watch_s"));
         }
         Ok(())
     }
--- a/crates/rig/src/bin/fleet-figures.rs
+++ b/crates/harness/src/bin/fleet-bench.rs
@@ -1,10 +1,10 @@
-//! Figures of a fleet of processes on this machine: `fleet-figures NODES VOTERS [ROUNDS]`. Bounded, loopback only; what is
-//! timed is what the front and the doors saw. Beside it stands `rig-node`, which it starts.
+//! Figures of a fleet of processes on this machine: `fleet-bench NODES VOTERS [ROUNDS]`. Bounded, loopback only; what is
+//! timed is what the front and the doors saw. Beside it stands `harness-node`, which it starts.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Fleet, Shape, Way};
+use glendeck_harness::{Fleet, Shape, Way};
 use serde_json::{Value, json};
 
 const PATIENCE: Duration = Duration::from_secs(150);
@@ -85,7 +85,7 @@
 }
 
 fn measure(nodes: usize, voters: usize, rounds: usize) -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("rig-node");
+    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let most_out = (nodes as u32 / 4).max(1);
     let shape = Shape {
         nodes,
@@ -208,13 +208,13 @@
 fn main() -> ExitCode {
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
     let [nodes, voters, rest @ ..] = given.as_slice() else {
-        eprintln!("fleet-figures NODES VOTERS [ROUNDS]");
+        eprintln!("fleet-bench NODES VOTERS [ROUNDS]");
         return ExitCode::from(2);
     };
     match measure(*nodes, (*voters).min(*nodes), rest.first().copied().unwrap_or(10)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("fleet-figures: {why}");
+            eprintln!("fleet-bench: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/bin/takeover-figures.rs
+++ b/crates/harness/src/bin/takeover-bench.rs
@@ -1,10 +1,10 @@
-//! What keeping work costs and what it saves: `takeover-figures NODES VOTERS [KILLS]`, with keepers and without. Bounded,
-//! loopback only; what is counted is what clients and hosts saw. Beside it stands `rig-node`, which it starts.
+//! What keeping work costs and what it saves: `takeover-bench NODES VOTERS [KILLS]`, with keepers and without. Bounded,
+//! loopback only; what is counted is what clients and hosts saw. Beside it stands `harness-node`, which it starts.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Ended, Fleet, Shape, Workers};
+use glendeck_harness::{Ended, Fleet, Shape, Workers};
 
 const PATIENCE: Duration = Duration::from_secs(120);
 
@@ -54,7 +54,7 @@
 }
 
 fn measure(nodes: usize, voters: usize, kills: usize, work: bool) -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("rig-node");
+    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
     let shape = Shape { nodes, voters, zones: 3, hosts: 4, most_out: 1, work, program, logs };
     let fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
@@ -133,7 +133,7 @@
 fn main() -> ExitCode {
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
     let [nodes, voters, rest @ ..] = given.as_slice() else {
-        eprintln!("takeover-figures NODES VOTERS [KILLS]");
+        eprintln!("takeover-bench NODES VOTERS [KILLS]");
         return ExitCode::from(2);
     };
     let kills = rest.first().copied().unwrap_or(4);
--- a/crates/rig/src/bin/takeover-days.rs
+++ b/crates/harness/src/bin/takeover-soak.rs
@@ -1,10 +1,10 @@
-//! Seeded faults at fleets of processes that keep work: `takeover-days FLEETS ROUNDS [SEED]`. So many fleets at once, each
+//! Seeded faults at fleets of processes that keep work: `takeover-soak FLEETS ROUNDS [SEED]`. So many fleets at once, each
 //! with so many faults one after the other; what is counted is what hosts and clients saw. Bounded, loopback only.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Ended, Fleet, Shape, Way, Workers};
+use glendeck_harness::{Ended, Fleet, Shape, Way, Workers};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 
@@ -102,7 +102,7 @@
 }
 
 fn play(rounds: usize, seed: u64) -> Result<Day, String> {
-    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("rig-node");
+    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let shape = Shape {
         nodes: NODES,
         voters: VOTERS,
@@ -143,7 +143,7 @@
 fn main() -> ExitCode {
     let given: Vec<u64> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
     let [fleets, rounds, rest @ ..] = given.as_slice() else {
-        eprintln!("takeover-days FLEETS ROUNDS [SEED]");
+        eprintln!("takeover-soak FLEETS ROUNDS [SEED]");
         return ExitCode::from(2);
     };
     let first = rest.first().copied().unwrap_or(1);
--- a/crates/rig/src/bin/estate-figures.rs
+++ b/crates/harness/src/bin/warm-state-bench.rs
@@ -1,11 +1,11 @@
-//! What clients that stay come back to when their node is killed: `warm_state-figures NODES VOTERS HOSTS [KILLS]`, where nodes
+//! What clients that stay come back to when their node is killed: `warm-state-bench NODES VOTERS HOSTS [KILLS]`, where nodes
 //! keep what they know of them for each other and where they do not. Bounded, loopback only; counted is what hosts and
-//! clients saw. Beside it stands `rig-node`, which it starts.
+//! clients saw. Beside it stands `harness-node`, which it starts.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Agencies, Fleet, Shape};
+use glendeck_harness::{Agencies, Fleet, Shape};
 
 fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), String> {
     let until = Instant::now() + Duration::from_secs(60);
@@ -19,7 +19,7 @@
 }
 
 fn measure(nodes: usize, voters: usize, hosts: usize, kills: usize, work: bool) -> Result<(), String> {
-    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("rig-node");
+    let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
     let shape = Shape { nodes, voters, zones: 1, hosts, most_out: 1, work, program, logs };
     let fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
@@ -79,7 +79,7 @@
     let began = Instant::now();
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
     let [nodes, voters, hosts, rest @ ..] = given.as_slice() else {
-        eprintln!("estate-figures NODES VOTERS HOSTS [KILLS]");
+        eprintln!("warm-state-bench NODES VOTERS HOSTS [KILLS]");
         return ExitCode::from(2);
     };
     for work in [true, false] {
--- a/crates/rig/src/fleet.rs
+++ b/crates/harness/src/fleet.rs
@@ -122,7 +122,7 @@
     /// Sockets, files or processes that the system does not grant.
     pub fn start(shape: Shape) -> std::io::Result<Fleet> {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("glendeck-rig-{}-{run}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("glendeck-harness-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("fleet.toml"), policy(&shape))?;
         let book = Book::default();
@@ -355,7 +355,7 @@
     }
 
     /// Where a node's operators call.
-    pub fn door(&self, at: usize) -> SocketAddr {
+    pub fn admin_address(&self, at: usize) -> SocketAddr {
         self.doors[at]
     }
 
--- a/crates/rig/tests/processes.rs
+++ b/crates/harness/tests/processes.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use glendeck_rig::{Agencies, Did, Ended, Errands, Fleet, Heard, Shape, Way, Wish, Workers, kind_of};
+use glendeck_harness::{Agencies, Did, Ended, Errands, Fleet, Heard, Shape, Way, Wish, Workers, kind_of};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use test_case::test_case;
@@ -568,7 +568,7 @@
                     hosts: of("hosts", 3) as usize,
                     most_out: of("out", 1),
                     work: of("work", 0) > 0,
-                    program: env!("CARGO_BIN_EXE_rig-node").into(),
+                    program: env!("CARGO_BIN_EXE_harness-node").into(),
                     logs: std::env::var_os("RIG_LOGS").map(|logs| PathBuf::from(logs).join(name)),
                 };
                 let fleet = Fleet::start(shape).unwrap();
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -11,9 +11,9 @@
 use tracing::{debug, info, warn};
 
 use crate::clients::ACCEPT_AGAIN;
-use crate::conn::{self, Conn, Got};
+use crate::connection::{self, Connection, Got};
 use crate::http::{Incoming, Method, Refusal, Request};
-use crate::service::{ConnId, Due, Phase, Role, Service};
+use crate::service::{ConnectionId, Phase, Service, SocketRole, TimerEvent};
 
 /// Callers at once. A scraper or two, an operator, and as many that are slow; their descriptors are kept back
 /// from the clients, so there are not more.
@@ -26,22 +26,22 @@
 const DISCARD: usize = 64 << 10;
 
 pub struct Caller {
-    id: ConnId,
+    id: ConnectionId,
     incoming: Incoming,
     answered: bool,
 }
 
 /// The address for operators alone, if there is one, and those who call there, the longest waiting first.
 #[derive(Default)]
-pub struct Door {
+pub struct AdminServer {
     pub listener: Option<OwnedFd>,
     pub callers: VecDeque<Caller>,
 }
 
-impl Door {
-    pub fn open(address: Option<SocketAddr>) -> Result<Door, (SocketAddr, Errno)> {
-        let listener = address.map(|address| conn::listen(address).map_err(|fault| (address, fault)));
-        Ok(Door { listener: listener.transpose()?, callers: VecDeque::new() })
+impl AdminServer {
+    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, (SocketAddr, Errno)> {
+        let listener = address.map(|address| connection::listen(address).map_err(|fault| (address, fault)));
+        Ok(AdminServer { listener: listener.transpose()?, callers: VecDeque::new() })
     }
 }
 
@@ -90,8 +90,8 @@
 }
 
 impl Service {
-    pub fn is_of_the_door(&self, number: u64) -> bool {
-        number == crate::service::DOOR || self.role(ConnId(number)) == Some(Role::Admin)
+    pub fn is_admin_socket(&self, number: u64) -> bool {
+        number == crate::service::ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
     }
 
     pub fn accept_callers(&mut self) {
@@ -100,10 +100,10 @@
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(fd) => {
                     self.make_place();
-                    if let Some(id) = self.add_conn(Conn::new(fd, false), Role::Admin) {
+                    if let Some(id) = self.add_connection(Connection::new(fd, false), SocketRole::Admin) {
                         let (incoming, answered) = (Incoming::default(), false);
                         self.door.callers.push_back(Caller { id, incoming, answered });
-                        self.deadlines.set(self.now + CALL_LIMIT, Due::Caller(id));
+                        self.timers.set(self.now + CALL_LIMIT, TimerEvent::Caller(id));
                     }
                 }
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
@@ -111,8 +111,8 @@
                 Err(fault) => {
                     // Danger: while accepting fails the socket stays ready, and the loop would spin.
                     warn!(%fault, "cannot accept at the operators' door");
-                    self.open_door(false);
-                    return self.deadlines.set(self.now + ACCEPT_AGAIN, Due::Accept);
+                    self.watch_admin(false);
+                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
                 }
             }
         }
@@ -122,8 +122,9 @@
     /// one whose call is whole has been answered, and goes only when its answer has.
     fn make_place(&mut self) {
         while self.door.callers.len() >= CALLERS {
-            let sent =
-                |caller: &Caller| self.conns.get(caller.id.0).is_none_or(|seat| seat.conn.unsent() == 0);
+            let sent = |caller: &Caller| {
+                self.sockets.get(caller.id.0).is_none_or(|seat| seat.connection.unsent() == 0)
+            };
             let callers = &self.door.callers;
             let done = callers.iter().position(|caller| caller.answered && sent(caller));
             let slow = callers.iter().position(|caller| !caller.answered);
@@ -132,36 +133,40 @@
         }
     }
 
-    pub fn drop_caller(&mut self, id: ConnId) {
-        if self.role(id) == Some(Role::Admin) {
+    pub fn drop_caller(&mut self, id: ConnectionId) {
+        if self.role(id) == Some(SocketRole::Admin) {
             self.door.callers.retain(|caller| caller.id != id);
-            self.drop_conn(id);
+            self.close_connection(id);
         }
     }
 
     /// Once its answer has gone and it has ended its side, or sends on without end.
-    pub fn caller_over(&mut self, id: ConnId) {
-        if self.conns.get(id.0).is_some_and(|seat| seat.conn.is_over() || seat.conn.discarded > DISCARD) {
+    pub fn caller_over(&mut self, id: ConnectionId) {
+        if self
+            .sockets
+            .get(id.0)
+            .is_some_and(|seat| seat.connection.is_over() || seat.connection.discarded > DISCARD)
+        {
             self.drop_caller(id);
         }
     }
 
-    pub fn caller_came(&mut self, id: ConnId, got: Got) {
+    pub fn caller_came(&mut self, id: ConnectionId, got: Got) {
         let Some(at) = self.door.callers.iter().position(|caller| caller.id == id) else { return };
         let caller = &mut self.door.callers[at];
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let read = match got {
             Got::NothingYet => return,
             Got::End if caller.answered => return self.caller_over(id),
             // Nobody gets to hear an answer to half a call.
             Got::End => return self.drop_caller(id),
             Got::Bytes(n) if caller.answered => {
-                seat.conn.discarded += n;
+                seat.connection.discarded += n;
                 return self.caller_over(id);
             }
             Got::Bytes(n) => {
-                seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
-                caller.incoming.read(&mut seat.conn.inbox)
+                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                caller.incoming.read(&mut seat.connection.inbox)
             }
         };
         let (reply, with_body) = match read {
@@ -180,22 +185,22 @@
     }
 
     /// A call that had to wait for others has its answer.
-    pub fn answer_later(&mut self, id: ConnId, status: u16, body: Value) {
+    pub fn answer_later(&mut self, id: ConnectionId, status: u16, body: Value) {
         self.answer_now(id, &say(status, body), true);
     }
 
-    fn answer_now(&mut self, id: ConnId, reply: &Reply, with_body: bool) {
+    fn answer_now(&mut self, id: ConnectionId, reply: &Reply, with_body: bool) {
         let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
         caller.answered = true;
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            encode(reply, with_body, &mut seat.conn.outbox);
-            seat.conn.inbox = Vec::new();
-            seat.conn.finish = true;
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            encode(reply, with_body, &mut seat.connection.outbox);
+            seat.connection.inbox = Vec::new();
+            seat.connection.finish = true;
         }
         self.pump(id);
     }
 
-    fn answer_caller(&mut self, id: ConnId, request: &Request) -> Option<Reply> {
+    fn answer_caller(&mut self, id: ConnectionId, request: &Request) -> Option<Reply> {
         let path = request.path.split('?').next().unwrap_or_default();
         let allow = match path {
             "/v1/readyz" | "/v1/metrics" | "/v1/fleet/status" => "GET, HEAD",
@@ -213,7 +218,7 @@
                 let status = if self.phase == Phase::Serving { 200 } else { 503 };
                 say(status, json!({"ready": status == 200, "phase": self.phase.name()}))
             }
-            "/v1/metrics" => say(200, self.figures()),
+            "/v1/metrics" => say(200, self.metrics()),
             // In a fleet nobody goes out alone.
             path if path.starts_with("/v1/fleet/") || self.membership.is_some() => {
                 let (status, body) = self.ask_fleet(id, path, &request.body)?;
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -7,12 +7,14 @@
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
 
-use crate::conn::{Conn, Got, MUCH, Peer};
-use crate::figures::Outcome;
-use crate::line::{self, Answer, First, Opening};
+use crate::connection::{Connection, Got, MUCH, Peer};
+use crate::metrics::Outcome;
+use crate::protocol::{self, Answer, ClientMessage, OpenRequest};
 use crate::reactor::Flags;
-use crate::service::{ConnId, Due, Held, Phase, Role, Seat, Service, Stage};
-use crate::work::Kept;
+use crate::service::{
+    CallStage, ConnectionId, InFlightCall, Phase, Service, SocketEntry, SocketRole, TimerEvent,
+};
+use crate::takeover::Kept;
 
 /// Kept back of a client's time: the answer's way to it, and what a busy core adds.
 const MARGIN: Span = Span::ms(20);
@@ -68,7 +70,7 @@
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(fd) => {
                     let id = self.take_client(fd, Vec::new());
-                    if let Some(seat) = id.and_then(|id| self.conns.get_mut(id.0)) {
+                    if let Some(seat) = id.and_then(|id| self.sockets.get_mut(id.0)) {
                         seat.queued_since = self.queued_since;
                     }
                 }
@@ -89,22 +91,22 @@
     }
 
     /// A client that has not opened anything, with what has come from it.
-    pub fn take_client(&mut self, fd: OwnedFd, inbox: Vec<u8>) -> Option<ConnId> {
-        let mut conn = Conn::new(fd, false);
-        conn.inbox = inbox;
-        let id = self.add_conn(conn, Role::Client(None))?;
-        self.deadlines.set(self.now + FIRST_LINE, Due::FirstLine(id));
+    pub fn take_client(&mut self, fd: OwnedFd, inbox: Vec<u8>) -> Option<ConnectionId> {
+        let mut connection = Connection::new(fd, false);
+        connection.inbox = inbox;
+        let id = self.add_connection(connection, SocketRole::Client(None))?;
+        self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLine(id));
         self.note_idle(id);
         Some(id)
     }
 
     /// Ends a connection that has opened nothing. Danger: its line may have come in this very moment: it is read first, and
     /// whoever opens has an answer.
-    pub fn end_idle(&mut self, id: ConnId) {
+    pub fn end_idle(&mut self, id: ConnectionId) {
         self.readable(id, Flags::IN);
         let leaves = self.phase == Phase::Flushing;
-        let quiet = |seat: &Seat| leaves || self.now.since(seat.quiet_since) >= FIRST_LINE;
-        if self.conns.get(id.0).is_some_and(|seat| seat.role == Role::Client(None) && quiet(seat)) {
+        let quiet = |seat: &SocketEntry| leaves || self.now.since(seat.quiet_since) >= FIRST_LINE;
+        if self.sockets.get(id.0).is_some_and(|seat| seat.role == SocketRole::Client(None) && quiet(seat)) {
             self.last_words(id, b"");
         }
     }
@@ -113,19 +115,19 @@
     /// answer, take every descriptor, and usual clients wait unaccepted. When so many are not free, the
     /// longest idle go.
     fn make_room(&mut self, free: usize) -> bool {
-        while self.descriptors() + free > self.startup.descriptors {
+        while self.descriptors() + free > self.config.descriptors {
             let Some((since, id)) = self.idle.front().copied() else { return false };
             if self.is_idle(since, id) {
                 if self.now.since(since) < IDLE {
                     return false;
                 }
                 // Danger: a line that lies there unread is a call by now, and an answer that has not gone is owed.
-                let of_use = |seat: &Seat| {
-                    let asks = seat.role == Role::Client(None) && seat.conn.peer() == Peer::Spoke;
-                    asks || seat.conn.unsent() > 0
+                let of_use = |seat: &SocketEntry| {
+                    let asks = seat.role == SocketRole::Client(None) && seat.connection.peer() == Peer::Spoke;
+                    asks || seat.connection.unsent() > 0
                 };
-                if !self.conns.get(id.0).is_some_and(of_use) {
-                    self.drop_conn(id);
+                if !self.sockets.get(id.0).is_some_and(of_use) {
+                    self.close_connection(id);
                 }
             }
             self.idle.pop_front();
@@ -133,39 +135,39 @@
         true
     }
 
-    fn note_idle(&mut self, id: ConnId) {
+    fn note_idle(&mut self, id: ConnectionId) {
         // What has left its idleness meanwhile is taken out now and then, or one that stays would keep all.
-        if self.idle.len() > 2 * self.startup.descriptors {
+        if self.idle.len() > 2 * self.config.descriptors {
             let mut idle = std::mem::take(&mut self.idle);
             idle.retain(|(since, id)| self.is_idle(*since, *id));
             self.idle = idle;
         }
-        if let Some(seat) = self.conns.get_mut(id.0) {
+        if let Some(seat) = self.sockets.get_mut(id.0) {
             seat.idle_since = self.now;
             self.idle.push_back((self.now, id));
         }
     }
 
-    fn is_idle(&self, since: Time, id: ConnId) -> bool {
-        let idle = |seat: &Seat| matches!(seat.role, Role::Client(None) | Role::Closing);
-        self.conns.get(id.0).is_some_and(|seat| idle(seat) && seat.idle_since == since)
+    fn is_idle(&self, since: Time, id: ConnectionId) -> bool {
+        let idle = |seat: &SocketEntry| matches!(seat.role, SocketRole::Client(None) | SocketRole::Closing);
+        self.sockets.get(id.0).is_some_and(|seat| idle(seat) && seat.idle_since == since)
     }
 
     /// Danger: the listening socket stays ready while nothing can be accepted, and the loop would spin.
     fn accept_later(&mut self) {
         self.queued_since.get_or_insert(self.now);
         self.listen_for(false);
-        self.deadlines.set(self.now + ACCEPT_AGAIN, Due::Accept);
+        self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
     }
 
-    pub fn client_came(&mut self, id: ConnId, call: Option<CallId>, got: Got) {
+    pub fn client_came(&mut self, id: ConnectionId, call: Option<CallId>, got: Got) {
         let bytes = match got {
             Got::NothingYet => return,
             Got::End => return self.client_left(id, call, false),
             Got::Bytes(n) => n,
         };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        seat.conn.inbox.extend_from_slice(&self.scratch[..bytes]);
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        seat.connection.inbox.extend_from_slice(&self.scratch[..bytes]);
         // Danger: what was accepted late is not fresh: its client has waited all the while.
         let queued = seat.queued_since.take().filter(|_| self.now.since(seat.idle_since) < IDLE);
         match call {
@@ -174,32 +176,32 @@
         }
     }
 
-    fn first_lines(&mut self, id: ConnId, said_at: Time) {
+    fn first_lines(&mut self, id: ConnectionId, said_at: Time) {
         let yes = self.takes_clients();
-        while let Some(seat) = self.conns.get_mut(id.0) {
-            let Some(length) = line::first_line(&seat.conn.inbox) else {
-                if seat.conn.inbox.len() >= line::LONGEST {
+        while let Some(seat) = self.sockets.get_mut(id.0) {
+            let Some(length) = protocol::first_line(&seat.connection.inbox) else {
+                if seat.connection.inbox.len() >= protocol::LONGEST {
                     debug!("a client's line is too long");
                     self.answer_conn(id, Answer::Error);
                 }
                 return;
             };
-            let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
+            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
             // Danger: a client waits after its line; one that sends hundreds at once, or goes on before a
             // host has it, would have hosts work for what they then turn away.
-            if !seat.conn.inbox.is_empty() {
+            if !seat.connection.inbox.is_empty() {
                 debug!("a client did not wait for its answer");
                 return self.answer_conn(id, Answer::Error);
             }
-            match line::first(&said, &self.startup.names) {
-                Ok(First::Ping) => {
+            match protocol::first(&said, &self.config.names) {
+                Ok(ClientMessage::Ping) => {
                     let pong = if yes { Answer::Pong } else { Answer::Error };
-                    line::encode_answer(&pong, &mut seat.conn.outbox);
-                    self.deadlines.set(self.now + FIRST_LINE, Due::FirstLine(id));
+                    protocol::encode_answer(&pong, &mut seat.connection.outbox);
+                    self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLine(id));
                     seat.quiet_since = self.now;
                     self.pump(id);
                 }
-                Ok(First::Open(opening)) => return self.take_call(id, said, said_at, opening),
+                Ok(ClientMessage::Open(opening)) => return self.take_call(id, said, said_at, opening),
                 Err(fault) => {
                     debug!(%fault, "a client's first line");
                     return self.answer_conn(id, Answer::Error);
@@ -208,25 +210,35 @@
         }
     }
 
-    fn take_call(&mut self, id: ConnId, said: Vec<u8>, said_at: Time, opening: Opening) {
+    fn take_call(&mut self, id: ConnectionId, said: Vec<u8>, said_at: Time, opening: OpenRequest) {
         // Danger: two connections of one id are one call to the hosts, and the owner's would be disturbed.
         if self.ids.contains(&opening.id) {
             debug!("a client's id is open already");
-            self.figures.count(opening.traffic, Outcome::Failure);
+            self.metrics.count(opening.traffic, Outcome::Failure);
             return self.answer_conn(id, Answer::Error);
         }
         let leaving = matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing) && !self.takes_clients();
         if leaving || !self.has_room() {
-            let retry_after = self.startup.settings.retry_after.map(|most| most.min(COME_BACK));
+            let retry_after = self.config.settings.retry_after.map(|most| most.min(COME_BACK));
             debug!(leaving, "busy");
-            self.figures.count(opening.traffic, Outcome::Busy);
+            self.metrics.count(opening.traffic, Outcome::Busy);
             return self.answer_conn(id, Answer::Busy(retry_after));
         }
         self.ids.insert(opening.id);
         let work = self.work_of(&opening);
         let looks = work.is_some() && self.is_repeat(&opening);
-        let Opening {
-            id: client, traffic, tenant, subject, group, wait, wait_at, load, returning, at, ..
+        let OpenRequest {
+            id: client,
+            traffic,
+            tenant,
+            subject,
+            group,
+            wait,
+            wait_at,
+            load,
+            returning,
+            at,
+            ..
         } = opening;
         let most = if at.is_some() { wait.min(RETURN) } else { wait };
         let guard = said_at + most - MARGIN.min(most.times(0.5));
@@ -234,15 +246,15 @@
         let before = None;
         let call =
             Call { id: CallId(0), traffic, tenant, subject, group, guard, load, returning, mid_flow, before };
-        let stage = if at.is_some() { Stage::Returning } else { Stage::Waiting };
-        let held = Held::new(client, id, said, wait_at, call, stage, at);
+        let stage = if at.is_some() { CallStage::Returning } else { CallStage::Waiting };
+        let held = InFlightCall::new(client, id, said, wait_at, call, stage, at);
         let number = CallId(self.calls.insert(held));
         let Some(held) = self.calls.get_mut(number.0) else { return };
         held.call.id = number;
         held.kept = work.map(|work| Kept { work, looks, ran: None });
         let call = held.call;
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            seat.role = Role::Client(Some(number));
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            seat.role = SocketRole::Client(Some(number));
         }
         let about = subject.map_or(0, |subject| subject.0);
         debug!(call = number.0, id = %format_args!("{:016x}", client.0), about = %format_args!("{about:x}"), group = group.map_or(0, |group| group.0), traffic = traffic.0, returning, at = ?at.map(|at| at.0), "call");
@@ -258,13 +270,13 @@
 
     /// Whether a probe may have a descriptor: what calls and the list need stays free.
     pub fn has_room_for_probe(&self) -> bool {
-        self.descriptors() + RESERVE / 2 < self.startup.descriptors
+        self.descriptors() + RESERVE / 2 < self.config.descriptors
     }
 
     /// Danger: in a burst, connections that have not asked yet fill the table, and all would be turned away
     /// though many could be served. What counts is what the calls in hand need; and one must be free now.
     fn has_room(&mut self) -> bool {
-        self.committed() + 2 + RESERVE <= self.startup.descriptors && self.make_room(2)
+        self.committed() + 2 + RESERVE <= self.config.descriptors && self.make_room(2)
     }
 
     /// The call's one answer, when no host gave it.
@@ -279,60 +291,64 @@
         }
     }
 
-    pub fn answer_conn(&mut self, id: ConnId, answer: Answer) {
+    pub fn answer_conn(&mut self, id: ConnectionId, answer: Answer) {
         let mut words = Vec::new();
-        line::encode_answer(&answer, &mut words);
+        protocol::encode_answer(&answer, &mut words);
         self.last_words(id, &words);
     }
 
     /// Danger: closing with input unread resets the connection and can eat the answer. What is to be said is
     /// flushed, sending ended, and what still comes read for a while before the close.
-    pub fn last_words(&mut self, id: ConnId, words: &[u8]) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        seat.role = Role::Closing;
-        seat.conn.outbox.extend_from_slice(words);
-        seat.conn.inbox = Vec::new();
-        seat.conn.paused = false;
-        seat.conn.finish = true;
+    pub fn last_words(&mut self, id: ConnectionId, words: &[u8]) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        seat.role = SocketRole::Closing;
+        seat.connection.outbox.extend_from_slice(words);
+        seat.connection.inbox = Vec::new();
+        seat.connection.paused = false;
+        seat.connection.finish = true;
         // Danger: clients that were turned away for want of descriptors hold just these.
-        let tight = self.descriptors() + 2 * RESERVE > self.startup.descriptors;
-        self.deadlines.set(self.now + if tight { LINGER_TIGHT } else { LINGER }, Due::Shut(id));
+        let tight = self.descriptors() + 2 * RESERVE > self.config.descriptors;
+        self.timers.set(self.now + if tight { LINGER_TIGHT } else { LINGER }, TimerEvent::Shut(id));
         self.note_idle(id);
         self.pump(id);
     }
 
-    pub fn closing_came(&mut self, id: ConnId) {
+    pub fn closing_came(&mut self, id: ConnectionId) {
         // Danger: one that sends on at full speed would take the core for as long as it lingers.
-        if self.conns.get(id.0).is_some_and(|seat| seat.conn.is_over() || seat.conn.discarded > DISCARD) {
-            self.drop_conn(id);
+        if self
+            .sockets
+            .get(id.0)
+            .is_some_and(|seat| seat.connection.is_over() || seat.connection.discarded > DISCARD)
+        {
+            self.close_connection(id);
         }
     }
 
     /// The client has ended its side, or reset it.
-    pub fn client_left(&mut self, id: ConnId, call: Option<CallId>, broke: bool) {
-        let Some(call) = call else { return self.drop_conn(id) };
-        let Some(held) = self.calls.get_mut(call.0) else { return self.drop_conn(id) };
+    pub fn client_left(&mut self, id: ConnectionId, call: Option<CallId>, broke: bool) {
+        let Some(call) = call else { return self.close_connection(id) };
+        let Some(held) = self.calls.get_mut(call.0) else { return self.close_connection(id) };
         match held.stage {
-            Stage::Waiting | Stage::Returning => {
+            CallStage::Waiting | CallStage::Returning => {
                 held.client = None;
-                self.drop_conn(id);
+                self.close_connection(id);
                 self.give_up_call(call);
             }
-            Stage::Open if !broke => {
-                held.stage = Stage::HalfClosed;
-                if let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn) {
-                    if let Some(seat) = self.conns.get_mut(host.0) {
-                        seat.conn.finish = true;
+            CallStage::Open if !broke => {
+                held.stage = CallStage::HalfClosed;
+                if let Some(host) = held.attempt.as_ref().map(|attempt| attempt.connection) {
+                    if let Some(seat) = self.sockets.get_mut(host.0) {
+                        seat.connection.finish = true;
                     }
                     self.pump(host);
                 }
-                self.watch_conn(id);
-                self.deadlines.set(self.now + LINGER, Due::Linger(call));
+                self.watch_connection(id);
+                self.timers.set(self.now + LINGER, TimerEvent::Linger(call));
             }
-            Stage::HalfClosed if !broke => {}
-            Stage::Open | Stage::HalfClosed => {
+            CallStage::HalfClosed if !broke => {}
+            CallStage::Open | CallStage::HalfClosed => {
                 held.client = None;
-                self.drop_conn(id);
+                self.close_connection(id);
                 self.close_attempt(call, AttemptOutcome::Canceled, true);
             }
         }
@@ -345,7 +361,7 @@
     pub fn client_waits(&mut self, call: CallId) -> bool {
         let Some(held) = self.calls.get_mut(call.0) else { return false };
         let Some(client) = held.client else { return false };
-        let peer = self.conns.get(client.0).map_or(Peer::Gone, |seat| seat.conn.peer());
+        let peer = self.sockets.get(client.0).map_or(Peer::Gone, |seat| seat.connection.peer());
         if peer == Peer::Waits {
             return true;
         }
@@ -353,19 +369,19 @@
         held.client = None;
         match peer {
             Peer::Spoke => self.answer_conn(client, Answer::Error),
-            _ => self.drop_conn(client),
+            _ => self.close_connection(client),
         }
         false
     }
 
     fn give_up_call(&mut self, call: CallId) {
         let Some(held) = self.calls.get(call.0) else { return };
-        if held.stage == Stage::Returning {
-            let conn = held.attempt.as_ref().map(|attempt| attempt.conn);
+        if held.stage == CallStage::Returning {
+            let connection = held.attempt.as_ref().map(|attempt| attempt.connection);
             self.forget_call(call);
-            if let Some(conn) = conn {
+            if let Some(connection) = connection {
                 self.attempts_out -= 1;
-                self.drop_conn(conn);
+                self.close_connection(connection);
             }
             return;
         }
@@ -386,45 +402,45 @@
         self.settle();
     }
 
-    pub fn relay_to_host(&mut self, id: ConnId, call: CallId) {
+    pub fn relay_to_host(&mut self, id: ConnectionId, call: CallId) {
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let open = matches!(held.stage, Stage::Open | Stage::HalfClosed);
-        let Some(host) = held.attempt.as_ref().map(|attempt| attempt.conn).filter(|_| open) else {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        let open = matches!(held.stage, CallStage::Open | CallStage::HalfClosed);
+        let Some(host) = held.attempt.as_ref().map(|attempt| attempt.connection).filter(|_| open) else {
             debug!(call = call.0, "a client did not wait for its host");
             held.client = None;
             self.answer_conn(id, Answer::Error);
             self.give_up_call(call);
             return self.settle();
         };
-        let length = line::whole_lines(&seat.conn.inbox);
-        if seat.conn.inbox.len() - length >= line::LONGEST {
+        let length = protocol::whole_lines(&seat.connection.inbox);
+        if seat.connection.inbox.len() - length >= protocol::LONGEST {
             debug!("a client's line is too long");
             return self.client_left(id, Some(call), true);
         }
         let mut full = false;
         if length > 0 {
-            if let Some(to) = self.conns.get_mut(host.0) {
+            if let Some(to) = self.sockets.get_mut(host.0) {
                 let Some(held) = self.calls.get_mut(call.0) else { return };
                 if let Some(at) = Self::note_asked(held, self.now) {
-                    self.deadlines.set(at, Due::Silence(call));
+                    self.timers.set(at, TimerEvent::Silence(call));
                 }
                 let mut said = Vec::new();
-                std::mem::swap(&mut said, &mut to.conn.outbox);
-                if let Some(from) = self.conns.get_mut(id.0) {
-                    said.extend_from_slice(&from.conn.inbox[..length]);
-                    from.conn.inbox.drain(..length);
+                std::mem::swap(&mut said, &mut to.connection.outbox);
+                if let Some(from) = self.sockets.get_mut(id.0) {
+                    said.extend_from_slice(&from.connection.inbox[..length]);
+                    from.connection.inbox.drain(..length);
                 }
-                if let Some(to) = self.conns.get_mut(host.0) {
-                    to.conn.outbox = said;
+                if let Some(to) = self.sockets.get_mut(host.0) {
+                    to.connection.outbox = said;
                 }
             }
             self.pump(host);
-            full = self.conns.get(host.0).is_some_and(|to| to.conn.unsent() > MUCH);
+            full = self.sockets.get(host.0).is_some_and(|to| to.connection.unsent() > MUCH);
         }
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            seat.conn.paused = full;
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            seat.connection.paused = full;
         }
-        self.watch_conn(id);
+        self.watch_connection(id);
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -5,16 +5,16 @@
 use std::path::PathBuf;
 
 use glendeck::domain::{HostId, Settings, Span, Zone};
-use glendeck_fleet::policy::{Faulty, FleetPolicy, UnitName};
-use glendeck_settings::Pairs;
+use glendeck_fleet::policy::{FleetPolicy, PolicyError, UnitName};
+use glendeck_settings::SettingsMap;
 use serde_json::Value;
 use tracing::level_filters::LevelFilter;
 
-use crate::line::Names;
-use crate::list;
+use crate::endpoint_list;
+use crate::protocol::Names;
 
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigFault {
+pub enum ConfigError {
     #[error("{0} is not set")]
     NotSet(&'static str),
     #[error("{key}: cannot read {path:?}: {fault}")]
@@ -26,16 +26,16 @@
     #[error("{key} is {value}, expected {expected}")]
     Bad { key: String, value: String, expected: &'static str },
     #[error("settings: {0}")]
-    Settings(#[from] glendeck_settings::Fault),
+    Settings(#[from] glendeck_settings::SettingsError),
     #[error("known: {0}")]
-    Known(#[from] list::ListFault),
+    Known(#[from] endpoint_list::EndpointListError),
     #[error("fleet.charter: {path:?}: {fault}")]
     FleetPolicy { path: String, fault: String },
     #[error("fleet.charter: {0}")]
-    Limits(#[from] Faulty),
+    Limits(#[from] PolicyError),
 }
 
-pub struct Startup {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -53,7 +53,7 @@
     pub connect_limit: Span,
     /// The longest time that any client waits.
     pub longest_guard: Span,
-    pub known: Option<list::Told>,
+    pub known: Option<endpoint_list::EndpointListUpdate>,
     /// The fleet that it is part of, if it is of one.
     pub fleet: Option<FleetSettings>,
     /// Clients say of a call that it repeats one that failed.
@@ -77,7 +77,7 @@
 }
 
 /// What a configuration read anew has changed.
-pub struct Renewed {
+pub struct ConfigChange {
     pub settings: bool,
     /// There are more zones than before.
     pub zones: bool,
@@ -96,11 +96,11 @@
     names.into_iter().map(&mut number).collect()
 }
 
-impl Startup {
+impl NodeConfig {
     /// Takes over what may change while the node serves. Danger: calls in hand, hosts and figures go by the
     /// numbers of traffic classes, customers and zones. A name keeps its number as long as the process runs, in
     /// whatever order a file has them; what a file no longer names stays as it was, for what is in hand.
-    pub fn renew(&mut self, new: Startup) -> Renewed {
+    pub fn renew(&mut self, new: NodeConfig) -> ConfigChange {
         let later = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
@@ -124,7 +124,7 @@
         self.connect_limit = new.connect_limit;
         // Calls in hand keep the deadline that they came with.
         self.longest_guard = self.longest_guard.max(new.longest_guard);
-        Renewed {
+        ConfigChange {
             settings: before != (self.settings.clone(), self.names.clone(), self.zones.len()),
             zones: before.2 != self.zones.len(),
             later: later.iter().filter(|(_, changed)| *changed).map(|(key, _)| *key).collect(),
@@ -133,7 +133,7 @@
 }
 
 /// How much is logged; a name of the program's own, as the platform says nothing of it.
-pub fn log_level() -> Result<LevelFilter, ConfigFault> {
+pub fn log_level() -> Result<LevelFilter, ConfigError> {
     match std::env::var("GLENDECK_LOG") {
         Ok(text) => {
             text.parse().map_err(|_| bad("GLENDECK_LOG", &text, "off, error, warn, info, debug or trace"))
@@ -143,25 +143,25 @@
 }
 
 /// From `ROUTER_CONFIG`; the other variables say the same as its keys and win where they are set.
-pub fn from_environment() -> Result<Startup, ConfigFault> {
+pub fn from_environment() -> Result<NodeConfig, ConfigError> {
     read(&file()?, |variable| std::env::var(variable).ok())
 }
 
 /// The file as it is now. Danger: the variables keep what they said at the start; the list's service may have
 /// moved since, and a node that trusts its variable asks one that is about to go.
-pub fn anew() -> Result<Startup, ConfigFault> {
+pub fn anew() -> Result<NodeConfig, ConfigError> {
     read(&file()?, |variable| std::env::var(variable).ok().filter(|_| variable != "ROUTER_DISCOVERY"))
 }
 
-fn file() -> Result<String, ConfigFault> {
+fn file() -> Result<String, ConfigError> {
     let key = "ROUTER_CONFIG";
-    let path = std::env::var(key).map_err(|_| ConfigFault::NotSet(key))?;
-    std::fs::read_to_string(&path).map_err(|fault| ConfigFault::Unreadable { key, path, fault })
+    let path = std::env::var(key).map_err(|_| ConfigError::NotSet(key))?;
+    std::fs::read_to_string(&path).map_err(|fault| ConfigError::Unreadable { key, path, fault })
 }
 
-pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Startup, ConfigFault> {
+pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<NodeConfig, ConfigError> {
     let json: Value =
-        serde_json::from_str(text).map_err(|fault| ConfigFault::NoJson { key: "ROUTER_CONFIG", fault })?;
+        serde_json::from_str(text).map_err(|fault| ConfigError::NoJson { key: "ROUTER_CONFIG", fault })?;
     let given = |env: &'static str, key: &'static str| match variable(env) {
         Some(value) => Ok((env, value)),
         None => text_at(&json, key).map(|value| (key, value.to_owned())),
@@ -173,22 +173,23 @@
     let admin = if told { Some(address(given("ROUTER_ADMIN", "admin")?)?) } else { None };
     let seed = text_at(&json, "seed")?;
     let settings_json = json.get("settings").ok_or_else(|| missing("settings"))?;
-    let pairs = Pairs::from_json(settings_json);
+    let pairs = SettingsMap::from_json(settings_json);
     // Danger: the settings promise message times, but lines between nodes and hosts carry none, and the
     // decisions would wait for them while hosts go under.
     let settings = Settings { reports_message_times: false, ..glendeck_settings::settings(&pairs)? };
     let list_is_pushed = settings.poll_interval.is_none();
-    let settings = Settings { poll_interval: Some(list::poll_interval(settings.poll_interval)), ..settings };
+    let settings =
+        Settings { poll_interval: Some(endpoint_list::poll_interval(settings.poll_interval)), ..settings };
     let traffic = named(settings_json, "trafficTypes")?;
     let guards = (0..traffic.len()).map(|i| pairs.span(&format!("trafficTypes.{i}.guardTimeMs")));
     let longest_guard = guards.collect::<Result<Vec<_>, _>>()?.into_iter().max().unwrap_or_default();
     let zones = texts(settings_json, "dcs")?;
     let known = json.get("known").filter(|known| !known.is_null());
-    let known = known.map(|known| list::decode(known, &zones)).transpose()?;
+    let known = known.map(|known| endpoint_list::decode(known, &zones)).transpose()?;
     let name = given("ROUTER_NAME", "name")?.1;
     let fleet = json.get("fleet").filter(|fleet| !fleet.is_null());
     let fleet = fleet.map(|fleet| fleet_settings(fleet, &name, &variable)).transpose()?;
-    Ok(Startup {
+    Ok(NodeConfig {
         name,
         listen: address(given("ROUTER_LISTEN", "listen")?)?,
         discovery: address(given("ROUTER_DISCOVERY", "discovery")?)?,
@@ -220,7 +221,7 @@
     json: &Value,
     name: &str,
     variable: &impl Fn(&str) -> Option<String>,
-) -> Result<FleetSettings, ConfigFault> {
+) -> Result<FleetSettings, ConfigError> {
     let known = ["listen", "peers", "folder", "version", "charter"];
     if let Some(other) =
         json.as_object().and_then(|all| all.keys().find(|key| !known.contains(&key.as_str())))
@@ -235,7 +236,7 @@
         value.parse::<SocketAddr>().map_err(|_| bad(key, value, "an address and a port"))
     };
     let path = text("charter")?;
-    let unreadable = |fault: String| ConfigFault::FleetPolicy { path: path.to_owned(), fault };
+    let unreadable = |fault: String| ConfigError::FleetPolicy { path: path.to_owned(), fault };
     let policy = std::fs::read_to_string(path).map_err(|fault| unreadable(fault.to_string()))?;
     let policy: FleetPolicy = toml::from_str(&policy).map_err(|fault| unreadable(fault.to_string()))?;
     policy.check()?;
@@ -264,7 +265,7 @@
 }
 
 /// Two descriptors a connection, and a few for the node itself; with fewer than 64 nothing could be served.
-fn descriptors(json: &Value) -> Result<usize, ConfigFault> {
+fn descriptors(json: &Value) -> Result<usize, ConfigError> {
     // Without a limit from the platform: what most systems grant a process.
     let Some(limit) = json.pointer("/limits/sockets").filter(|limit| !limit.is_null()) else {
         return Ok(1024);
@@ -275,32 +276,32 @@
         .ok_or_else(|| bad("limits.sockets", &limit.to_string(), "a whole number from 64 on"))
 }
 
-fn missing(key: &str) -> ConfigFault {
-    ConfigFault::Missing { key: key.to_owned() }
+fn missing(key: &str) -> ConfigError {
+    ConfigError::Missing { key: key.to_owned() }
 }
 
-fn bad(key: &str, value: &str, expected: &'static str) -> ConfigFault {
-    ConfigFault::Bad { key: key.to_owned(), value: format!("{value:?}"), expected }
+fn bad(key: &str, value: &str, expected: &'static str) -> ConfigError {
+    ConfigError::Bad { key: key.to_owned(), value: format!("{value:?}"), expected }
 }
 
-fn text_at<'a>(json: &'a Value, key: &str) -> Result<&'a str, ConfigFault> {
+fn text_at<'a>(json: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
     let value = json.get(key).ok_or_else(|| missing(key))?;
     value.as_str().ok_or_else(|| bad(key, &value.to_string(), "text"))
 }
 
-fn items<'a>(settings: &'a Value, key: &str) -> Result<&'a [Value], ConfigFault> {
+fn items<'a>(settings: &'a Value, key: &str) -> Result<&'a [Value], ConfigError> {
     let value = settings.get(key).ok_or_else(|| missing(&format!("settings.{key}")))?;
     let items = value.as_array().map(Vec::as_slice);
     items.ok_or_else(|| bad(&format!("settings.{key}"), &value.to_string(), "a list"))
 }
 
-fn texts(settings: &Value, key: &str) -> Result<Vec<String>, ConfigFault> {
+fn texts(settings: &Value, key: &str) -> Result<Vec<String>, ConfigError> {
     let text = |value: &Value| value.as_str().map(str::to_owned);
     let all: Option<Vec<String>> = items(settings, key)?.iter().map(text).collect();
     all.ok_or_else(|| bad(&format!("settings.{key}"), "its items", "names"))
 }
 
-fn named(settings: &Value, key: &str) -> Result<Vec<String>, ConfigFault> {
+fn named(settings: &Value, key: &str) -> Result<Vec<String>, ConfigError> {
     let name = |item: &Value| item.get("name").and_then(Value::as_str).map(str::to_owned);
     let all: Option<Vec<String>> = items(settings, key)?.iter().map(name).collect();
     all.ok_or_else(|| bad(&format!("settings.{key}"), "its items", "objects with a name"))
@@ -308,7 +309,7 @@
 
 /// A host's number, the same at every node.
 pub fn host_id(name: &str) -> HostId {
-    HostId(crate::line::numbered(name))
+    HostId(crate::protocol::numbered(name))
 }
 
 #[cfg(test)]
--- a/crates/node/src/conn.rs
+++ b/crates/node/src/connection.rs
@@ -8,7 +8,7 @@
 
 use crate::reactor::Flags;
 
-pub struct Conn {
+pub struct Connection {
     pub fd: OwnedFd,
     /// What came and is not used yet.
     pub inbox: Vec<u8>,
@@ -70,12 +70,12 @@
     net::socket_with(family, SocketType::STREAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)
 }
 
-impl Conn {
-    pub fn new(fd: OwnedFd, connecting: bool) -> Conn {
+impl Connection {
+    pub fn new(fd: OwnedFd, connecting: bool) -> Connection {
         let watched = Flags::IN | if connecting { Flags::OUT } else { Flags::empty() };
         // Lines are short and wanted at once.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
-        Conn {
+        Connection {
             fd,
             inbox: Vec::new(),
             outbox: Vec::new(),
@@ -91,11 +91,11 @@
         }
     }
 
-    pub fn connect(address: SocketAddr) -> Result<Conn, Errno> {
+    pub fn connect(address: SocketAddr) -> Result<Connection, Errno> {
         let fd = socket(address)?;
         match net::connect(&fd, &address) {
-            Ok(()) => Ok(Conn::new(fd, false)),
-            Err(Errno::INPROGRESS | Errno::INTR) => Ok(Conn::new(fd, true)),
+            Ok(()) => Ok(Connection::new(fd, false)),
+            Err(Errno::INPROGRESS | Errno::INTR) => Ok(Connection::new(fd, true)),
             Err(fault) => Err(fault),
         }
     }
--- a/crates/node/src/list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -7,12 +7,12 @@
 use tracing::{debug, warn};
 
 use crate::config::host_id;
-use crate::conn::{Conn, Got};
+use crate::connection::{Connection, Got};
 use crate::http::{self, Arriving};
-use crate::service::{ConnId, Due, Role, Service};
+use crate::service::{ConnectionId, Service, SocketRole, TimerEvent};
 
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum ListFault {
+pub enum EndpointListError {
     #[error("the list lacks {0}")]
     Missing(&'static str),
     #[error("the list has an unusable {0}")]
@@ -21,7 +21,7 @@
 
 /// What was told of the hosts: all of them, or what changed.
 #[derive(Debug)]
-pub struct Told {
+pub struct EndpointListUpdate {
     pub index: u64,
     pub update: ListUpdate,
     pub lines: Vec<Endpoint>,
@@ -30,12 +30,12 @@
 
 /// How far the list is known, and the watch on it.
 #[derive(Default)]
-pub struct List {
+pub struct EndpointListClient {
     index: Option<u64>,
     /// Its service has answered since the start.
     pub heard: bool,
     /// The line of the watch; without one, it is asked for again when the decisions say so.
-    watch: Option<ConnId>,
+    watch: Option<ConnectionId>,
     /// The watch fell silent and was opened anew, and nothing has come since.
     anew: bool,
     /// The decisions know that the watch stands.
@@ -80,12 +80,14 @@
     settings.map_or(PUSHED_WITHIN, |told| told.min(ASKED_WITHIN))
 }
 
-pub fn decode(json: &Value, zones: &[String]) -> Result<Told, ListFault> {
-    let index = json.get("index").and_then(Value::as_u64).ok_or(ListFault::Missing("index"))?;
-    let whole = json.get("snapshot").and_then(Value::as_bool).ok_or(ListFault::Missing("snapshot"))?;
-    let entries = json.get("endpoints").and_then(Value::as_array).ok_or(ListFault::Missing("endpoints"))?;
+pub fn decode(json: &Value, zones: &[String]) -> Result<EndpointListUpdate, EndpointListError> {
+    let index = json.get("index").and_then(Value::as_u64).ok_or(EndpointListError::Missing("index"))?;
+    let whole =
+        json.get("snapshot").and_then(Value::as_bool).ok_or(EndpointListError::Missing("snapshot"))?;
+    let entries =
+        json.get("endpoints").and_then(Value::as_array).ok_or(EndpointListError::Missing("endpoints"))?;
     let update = if whole { ListUpdate::Complete } else { ListUpdate::Delta };
-    let mut told = Told { index, update, lines: Vec::new(), addresses: Vec::new() };
+    let mut told = EndpointListUpdate { index, update, lines: Vec::new(), addresses: Vec::new() };
     for entry in entries {
         // Danger: one entry that cannot be read must not keep the node from all others.
         match line(entry, zones) {
@@ -109,30 +111,30 @@
     }
 }
 
-fn line(entry: &Value, zones: &[String]) -> Result<(Endpoint, Option<SocketAddr>), ListFault> {
+fn line(entry: &Value, zones: &[String]) -> Result<(Endpoint, Option<SocketAddr>), EndpointListError> {
     let text = |key| entry.get(key).and_then(Value::as_str);
     let number = |key, absent| entry.get(key).map_or(Some(absent), Value::as_f64).filter(|n| *n >= 0.0);
-    let condition = condition(entry).ok_or(ListFault::Bad("status"))?;
+    let condition = condition(entry).ok_or(EndpointListError::Bad("status"))?;
     let address = text("address").and_then(|address| address.parse().ok());
     if address.is_none() && condition != Condition::Gone {
-        return Err(ListFault::Bad("address"));
+        return Err(EndpointListError::Bad("address"));
     }
     // A zone that the settings do not name is no zone of ours.
     let zone = zones.iter().position(|zone| Some(zone.as_str()) == text("zone")).unwrap_or(zones.len());
-    let since = number("since_ms", 0.0).ok_or(ListFault::Bad("since_ms"))?;
+    let since = number("since_ms", 0.0).ok_or(EndpointListError::Bad("since_ms"))?;
     let listed = Endpoint {
-        host: host_id(text("name").ok_or(ListFault::Missing("name"))?),
+        host: host_id(text("name").ok_or(EndpointListError::Missing("name"))?),
         zone: Zone(zone as u16),
         cell: Cell(entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
         condition,
-        weight: Weight(number("weight", 1.0).ok_or(ListFault::Bad("weight"))?),
-        kind: text("type").map(|kind| Kind(crate::line::numbered(kind))),
+        weight: Weight(number("weight", 1.0).ok_or(EndpointListError::Bad("weight"))?),
+        kind: text("type").map(|kind| Kind(crate::protocol::numbered(kind))),
         up_since: Some(Time((since * 1e6) as u64)).filter(|up| up.0 > 0),
     };
     Ok((listed, address))
 }
 
-impl List {
+impl EndpointListClient {
     pub fn index(&self) -> Option<u64> {
         self.index
     }
@@ -144,7 +146,7 @@
 
 impl Service {
     /// The list as it was known before the start; it may be old.
-    pub fn remember_list(&mut self, known: Told) {
+    pub fn remember_list(&mut self, known: EndpointListUpdate) {
         self.hosts.learn(&known);
         let now = self.now;
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.lines, port));
@@ -166,16 +168,16 @@
     /// what the new one says. The old watch ends here, which is no failure; hosts stay until the new list.
     pub fn follow_elsewhere(&mut self) {
         if let Some(id) = std::mem::take(&mut self.list).watch {
-            self.drop_conn(id);
+            self.close_connection(id);
         }
         self.begin_watch();
     }
 
-    fn ask_list(&mut self, wait: Span) -> Option<ConnId> {
+    fn ask_list(&mut self, wait: Span) -> Option<ConnectionId> {
         self.list.arriving = Arriving::default();
-        match Conn::connect(self.startup.discovery) {
-            Ok(conn) => {
-                let id = self.add_conn(conn, Role::List(self.now))?;
+        match Connection::connect(self.config.discovery) {
+            Ok(connection) => {
+                let id = self.add_connection(connection, SocketRole::EndpointListClient(self.now))?;
                 self.put_question(id, wait);
                 Some(id)
             }
@@ -186,23 +188,23 @@
         }
     }
 
-    fn put_question(&mut self, id: ConnId, wait: Span) {
+    fn put_question(&mut self, id: ConnectionId, wait: Span) {
         let path = match self.list.index {
             Some(index) => format!("{PATH}?after={index}&wait_ms={}", wait.0 / 1_000_000),
             _ => PATH.to_owned(),
         };
         let limit = self.now + wait + if wait > Span::ZERO { AFTER_WAIT } else { PATIENCE };
-        let authority = self.startup.discovery.to_string();
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            seat.role = Role::List(limit);
-            http::encode_get(&path, &authority, &mut seat.conn.outbox);
+        let authority = self.config.discovery.to_string();
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            seat.role = SocketRole::EndpointListClient(limit);
+            http::encode_get(&path, &authority, &mut seat.connection.outbox);
         }
-        self.deadlines.set(limit, Due::ListLimit(id));
+        self.timers.set(limit, TimerEvent::ListLimit(id));
         self.pump(id);
     }
 
-    pub fn list_limit(&mut self, id: ConnId) {
-        if let Some(Role::List(limit)) = self.role(id)
+    pub fn list_limit(&mut self, id: ConnectionId) {
+        if let Some(SocketRole::EndpointListClient(limit)) = self.role(id)
             && self.now >= limit
         {
             warn!("discovery does not answer");
@@ -210,15 +212,15 @@
             if std::mem::replace(&mut self.list.anew, true) {
                 return self.list_lost(id);
             }
-            self.drop_conn(id);
+            self.close_connection(id);
             self.list.watch = None;
             self.begin_watch();
         }
     }
 
     /// The one way in which a question fails: refused, broken, unreadable or never answered.
-    pub fn list_lost(&mut self, id: ConnId) {
-        self.drop_conn(id);
+    pub fn list_lost(&mut self, id: ConnectionId) {
+        self.close_connection(id);
         self.list.watch = None;
         self.list.stands = false;
         self.fleet_lost_list();
@@ -226,18 +228,18 @@
         self.tell(|node, port| node.watch_failed(now, port));
     }
 
-    pub fn list_came(&mut self, id: ConnId, got: Got) {
+    pub fn list_came(&mut self, id: ConnectionId, got: Got) {
         let ended = match got {
             Got::Bytes(n) => {
-                let Some(seat) = self.conns.get_mut(id.0) else { return };
-                seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(seat) = self.sockets.get_mut(id.0) else { return };
+                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 false
             }
             Got::NothingYet => return,
             Got::End => true,
         };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let reply = match self.list.arriving.read(&mut seat.conn.inbox, ended) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        let reply = match self.list.arriving.read(&mut seat.connection.inbox, ended) {
             Ok(Some(reply)) if reply.status == 200 => reply,
             Ok(None) => return,
             other => {
@@ -246,8 +248,8 @@
                 return self.list_lost(id);
             }
         };
-        let json = serde_json::from_slice(&reply.body).map_err(|_| ListFault::Bad("JSON text"));
-        let decoded = json.and_then(|json| Ok((decode(&json, &self.startup.zones)?, json)));
+        let json = serde_json::from_slice(&reply.body).map_err(|_| EndpointListError::Bad("JSON text"));
+        let decoded = json.and_then(|json| Ok((decode(&json, &self.config.zones)?, json)));
         let told = match decoded {
             Ok((told, json)) => {
                 self.tell_fleet_hosts(&told, &json);
@@ -269,10 +271,14 @@
         if reply.keeps_open && !ended {
             self.put_question(id, wait);
         } else {
-            self.drop_conn(id);
+            self.close_connection(id);
             self.list.watch = self.ask_list(wait);
         }
-        self.take_news(if mine.is_some() { Told { lines: vec![], addresses: vec![], ..told } } else { told });
+        self.take_news(if mine.is_some() {
+            EndpointListUpdate { lines: vec![], addresses: vec![], ..told }
+        } else {
+            told
+        });
         if self.list.watch.is_none() {
             self.list.stands = false;
             let now = self.now;
@@ -280,7 +286,7 @@
         }
     }
 
-    fn take_news(&mut self, told: Told) {
+    fn take_news(&mut self, told: EndpointListUpdate) {
         debug!(
             index = told.index,
             whole = told.update == ListUpdate::Complete,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -13,23 +13,23 @@
 use glendeck_fleet::policy::{Place, Plan, UnitName};
 use glendeck_fleet::state::{Command, CommandResult, Incarnation, RequestId};
 use glendeck_fleet::{Action, Fleet, FleetConfig, LONGEST_LOG, NodeStatus, RequestResult, Timestamp};
-use glendeck_store::{Faults, Outcome, Store, StoreFault};
+use glendeck_store::{Faults, Outcome, Store, StoreError};
 use nanorand::{Rng, WyRand};
 use rustix::io::Errno;
 use serde_json::{Value, json};
 use tracing::{error, info, warn};
 
 use crate::config::{FleetSettings, host_id};
-use crate::list::{self, Told};
+use crate::endpoint_list::{self, EndpointListUpdate};
 use crate::peers::{Frame, Peers};
-use crate::service::{ConnId, Due, Phase, STORE, Service};
+use crate::service::{ConnectionId, Phase, STORE, Service, TimerEvent};
 
 #[derive(Debug, thiserror::Error)]
-pub enum FleetFault {
+pub enum FleetError {
     #[error("cannot listen for peers on {address}: {fault}")]
     Listen { address: std::net::SocketAddr, fault: Errno },
     #[error(transparent)]
-    Store(#[from] StoreFault),
+    Store(#[from] StoreError),
     #[error("cannot start the store's thread: {0}")]
     Thread(#[from] std::io::Error),
     #[error("cannot watch the store: {0}")]
@@ -56,9 +56,9 @@
 
 /// Someone at the door who waits for what the fleet decides.
 enum Waiting {
-    Orders(ConnId),
+    Orders(ConnectionId),
     /// All that want to see the state, and asked before this question of theirs went out.
-    Look(Vec<ConnId>),
+    Look(Vec<ConnectionId>),
 }
 
 pub struct Membership {
@@ -77,7 +77,7 @@
     faults: Option<Arc<dyn Faults>>,
     waiting: BTreeMap<RequestId, Waiting>,
     /// They want to see the state, and a question that went out before they asked is still out.
-    looking: Vec<ConnId>,
+    looking: Vec<ConnectionId>,
     next_look: Time,
     most_links: usize,
     /// The list's hosts by the names that the fleet knows them by.
@@ -86,7 +86,7 @@
     kept_from: BTreeMap<HostId, UnitName>,
     ease_every: Span,
     easing: bool,
-    pub work: Option<crate::work::Work>,
+    pub work: Option<crate::takeover::Work>,
     pub warm_state: Option<crate::warm_state::WarmState>,
 }
 
@@ -117,7 +117,7 @@
     name: &UnitName,
     incarnation: Incarnation,
     faults: Option<Arc<dyn Faults>>,
-) -> Result<(FleetConfig, Option<(Store, UnixStream)>), FleetFault> {
+) -> Result<(FleetConfig, Option<(Store, UnixStream)>), FleetError> {
     let mut setup = FleetConfig {
         name: name.clone(),
         policy: settings.policy.clone(),
@@ -141,12 +141,12 @@
 }
 
 impl Service {
-    pub fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetFault> {
-        let Some(settings) = self.startup.fleet.clone() else { return Ok(()) };
-        let (name, incarnation) = (UnitName(self.startup.name.clone()), draw_incarnation(self.startup.seed));
+    pub fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetError> {
+        let Some(settings) = self.config.fleet.clone() else { return Ok(()) };
+        let (name, incarnation) = (UnitName(self.config.name.clone()), draw_incarnation(self.config.seed));
         let (setup, store, waits) = match begin(&settings, &name, incarnation, faults.clone()) {
             Ok((setup, store)) => (setup, store, false),
-            Err(FleetFault::Store(fault @ StoreFault::InUse(_))) => {
+            Err(FleetError::Store(fault @ StoreError::InUse(_))) => {
                 warn!(%fault, "waiting for it, without a vote");
                 let without = FleetSettings { folder: None, ..settings.clone() };
                 let (setup, _) = begin(&without, &name, incarnation, None)?;
@@ -182,8 +182,8 @@
             ease_every: Span::ZERO,
             easing: false,
             work: settings.policy.work.as_ref().map(|work| {
-                let longest_ms = self.startup.longest_guard.0 / 1_000_000;
-                crate::work::Work::new(
+                let longest_ms = self.config.longest_guard.0 / 1_000_000;
+                crate::takeover::Work::new(
                     start,
                     name.clone(),
                     incarnation,
@@ -199,7 +199,7 @@
         }));
         self.inherit_work();
         let address = settings.listen;
-        self.listen_for_peers(address).map_err(|fault| FleetFault::Listen { address, fault })?;
+        self.listen_for_peers(address).map_err(|fault| FleetError::Listen { address, fault })?;
         self.fleet_tick();
         Ok(())
     }
@@ -209,7 +209,7 @@
     }
 
     fn node_status(&self) -> NodeStatus {
-        let (calls, failed, busy) = self.figures.totals();
+        let (calls, failed, busy) = self.metrics.totals();
         NodeStatus {
             serving: self.phase == Phase::Serving,
             drained: self.is_drained(),
@@ -248,14 +248,14 @@
     }
 
     /// The list as it came, by name.
-    pub fn tell_fleet_hosts(&mut self, told: &Told, json: &Value) {
+    pub fn tell_fleet_hosts(&mut self, told: &EndpointListUpdate, json: &Value) {
         let Some(membership) = &mut self.membership else { return };
         if told.update == ListUpdate::Complete {
             membership.listed.clear();
         }
         for entry in json["endpoints"].as_array().into_iter().flatten() {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
-            let listed = match list::condition(entry) {
+            let listed = match endpoint_list::condition(entry) {
                 Some(Condition::Ready) => EndpointState::Ready,
                 Some(Condition::Draining) => EndpointState::Draining,
                 Some(Condition::Gone) => EndpointState::Gone,
@@ -290,7 +290,7 @@
         let first = every.times(f64::from(membership.chance.generate::<f32>()));
         let begins = !membership.kept_from.is_empty() && !std::mem::replace(&mut membership.easing, true);
         if begins {
-            self.deadlines.set(self.now + first, Due::Ease);
+            self.timers.set(self.now + first, TimerEvent::Ease);
         }
         let (now, lines) = (self.now, self.hosts.keep_from(ids));
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &lines, port));
@@ -302,7 +302,7 @@
             membership.easing = false;
             return;
         }
-        self.deadlines.set(self.now + membership.ease_every, Due::Ease);
+        self.timers.set(self.now + membership.ease_every, TimerEvent::Ease);
         if let Some(call) = self.hosts.next_eased() {
             self.move_client(call, AttemptOutcome::Canceled);
         }
@@ -323,7 +323,7 @@
         if self.phase == Phase::Left {
             return;
         }
-        self.deadlines.set(self.now + TICK, Due::Fleet);
+        self.timers.set(self.now + TICK, TimerEvent::Fleet);
         self.tend_links();
         self.try_store();
         self.look();
@@ -347,7 +347,7 @@
         }
         let (name, incarnation, faults) =
             (membership.name.clone(), membership.incarnation, membership.faults.clone());
-        let (out, Some(settings)) = (membership.fleet.is_out(), self.startup.fleet.clone()) else { return };
+        let (out, Some(settings)) = (membership.fleet.is_out(), self.config.fleet.clone()) else { return };
         // What it has begun it ends as it is.
         if out.is_some() {
             return;
@@ -449,7 +449,7 @@
     // The operators' door.
 
     /// Takes a call about the fleet. What it is answered comes later, or is this.
-    pub fn ask_fleet(&mut self, caller: ConnId, path: &str, body: &[u8]) -> Option<(u16, Value)> {
+    pub fn ask_fleet(&mut self, caller: ConnectionId, path: &str, body: &[u8]) -> Option<(u16, Value)> {
         let Some(membership) = &mut self.membership else {
             return Some((404, json!({"error": "this node is of no fleet"})));
         };
@@ -569,10 +569,10 @@
             "bytes_heard": came.1,
         });
         if let Some(work) = &membership.work {
-            status["work"] = work.figures(self.timestamp());
+            status["work"] = work.metrics(self.timestamp());
         }
         if let Some(warm_state) = &membership.warm_state {
-            status["estates"] = warm_state.figures();
+            status["estates"] = warm_state.metrics();
         }
         status
     }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -24,12 +24,14 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
-use crate::config::Startup;
-use crate::conn::{Conn, Got};
+use crate::config::NodeConfig;
+use crate::connection::{Connection, Got};
+use crate::endpoint_list::EndpointListUpdate;
 use crate::hosts::SEND_AWAY;
-use crate::line::{ClientId, LONGEST, first_line};
-use crate::list::Told;
-use crate::service::{Attempt, AttemptEnd, ConnId, Due, Held, Phase, Role, Service, Stage};
+use crate::protocol::{ClientId, LONGEST, first_line};
+use crate::service::{
+    Attempt, AttemptEnd, CallStage, ConnectionId, InFlightCall, Phase, Service, SocketRole, TimerEvent,
+};
 
 /// What the next process says first, and what stands before the message; another version says another number.
 const SUCCESSOR_HELLO: &str = "HEIR 1";
@@ -62,14 +64,14 @@
 pub struct Handover {
     /// Where the next process asks.
     door: Option<UnixListener>,
-    successor: Option<ConnId>,
+    successor: Option<ConnectionId>,
     /// The next process has been told what is known; from then on it hears of changes.
     successor_notified: bool,
     /// The next process has said that it serves.
     successor_serves: bool,
     /// And that another serves in its place.
     succeeded: bool,
-    predecessor: Option<ConnId>,
+    predecessor: Option<ConnectionId>,
     /// This process has told the one before that it serves.
     took_over: bool,
     /// The list's service had its time to answer before this process takes over.
@@ -78,7 +80,7 @@
     pub other_uses: usize,
     /// What is still to go over to the next process.
     calls: VecDeque<CallId>,
-    idle: VecDeque<ConnId>,
+    idle: VecDeque<ConnectionId>,
     /// What came from the process before and whose line has not come whole.
     sockets: VecDeque<OwnedFd>,
     /// The node was drained when this process was started.
@@ -103,7 +105,7 @@
 
 /// All that a process tells the next, but for the socket.
 pub struct Standing {
-    pub list: Told,
+    pub list: EndpointListUpdate,
     pub node: NodeSnapshot,
     pub drained: bool,
     /// The zones' and traffic classes' names by their numbers there. Danger: a process whose settings were changed
@@ -126,8 +128,8 @@
 
 impl Inherited {
     /// Asks the process that serves at this address, if there is one. It blocks, as nothing is served yet.
-    pub fn ask(startup: &Startup) -> Option<Inherited> {
-        let (folder, address) = (startup.folder.as_deref(), startup.listen);
+    pub fn ask(config: &NodeConfig) -> Option<Inherited> {
+        let (folder, address) = (config.folder.as_deref(), config.listen);
         let path = path(folder?, address);
         // Nothing there is the usual case, and where Unix sockets are refused none is made for it.
         path.symlink_metadata().ok()?;
@@ -153,7 +155,7 @@
             warn!("the process before did not hand over its socket");
             return None;
         };
-        let told = message.and_then(|message| decode(&message, &startup.zones, &startup.names.traffic));
+        let told = message.and_then(|message| decode(&message, &config.zones, &config.names.traffic));
         if told.is_none() {
             warn!("what the process before told cannot be read: starting cold");
         }
@@ -221,7 +223,7 @@
         })
         .collect();
     let node = &standing.node;
-    let figures: Vec<Value> = node
+    let metrics: Vec<Value> = node
         .hosts
         .iter()
         .map(|of| {
@@ -231,7 +233,7 @@
         })
         .collect();
     let loads: Vec<Value> = node.loads.iter().take(CLIENTS).map(|(of, load)| json!([of.0, load])).collect();
-    json!({"index": standing.list.index, "list": hosts, "hosts": figures, "loads": loads,
+    json!({"index": standing.list.index, "list": hosts, "hosts": metrics, "loads": loads,
            "mean_load": node.mean_load, "of_type": node.of_type, "arrival": node.arrival, "held": node.held,
            "usual_conns": node.usual_conns, "size": node.size, "usual_size": node.usual_size,
            "setup": node.setup, "drained": standing.drained, "zones": standing.zones, "types": standing.types})
@@ -311,7 +313,8 @@
             nominal: of.get("nominal").and_then(Value::as_f64).filter(|size| size.is_finite()).map(Size),
         });
     }
-    let list = Told { index: whole(&json, "index")?, update: ListUpdate::Complete, lines, addresses };
+    let list =
+        EndpointListUpdate { index: whole(&json, "index")?, update: ListUpdate::Complete, lines, addresses };
     let drained = json.get("drained")?.as_bool()?;
     Some(Standing {
         list,
@@ -328,8 +331,8 @@
     /// Danger: a file of a process that was killed is in the way, and one that serves must not be cut off
     /// before the new socket listens: it is bound beside and moved over.
     pub fn listen_for_successor(&mut self) {
-        let Some(folder) = self.startup.folder.as_deref() else { return };
-        let path = path(folder, self.startup.listen);
+        let Some(folder) = self.config.folder.as_deref() else { return };
+        let path = path(folder, self.config.listen);
         let beside = path.with_extension("new");
         let _ = std::fs::remove_file(&beside);
         let bound = UnixListener::bind(&beside).and_then(|door| {
@@ -349,25 +352,26 @@
         let Some(Ok((line, _))) = self.handover.door.as_ref().map(UnixListener::accept) else { return };
         // One at a time: another is turned away by the close.
         if self.handover.successor.is_none() && line.set_nonblocking(true).is_ok() {
-            self.handover.successor = self.add_conn(Conn::new(line.into(), false), Role::Successor);
+            self.handover.successor =
+                self.add_connection(Connection::new(line.into(), false), SocketRole::Successor);
         }
     }
 
-    pub fn successor_readable(&mut self, id: ConnId, got: Got) {
+    pub fn successor_readable(&mut self, id: ConnectionId, got: Got) {
         let Got::Bytes(n) = got else {
             return if matches!(got, Got::End) {
                 self.successor_gone(id)
             };
         };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
-        while let Some(seat) = self.conns.get_mut(id.0) {
-            let Some(length) = first_line(&seat.conn.inbox) else {
-                return if seat.conn.inbox.len() > LONGEST {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+        while let Some(seat) = self.sockets.get_mut(id.0) {
+            let Some(length) = first_line(&seat.connection.inbox) else {
+                return if seat.connection.inbox.len() > LONGEST {
                     self.successor_gone(id)
                 };
             };
-            let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
+            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
             match said.trim_ascii_end() {
                 said if said == SUCCESSOR_HELLO.as_bytes() => self.hand_over(id),
                 said if said == SERVING.as_bytes() => self.replaced(),
@@ -380,12 +384,12 @@
         }
     }
 
-    fn hand_over(&mut self, id: ConnId) {
+    fn hand_over(&mut self, id: ConnectionId) {
         let (Some(node), Some(index)) = (self.snapshot(), self.list.index()) else {
             return self.successor_gone(id);
         };
         let drained = matches!(self.phase, Phase::Draining { .. });
-        let (zones, types) = (self.startup.zones.clone(), self.startup.names.traffic.clone());
+        let (zones, types) = (self.config.zones.clone(), self.config.names.traffic.clone());
         let message =
             encode(&Standing { list: self.hosts.told(index), node, drained, zones, types }).to_string();
         let head = format!("{STANDING} {}\n", message.len());
@@ -418,8 +422,8 @@
     }
 
     /// Danger: the next process may end before it serves, or after; then nobody would take the clients.
-    pub fn successor_gone(&mut self, id: ConnId) {
-        self.drop_conn(id);
+    pub fn successor_gone(&mut self, id: ConnectionId) {
+        self.close_connection(id);
         if self.handover.successor != Some(id) {
             return;
         }
@@ -444,10 +448,10 @@
 
     /// Told to end: what is open goes over, and so do clients that have not opened anything yet.
     pub fn hand_over_calls(&mut self) {
-        let open = self.calls.iter().filter(|(_, held)| held.stage == Stage::Open);
+        let open = self.calls.iter().filter(|(_, held)| held.stage == CallStage::Open);
         self.handover.calls = open.map(|(number, _)| CallId(number)).collect();
-        let idle = self.conns.iter().filter(|(_, seat)| seat.role == Role::Client(None));
-        self.handover.idle = idle.map(|(number, _)| ConnId(number)).collect();
+        let idle = self.sockets.iter().filter(|(_, seat)| seat.role == SocketRole::Client(None));
+        self.handover.idle = idle.map(|(number, _)| ConnectionId(number)).collect();
         self.hand_on();
     }
 
@@ -459,14 +463,14 @@
     /// As much as the line takes; the rest when it has room again.
     pub fn hand_on(&mut self) {
         let Some(id) = self.handover.successor.filter(|_| self.handover.successor_serves) else { return };
-        while self.conns.get(id.0).is_some_and(|seat| seat.conn.unsent() == 0) {
+        while self.sockets.get(id.0).is_some_and(|seat| seat.connection.unsent() == 0) {
             let sent = match (self.handover.calls.front(), self.handover.idle.front()) {
                 (Some(call), _) => self.hand_call(id, *call),
-                (None, Some(conn)) => self.hand_idle(id, *conn),
+                (None, Some(connection)) => self.hand_idle(id, *connection),
                 (None, None) => return,
             };
             match sent {
-                Err(Errno::AGAIN) => return self.deadlines.set(self.now + FULL_LINE, Due::HandOn),
+                Err(Errno::AGAIN) => return self.timers.set(self.now + FULL_LINE, TimerEvent::HandOn),
                 Err(fault) => {
                     warn!(%fault, "connections cannot go over: their clients move");
                     self.handover.calls.clear();
@@ -479,31 +483,33 @@
     }
 
     /// Danger: an end that has been seen here would not be seen there. What has ended on one side ends here.
-    fn hand_call(&mut self, id: ConnId, call: CallId) -> Result<(), Errno> {
-        let Some(held) = self.calls.get(call.0).filter(|held| held.stage == Stage::Open) else {
+    fn hand_call(&mut self, id: ConnectionId, call: CallId) -> Result<(), Errno> {
+        let Some(held) = self.calls.get(call.0).filter(|held| held.stage == CallStage::Open) else {
             return Ok(());
         };
         let (Some(client), Some(attempt)) = (held.client, &held.attempt) else { return Ok(()) };
-        let (Some(ours), Some(theirs)) = (self.conns.get(client.0), self.conns.get(attempt.conn.0)) else {
+        let (Some(ours), Some(theirs)) = (self.sockets.get(client.0), self.sockets.get(attempt.connection.0))
+        else {
             return Ok(());
         };
-        if held.last.is_some() || !ours.conn.is_sound() || !theirs.conn.is_sound() {
+        if held.last.is_some() || !ours.connection.is_sound() || !theirs.connection.is_sound() {
             return Ok(());
         }
         let of = &held.call;
         let said = json!({
-            "id": held.id.0, "traffic": of.traffic.0, "type": self.startup.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
+            "id": held.id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
             "subject": of.subject.map(|subject| subject.0), "group": of.group.map(|group| group.0),
             "load": of.load, "host": attempt.host.0, "asked": held.asked.map(|asked| self.now.since(asked).0),
-            "client_in": hex(&ours.conn.inbox), "client_out": hex(ours.conn.to_go()),
-            "host_in": hex(&theirs.conn.inbox), "host_out": hex(theirs.conn.to_go()),
+            "client_in": hex(&ours.connection.inbox), "client_out": hex(ours.connection.to_go()),
+            "host_in": hex(&theirs.connection.inbox), "host_out": hex(theirs.connection.to_go()),
         });
-        let (host, conn, no) = (attempt.host, attempt.conn, attempt.no);
+        let (host, connection, no) = (attempt.host, attempt.connection, attempt.no);
         let line = format!("CALL {said}\n");
-        let rest = self.send_sockets(id, &line, &[ours.conn.fd.as_fd(), theirs.conn.fd.as_fd()])?;
+        let rest =
+            self.send_sockets(id, &line, &[ours.connection.fd.as_fd(), theirs.connection.fd.as_fd()])?;
         // From here on it is the next process's.
-        self.give_up_conn(client);
-        self.give_up_conn(conn);
+        self.abandon_connection(client);
+        self.abandon_connection(connection);
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
@@ -514,34 +520,37 @@
         Ok(())
     }
 
-    fn hand_idle(&mut self, id: ConnId, conn: ConnId) -> Result<(), Errno> {
-        let Some(seat) = self.conns.get(conn.0) else { return Ok(()) };
-        if seat.role != Role::Client(None) || !seat.conn.is_sound() || seat.conn.unsent() > 0 {
+    fn hand_idle(&mut self, id: ConnectionId, connection: ConnectionId) -> Result<(), Errno> {
+        let Some(seat) = self.sockets.get(connection.0) else { return Ok(()) };
+        if seat.role != SocketRole::Client(None)
+            || !seat.connection.is_sound()
+            || seat.connection.unsent() > 0
+        {
             return Ok(());
         }
-        let line = format!("IDLE {}\n", hex(&seat.conn.inbox));
-        let rest = self.send_sockets(id, &line, &[seat.conn.fd.as_fd()])?;
-        self.give_up_conn(conn);
+        let line = format!("IDLE {}\n", hex(&seat.connection.inbox));
+        let rest = self.send_sockets(id, &line, &[seat.connection.fd.as_fd()])?;
+        self.abandon_connection(connection);
         self.say_on(id, &rest);
         Ok(())
     }
 
     /// Sends a line with the sockets that belong to it, and hands back what did not fit.
-    fn send_sockets(&self, id: ConnId, line: &str, fds: &[BorrowedFd<'_>]) -> Result<String, Errno> {
-        let seat = self.conns.get(id.0).ok_or(Errno::PIPE)?;
+    fn send_sockets(&self, id: ConnectionId, line: &str, fds: &[BorrowedFd<'_>]) -> Result<String, Errno> {
+        let seat = self.sockets.get(id.0).ok_or(Errno::PIPE)?;
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !control.push(SendAncillaryMessage::ScmRights(fds)) {
             return Err(Errno::NOBUFS);
         }
         let bytes = [IoSlice::new(line.as_bytes())];
-        let sent = sendmsg(&seat.conn.fd, &bytes, &mut control, SendFlags::NOSIGNAL)?;
+        let sent = sendmsg(&seat.connection.fd, &bytes, &mut control, SendFlags::NOSIGNAL)?;
         Ok(line[sent..].to_owned())
     }
 
-    fn say_on(&mut self, id: ConnId, text: &str) {
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            seat.conn.outbox.extend_from_slice(text.as_bytes());
+    fn say_on(&mut self, id: ConnectionId, text: &str) {
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            seat.connection.outbox.extend_from_slice(text.as_bytes());
         }
         self.pump(id);
     }
@@ -556,9 +565,10 @@
     // Towards the process before.
 
     pub fn follow_predecessor(&mut self, line: UnixStream) {
-        self.handover.predecessor = self.add_conn(Conn::new(line.into(), false), Role::Predecessor);
+        self.handover.predecessor =
+            self.add_connection(Connection::new(line.into(), false), SocketRole::Predecessor);
         info!("following the process before");
-        self.deadlines.set(self.now + LIST_PATIENCE, Due::TakeOver);
+        self.timers.set(self.now + LIST_PATIENCE, TimerEvent::TakeOver);
     }
 
     /// This process can serve. Danger: were the one before told earlier, nobody would take clients meanwhile.
@@ -575,13 +585,13 @@
     }
 
     /// Danger: plain reading would lose the sockets that come with the lines.
-    pub fn predecessor_readable(&mut self, id: ConnId) {
+    pub fn predecessor_readable(&mut self, id: ConnectionId) {
         for _ in 0..READS {
-            let Some(seat) = self.conns.get_mut(id.0) else { return };
+            let Some(seat) = self.sockets.get_mut(id.0) else { return };
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let buffers = &mut [IoSliceMut::new(&mut self.scratch)];
-            let got = match recvmsg(&seat.conn.fd, buffers, &mut control, RecvFlags::CMSG_CLOEXEC) {
+            let got = match recvmsg(&seat.connection.fd, buffers, &mut control, RecvFlags::CMSG_CLOEXEC) {
                 Ok(got) if got.bytes > 0 => got.bytes,
                 Err(Errno::AGAIN) => return,
                 Err(Errno::INTR) => continue,
@@ -592,19 +602,19 @@
                     self.handover.sockets.extend(fds);
                 }
             }
-            seat.conn.inbox.extend_from_slice(&self.scratch[..got]);
+            seat.connection.inbox.extend_from_slice(&self.scratch[..got]);
             self.predecessor_lines(id);
         }
     }
 
-    fn predecessor_lines(&mut self, id: ConnId) {
-        while let Some(seat) = self.conns.get_mut(id.0) {
-            let Some(length) = first_line(&seat.conn.inbox) else {
-                return if seat.conn.inbox.len() > LONGEST_MESSAGE {
+    fn predecessor_lines(&mut self, id: ConnectionId) {
+        while let Some(seat) = self.sockets.get_mut(id.0) {
+            let Some(length) = first_line(&seat.connection.inbox) else {
+                return if seat.connection.inbox.len() > LONGEST_MESSAGE {
                     self.predecessor_gone(id)
                 };
             };
-            let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
+            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
             let said = String::from_utf8_lossy(&said);
             match said.split_whitespace().collect::<Vec<_>>()[..] {
                 ["AT", host, open] => {
@@ -642,7 +652,7 @@
         let call = Call {
             id: CallId(0),
             traffic: match json.get("type").and_then(Value::as_str) {
-                Some(name) => ClassId(self.startup.names.traffic.iter().position(|at| at == name)? as u8),
+                Some(name) => ClassId(self.config.names.traffic.iter().position(|at| at == name)? as u8),
                 None => ClassId(u8::try_from(whole("traffic")?).ok()?),
             },
             tenant: TenantId(u32::try_from(whole("tenant")?).ok()?),
@@ -656,32 +666,36 @@
             before: None,
         };
         // Danger: what the settings of this process do not know would be counted out of bounds.
-        let names = &self.startup.names;
+        let names = &self.config.names;
         if usize::from(call.traffic.0) >= names.traffic.len() {
             return None;
         }
         let (id, at) = (ClientId(whole("id")?), HostId(whole("host")?));
-        let (mut ours, mut theirs) = (Conn::new(client, false), Conn::new(host, false));
+        let (mut ours, mut theirs) = (Connection::new(client, false), Connection::new(host, false));
         (ours.inbox, ours.outbox) = (bytes("client_in")?, bytes("client_out")?);
         (theirs.inbox, theirs.outbox) = (bytes("host_in")?, bytes("host_out")?);
         let asked = whole("asked").map(|ago| self.now - Span(ago));
-        let client = self.add_conn(ours, Role::Client(None))?;
-        let Some(host) = self.add_conn(theirs, Role::Client(None)) else {
-            self.drop_conn(client);
+        let client = self.add_connection(ours, SocketRole::Client(None))?;
+        let Some(host) = self.add_connection(theirs, SocketRole::Client(None)) else {
+            self.close_connection(client);
             return None;
         };
-        let mut held = Held::new(id, client, Vec::new(), 0..0, call, Stage::Open, None);
+        let mut held = InFlightCall::new(id, client, Vec::new(), 0..0, call, CallStage::Open, None);
         let no = AttemptNumber(0);
         let (sent, limit, line_out, line_gone) = (self.now, self.now, true, true);
-        (held.attempts, held.attempt) =
-            (1, Some(Attempt { no, host: at, conn: host, sent, limit, may_go: true, line_out, line_gone }));
+        (held.attempts, held.attempt) = (
+            1,
+            Some(Attempt { no, host: at, connection: host, sent, limit, may_go: true, line_out, line_gone }),
+        );
         (held.asked, held.silence_set) = (asked, asked.is_some());
         let number = CallId(self.calls.insert(held));
         self.calls.get_mut(number.0)?.call.id = number;
         self.ids.insert(id);
         self.attempts_out += 1;
-        for (conn, role) in [(client, Role::Client(Some(number))), (host, Role::Host(number))] {
-            if let Some(seat) = self.conns.get_mut(conn.0) {
+        for (connection, role) in
+            [(client, SocketRole::Client(Some(number))), (host, SocketRole::Host(number))]
+        {
+            if let Some(seat) = self.sockets.get_mut(connection.0) {
                 seat.role = role;
             }
         }
@@ -689,10 +703,10 @@
         let (now, call) = (self.now, Call { id: number, ..call });
         self.tell(|node, _| node.existing_connection(now, call, at));
         if asked.is_some() {
-            self.deadlines.set(now, Due::Silence(number));
+            self.timers.set(now, TimerEvent::Silence(number));
         }
         if self.hosts.is_leaving(at) {
-            self.deadlines.set(now + SEND_AWAY, Due::Move(number));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Move(number));
         }
         self.pump(client);
         self.pump(host);
@@ -700,8 +714,8 @@
     }
 
     /// The process before has ended, or will not be heard: what it held is gone, and the socket is ours.
-    pub fn predecessor_gone(&mut self, id: ConnId) {
-        self.drop_conn(id);
+    pub fn predecessor_gone(&mut self, id: ConnectionId) {
+        self.close_connection(id);
         info!("the process before has gone");
         (self.handover.predecessor, self.handover.other_uses) = (None, 0);
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
@@ -745,7 +759,8 @@
             ..NodeSnapshot::default()
         };
         let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
-        let list = Told { index: 41, update: ListUpdate::Complete, lines: vec![listed], addresses };
+        let list =
+            EndpointListUpdate { index: 41, update: ListUpdate::Complete, lines: vec![listed], addresses };
         let (zones, types) = (vec!["x".into(), "y".into()], vec!["chat".into(), "pay".into()]);
         Standing { list, node, drained: true, zones, types }
     }
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -10,11 +10,13 @@
 use rustix::io::Errno;
 use tracing::{debug, warn};
 
-use crate::conn::{Conn, Got, MUCH};
-use crate::figures::Outcome;
-use crate::line::{self, Word};
-use crate::list::Told;
-use crate::service::{Attempt, AttemptEnd, ConnId, Due, Held, Role, Seat, Service, Stage};
+use crate::connection::{Connection, Got, MUCH};
+use crate::endpoint_list::EndpointListUpdate;
+use crate::metrics::Outcome;
+use crate::protocol::{self, HostMessage};
+use crate::service::{
+    Attempt, AttemptEnd, CallStage, ConnectionId, InFlightCall, Service, SocketEntry, SocketRole, TimerEvent,
+};
 
 /// How long a host may bring nothing back on a connection that asked it something. A host that is well
 /// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after 0.2,
@@ -41,11 +43,11 @@
 
 /// Hosts by their numbers, and those that the fleet wants out.
 #[derive(Default)]
-pub struct Directory(FxHashMap<HostId, Known>, BTreeSet<HostId>);
+pub struct HostTable(FxHashMap<HostId, Known>, BTreeSet<HostId>);
 
-impl Directory {
+impl HostTable {
     /// Takes in what was told, and hands back which hosts with open connections are to be left now.
-    pub fn learn(&mut self, told: &Told) -> Vec<HostId> {
+    pub fn learn(&mut self, told: &EndpointListUpdate) -> Vec<HostId> {
         for (host, address) in &told.addresses {
             let (address, condition) = (*address, Condition::Ready);
             let empty = Known { address, condition, listed: None, open: BTreeSet::new() };
@@ -103,13 +105,13 @@
     }
 
     /// The list as it is known now.
-    pub fn told(&self, index: u64) -> Told {
+    pub fn told(&self, index: u64) -> EndpointListUpdate {
         let listed = self.0.values().filter(|known| known.condition != Condition::Gone);
         let lines: Vec<(Endpoint, SocketAddr)> =
             listed.filter_map(|known| Some((known.listed?, known.address))).collect();
         let addresses = lines.iter().map(|(line, address)| (line.host, *address)).collect();
         let lines = lines.into_iter().map(|(line, _)| line).collect();
-        Told { index, update: ListUpdate::Complete, lines, addresses }
+        EndpointListUpdate { index, update: ListUpdate::Complete, lines, addresses }
     }
 
     pub fn open_at(&self, host: HostId) -> usize {
@@ -154,9 +156,11 @@
             });
         }
         let limit = self.now + within;
-        let conn = self.hosts.address(host).ok_or(Errno::ADDRNOTAVAIL).and_then(Conn::connect);
-        let conn = match conn.and_then(|conn| self.add_conn(conn, Role::Host(id)).ok_or(Errno::MFILE)) {
-            Ok(conn) => conn,
+        let connection = self.hosts.address(host).ok_or(Errno::ADDRNOTAVAIL).and_then(Connection::connect);
+        let connection = match connection
+            .and_then(|connection| self.add_connection(connection, SocketRole::Host(id)).ok_or(Errno::MFILE))
+        {
+            Ok(connection) => connection,
             Err(fault) => {
                 // Danger: a want of descriptors here would make every host look bad.
                 let ours = matches!(fault, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM);
@@ -167,32 +171,40 @@
         self.attempts_out += 1;
         if let Some(held) = self.calls.get_mut(id.0) {
             let (sent, may_go) = (self.now, held.kept.is_none());
-            held.attempt =
-                Some(Attempt { no, host, conn, limit, sent, may_go, line_out: false, line_gone: false });
+            held.attempt = Some(Attempt {
+                no,
+                host,
+                connection,
+                limit,
+                sent,
+                may_go,
+                line_out: false,
+                line_gone: false,
+            });
         }
         self.ask_to_keep(id);
         debug!(call = id.0, attempt = no.0, host = host.0, within_ms = within.0 / 1_000_000, "leg");
-        self.deadlines.set(limit, Due::Attempt(id, no));
+        self.timers.set(limit, TimerEvent::Attempt(id, no));
         // A connection that is not up by the limit for that never will be.
-        if self.startup.connect_limit < within {
-            self.deadlines.set(self.now + self.startup.connect_limit, Due::Connect(id, no));
+        if self.config.connect_limit < within {
+            self.timers.set(self.now + self.config.connect_limit, TimerEvent::Connect(id, no));
         }
-        self.attempt_connected(conn);
+        self.attempt_connected(connection);
     }
 
     /// Writes the client's line once the connection is up, with the time that is left.
-    pub fn attempt_connected(&mut self, id: ConnId) {
-        let Some(Role::Host(call)) = self.role(id) else { return };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
+    pub fn attempt_connected(&mut self, id: ConnectionId) {
+        let Some(SocketRole::Host(call)) = self.role(id) else { return };
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let Some(held) = self.calls.get_mut(call.0) else { return };
         if let Some(attempt) = &mut held.attempt
-            && !seat.conn.connecting
+            && !seat.connection.connecting
             && attempt.may_go
             && !attempt.line_out
         {
             // Danger: a connection that comes up late, or an intent that is kept late, would send something new to a host
             // that has begun to drain since the attempt was decided on. One that was open there before belongs there.
-            let closed = held.stage == Stage::Waiting && !self.hosts.is_ready(attempt.host);
+            let closed = held.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if closed || !self.client_waits(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
                 return self.settle();
@@ -202,37 +214,39 @@
         self.pump(id);
     }
 
-    fn send_line(&mut self, id: ConnId, call: CallId) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
+    fn send_line(&mut self, id: ConnectionId, call: CallId) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(attempt) = &mut held.attempt else { return };
         attempt.line_out = true;
         let left = attempt.limit.since(self.now);
-        line::encode_open(&held.line, &held.wait_at, left, &mut seat.conn.outbox);
+        protocol::encode_open(&held.line, &held.wait_at, left, &mut seat.connection.outbox);
     }
 
     /// Notes when the last byte of the line has gone: before that the host never ran it, after that it may have.
     pub fn note_line_gone(&mut self, call: CallId) {
         let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
-        let gone = |seat: &Seat| seat.conn.unsent() == 0 && !seat.conn.broken;
-        if attempt.line_out && !attempt.line_gone && self.conns.get(attempt.conn.0).is_some_and(gone) {
+        let gone = |seat: &SocketEntry| seat.connection.unsent() == 0 && !seat.connection.broken;
+        if attempt.line_out && !attempt.line_gone && self.sockets.get(attempt.connection.0).is_some_and(gone)
+        {
             attempt.line_gone = true;
-            self.figures.attempts += 1;
+            self.metrics.attempts += 1;
         }
     }
 
     pub fn attempt_deadline(&mut self, id: CallId, no: AttemptNumber, connecting_only: bool) {
         let Some(held) = self.calls.get(id.0) else { return };
         let Some(attempt) = held.attempt.as_ref().filter(|attempt| attempt.no == no) else { return };
-        if matches!(held.stage, Stage::Open | Stage::HalfClosed) {
+        if matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
             return;
         }
         // A number may be given twice, to an attempt that never went and to one that did.
-        let due = if connecting_only { attempt.sent + self.startup.connect_limit } else { attempt.limit };
+        let due = if connecting_only { attempt.sent + self.config.connect_limit } else { attempt.limit };
         if self.now < due {
             return;
         }
-        let connecting = self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.connecting);
+        let connecting =
+            self.sockets.get(attempt.connection.0).is_some_and(|seat| seat.connection.connecting);
         if connecting || !connecting_only {
             let outcome =
                 if attempt.line_gone { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
@@ -249,17 +263,17 @@
         }
         debug!(call = id.0, attempt = attempt.no.0, host = attempt.host.0, ?outcome, "leg ended");
         self.attempts_out -= 1;
-        if held.stage == Stage::Returning {
+        if held.stage == CallStage::Returning {
             // Nothing was decided of this one: it belongs where it was.
             if outcome.never_ran() && held.call.guard > self.now + AGAIN {
-                self.deadlines.set(self.now + AGAIN, Due::Again(id));
+                self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
             } else {
                 self.answer_call(
                     id,
-                    if outcome.never_ran() { line::Answer::Busy(None) } else { line::Answer::Error },
+                    if outcome.never_ran() { protocol::Answer::Busy(None) } else { protocol::Answer::Error },
                 );
             }
-            return self.drop_conn(attempt.conn);
+            return self.close_connection(attempt.connection);
         }
         let client = if answer.is_some() { held.client.take() } else { held.client };
         let last = answer.is_some() || client.is_none();
@@ -267,12 +281,12 @@
             let answer = answer.to_vec();
             self.last_words(client, &answer);
         }
-        self.drop_conn(attempt.conn);
+        self.close_connection(attempt.connection);
         self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last });
     }
 
     pub fn return_to_host(&mut self, id: CallId) {
-        let Some(Held { stage: Stage::Returning, attempt: None, call, at: Some(host), .. }) =
+        let Some(InFlightCall { stage: CallStage::Returning, attempt: None, call, at: Some(host), .. }) =
             self.calls.get(id.0)
         else {
             return;
@@ -289,9 +303,9 @@
             self.ended.pop_back();
             let Some(held) = self.calls.get(id.0) else { return };
             if held.call.guard > self.now + AGAIN {
-                self.deadlines.set(self.now + AGAIN, Due::Again(id));
+                self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
             } else {
-                self.answer_call(id, line::Answer::Busy(None));
+                self.answer_call(id, protocol::Answer::Busy(None));
             }
         }
     }
@@ -299,7 +313,7 @@
     pub fn cancel_attempt(&mut self, id: CallId, no: AttemptNumber) {
         let Some(held) = self.calls.get(id.0) else { return };
         let out = held.attempt.as_ref().is_some_and(|attempt| attempt.no == no);
-        if out && !matches!(held.stage, Stage::Open | Stage::HalfClosed) {
+        if out && !matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
             self.end_attempt(id, AttemptOutcome::Canceled, None);
         }
     }
@@ -309,7 +323,7 @@
         let Some(held) = self.calls.get(call.0) else { return };
         let Some(attempt) = &held.attempt else { return };
         match held.stage {
-            Stage::Open | Stage::HalfClosed => self.host_ended(call, true),
+            CallStage::Open | CallStage::HalfClosed => self.host_ended(call, true),
             _ => {
                 let outcome =
                     if attempt.line_gone { AttemptOutcome::Broken } else { AttemptOutcome::Unreachable };
@@ -319,16 +333,16 @@
         self.settle();
     }
 
-    pub fn host_came(&mut self, id: ConnId, call: CallId, got: Got) {
+    pub fn host_came(&mut self, id: ConnectionId, call: CallId, got: Got) {
         match got {
             Got::NothingYet => {}
             Got::Bytes(n) => {
-                let Some(seat) = self.conns.get_mut(id.0) else { return };
-                seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(seat) = self.sockets.get_mut(id.0) else { return };
+                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 self.host_lines(id, call);
             }
             Got::End => match self.calls.get(call.0).map(|held| held.stage) {
-                Some(Stage::Open | Stage::HalfClosed) => {
+                Some(CallStage::Open | CallStage::HalfClosed) => {
                     self.host_ended(call, false);
                     self.settle();
                 }
@@ -338,31 +352,31 @@
     }
 
     /// Goes through the whole lines that the host has sent.
-    fn host_lines(&mut self, id: ConnId, call: CallId) {
+    fn host_lines(&mut self, id: ConnectionId, call: CallId) {
         while let Some(held) = self.calls.get(call.0) {
-            let Some(seat) = self.conns.get(id.0) else { return };
-            if matches!(held.stage, Stage::Open | Stage::HalfClosed) {
+            let Some(seat) = self.sockets.get(id.0) else { return };
+            if matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
                 self.relay_to_client(id, call);
                 return;
             }
-            let Some(length) = line::first_line(&seat.conn.inbox) else {
-                if seat.conn.inbox.len() >= line::LONGEST {
+            let Some(length) = protocol::first_line(&seat.connection.inbox) else {
+                if seat.connection.inbox.len() >= protocol::LONGEST {
                     warn!("a host sent a line that is too long");
                     self.end_attempt(call, AttemptOutcome::Error, None);
                     self.settle();
                 }
                 return;
             };
-            let Some(seat) = self.conns.get_mut(id.0) else { return };
-            let said: Vec<u8> = seat.conn.inbox.drain(..length).collect();
-            match line::word(&said) {
-                Word::Up => self.attempt_open(id, call, &said),
-                Word::Load(load) => self.tell_load(call, load),
-                Word::Bye => self.end_attempt(call, AttemptOutcome::Completed, Some(&said)),
-                Word::Move => self.end_attempt(call, AttemptOutcome::Canceled, None),
-                Word::Busy => self.end_attempt(call, AttemptOutcome::Rejected, None),
-                Word::Error => self.end_attempt(call, AttemptOutcome::Error, None),
-                Word::Pong | Word::Other => {
+            let Some(seat) = self.sockets.get_mut(id.0) else { return };
+            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
+            match protocol::word(&said) {
+                HostMessage::Up => self.attempt_open(id, call, &said),
+                HostMessage::Load(load) => self.tell_load(call, load),
+                HostMessage::Bye => self.end_attempt(call, AttemptOutcome::Completed, Some(&said)),
+                HostMessage::Move => self.end_attempt(call, AttemptOutcome::Canceled, None),
+                HostMessage::Busy => self.end_attempt(call, AttemptOutcome::Rejected, None),
+                HostMessage::Error => self.end_attempt(call, AttemptOutcome::Error, None),
+                HostMessage::Pong | HostMessage::Other => {
                     warn!(said = %String::from_utf8_lossy(&said).trim_end(), "a host said something unknown");
                     self.end_attempt(call, AttemptOutcome::Error, None);
                 }
@@ -378,14 +392,14 @@
     }
 
     /// The host's `UP`: from now on the connection is the client's and the host's.
-    fn attempt_open(&mut self, id: ConnId, call: CallId, said: &[u8]) {
+    fn attempt_open(&mut self, id: ConnectionId, call: CallId, said: &[u8]) {
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let (Some(client), Some(attempt)) = (held.client, &held.attempt) else {
             // The client has gone meanwhile, and the attempt could not be recalled.
             return self.end_attempt(call, AttemptOutcome::Canceled, None);
         };
-        let returning = held.stage == Stage::Returning;
-        held.stage = Stage::Open;
+        let returning = held.stage == CallStage::Returning;
+        held.stage = CallStage::Open;
         if let Some(mut kept) = held.kept.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
             kept.ran.get_or_insert((attempt.host, attempt.sent));
@@ -393,11 +407,11 @@
         }
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(attempt) = &held.attempt else { return };
-        self.figures.count(held.call.traffic, Outcome::Success);
+        self.metrics.count(held.call.traffic, Outcome::Success);
         let (no, host, took, of) = (attempt.no, attempt.host, self.now.since(attempt.sent), held.call);
         debug!(call = call.0, attempt = no.0, host = host.0, took_ms = took.0 / 1_000_000, "up");
-        if let Some(seat) = self.conns.get_mut(client.0) {
-            seat.conn.outbox.extend_from_slice(said);
+        if let Some(seat) = self.sockets.get_mut(client.0) {
+            seat.connection.outbox.extend_from_slice(said);
         }
         self.pump(client);
         self.hosts.opened(host, call);
@@ -409,18 +423,18 @@
             self.tell(|node, port| node.attempt_established(now, call, no, took, port));
         }
         if self.hosts.is_leaving(host) {
-            self.deadlines.set(now + SEND_AWAY, Due::Move(call));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Move(call));
         }
         self.relay_to_client(id, call);
         self.move_before_leaving(call);
     }
 
-    fn relay_to_client(&mut self, id: ConnId, call: CallId) {
+    fn relay_to_client(&mut self, id: ConnectionId, call: CallId) {
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(client) = held.client else { return };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let length = line::whole_lines(&seat.conn.inbox);
-        if seat.conn.inbox.len() - length >= line::LONGEST {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        let length = protocol::whole_lines(&seat.connection.inbox);
+        if seat.connection.inbox.len() - length >= protocol::LONGEST {
             warn!("a host sent a line that is too long");
             self.host_ended(call, true);
             return self.settle();
@@ -428,32 +442,32 @@
         if length == 0 {
             return;
         }
-        let mut said = std::mem::take(&mut seat.conn.inbox);
+        let mut said = std::mem::take(&mut seat.connection.inbox);
         if let Some(asked) = held.asked.take() {
             tracing::trace!(call = call.0, took_us = self.now.since(asked).0 / 1000, "answered");
         }
         let mut load = None;
         for line in said[..length].split_inclusive(|byte| *byte == b'\n') {
-            match line::word(line) {
-                Word::Load(now) => load = Some(now),
-                word @ (Word::Bye | Word::Move) => held.last = Some(word),
+            match protocol::word(line) {
+                HostMessage::Load(now) => load = Some(now),
+                word @ (HostMessage::Bye | HostMessage::Move) => held.last = Some(word),
                 _ => {}
             }
         }
         let mut full = false;
-        if let Some(to) = self.conns.get_mut(client.0) {
-            to.conn.outbox.extend_from_slice(&said[..length]);
+        if let Some(to) = self.sockets.get_mut(client.0) {
+            to.connection.outbox.extend_from_slice(&said[..length]);
         }
         self.pump(client);
-        if let Some(to) = self.conns.get(client.0) {
-            full = to.conn.unsent() > MUCH;
+        if let Some(to) = self.sockets.get(client.0) {
+            full = to.connection.unsent() > MUCH;
         }
         said.drain(..length);
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            seat.conn.inbox = said;
-            seat.conn.paused = full;
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            seat.connection.inbox = said;
+            seat.connection.paused = full;
         }
-        self.watch_conn(id);
+        self.watch_connection(id);
         if let Some(load) = load {
             self.tell_load(call, load);
         }
@@ -463,15 +477,15 @@
     pub fn host_ended(&mut self, id: CallId, broke: bool) {
         let Some(held) = self.calls.get_mut(id.0) else { return };
         let outcome = match (held.last, held.stage) {
-            (Some(Word::Bye), _) => AttemptOutcome::Completed,
-            (Some(Word::Move), _) | (_, Stage::HalfClosed) => AttemptOutcome::Canceled,
+            (Some(HostMessage::Bye), _) => AttemptOutcome::Completed,
+            (Some(HostMessage::Move), _) | (_, CallStage::HalfClosed) => AttemptOutcome::Canceled,
             _ => AttemptOutcome::Broken,
         };
         let (client, spoke) = (held.client.take(), held.last.is_some());
         self.close_attempt(id, outcome, false);
         let Some(client) = client else { return };
         if broke && !spoke {
-            self.reset_conn(client);
+            self.reset_connection(client);
         } else {
             self.last_words(client, b"");
         }
@@ -484,10 +498,10 @@
         self.attempts_out -= 1;
         self.hosts.closed(attempt.host, id);
         self.notify_successor(attempt.host);
-        match (reset, self.conns.get(attempt.conn.0).is_some_and(|seat| seat.conn.read_ended)) {
-            (true, _) => self.reset_conn(attempt.conn),
-            (_, true) => self.drop_conn(attempt.conn),
-            _ => self.last_words(attempt.conn, b""),
+        match (reset, self.sockets.get(attempt.connection.0).is_some_and(|seat| seat.connection.read_ended)) {
+            (true, _) => self.reset_connection(attempt.connection),
+            (_, true) => self.close_connection(attempt.connection),
+            _ => self.last_words(attempt.connection, b""),
         }
         self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last: true });
     }
@@ -499,26 +513,28 @@
         let Some(asked) = held.asked else { return };
         if self.now < asked + SILENCE {
             held.silence_set = true;
-            return self.deadlines.set(asked + SILENCE, Due::Silence(id));
+            return self.timers.set(asked + SILENCE, TimerEvent::Silence(id));
         }
-        if held.stage == Stage::Open {
+        if held.stage == CallStage::Open {
             debug!(call = id.0, "silent");
             self.move_client(id, AttemptOutcome::Broken);
         }
         self.settle();
     }
 
-    pub fn note_asked(held: &mut Held, now: Time) -> Option<Time> {
+    pub fn note_asked(held: &mut InFlightCall, now: Time) -> Option<Time> {
         held.asked.get_or_insert(now);
         (!std::mem::replace(&mut held.silence_set, true)).then_some(now + SILENCE)
     }
 
     /// Sends the client away politely and ends the host's side.
     pub fn move_client(&mut self, id: CallId, outcome: AttemptOutcome) {
-        let Some(held) = self.calls.get_mut(id.0).filter(|held| held.stage == Stage::Open) else { return };
+        let Some(held) = self.calls.get_mut(id.0).filter(|held| held.stage == CallStage::Open) else {
+            return;
+        };
         let Some(client) = held.client.take() else { return };
         let mut words = Vec::new();
-        line::encode_answer(&line::Answer::Move, &mut words);
+        protocol::encode_answer(&protocol::Answer::Move, &mut words);
         self.last_words(client, &words);
         self.close_attempt(id, outcome, false);
     }
@@ -528,7 +544,7 @@
         let Some(known) = self.hosts.0.get(&host) else { return };
         let all = known.open.len().max(1) as f64;
         for (at, call) in known.open.iter().enumerate() {
-            self.deadlines.set(self.now + SEND_AWAY.times(at as f64 / all), Due::Move(*call));
+            self.timers.set(self.now + SEND_AWAY.times(at as f64 / all), TimerEvent::Move(*call));
         }
     }
 
@@ -537,41 +553,41 @@
         if !self.has_room_for_probe() {
             return;
         }
-        let conn = self.hosts.address(host).and_then(|address| Conn::connect(address).ok());
-        match conn.and_then(|conn| self.add_conn(conn, Role::Probe(host))) {
+        let connection = self.hosts.address(host).and_then(|address| Connection::connect(address).ok());
+        match connection.and_then(|connection| self.add_connection(connection, SocketRole::Probe(host))) {
             Some(id) => {
-                if let Some(seat) = self.conns.get_mut(id.0) {
-                    seat.conn.outbox.extend_from_slice(line::PROBE);
+                if let Some(seat) = self.sockets.get_mut(id.0) {
+                    seat.connection.outbox.extend_from_slice(protocol::PROBE);
                 }
-                self.deadlines.set(self.now + PROBE_LIMIT, Due::Probe(id));
+                self.timers.set(self.now + PROBE_LIMIT, TimerEvent::Probe(id));
                 self.pump(id);
             }
             None => self.probes_failed.push(host),
         }
     }
 
-    pub fn probe_over(&mut self, id: ConnId, host: HostId, outcome: AttemptOutcome) {
-        let asked = self.conns.get(id.0).map_or(self.now, |seat| seat.quiet_since);
-        self.drop_conn(id);
+    pub fn probe_over(&mut self, id: ConnectionId, host: HostId, outcome: AttemptOutcome) {
+        let asked = self.sockets.get(id.0).map_or(self.now, |seat| seat.quiet_since);
+        self.close_connection(id);
         let (now, took) = (self.now, self.now.since(asked));
         debug!(host = host.0, ?outcome, took_us = took.0 / 1000, "probed");
         self.tell(|node, port| node.probe_finished(now, host, outcome, took, port));
     }
 
-    pub fn probe_came(&mut self, id: ConnId, host: HostId, got: Got) {
+    pub fn probe_came(&mut self, id: ConnectionId, host: HostId, got: Got) {
         match got {
             Got::NothingYet => {}
             Got::End => self.probe_over(id, host, AttemptOutcome::Broken),
             Got::Bytes(n) => {
-                let Some(seat) = self.conns.get_mut(id.0) else { return };
-                seat.conn.inbox.extend_from_slice(&self.scratch[..n]);
-                let Some(length) = line::first_line(&seat.conn.inbox) else {
-                    if seat.conn.inbox.len() >= line::LONGEST {
+                let Some(seat) = self.sockets.get_mut(id.0) else { return };
+                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(length) = protocol::first_line(&seat.connection.inbox) else {
+                    if seat.connection.inbox.len() >= protocol::LONGEST {
                         self.probe_over(id, host, AttemptOutcome::Error);
                     }
                     return;
                 };
-                let well = line::word(&seat.conn.inbox[..length]) == Word::Pong;
+                let well = protocol::word(&seat.connection.inbox[..length]) == HostMessage::Pong;
                 self.probe_over(
                     id,
                     host,
--- a/crates/node/src/http.rs
+++ b/crates/node/src/http.rs
@@ -2,7 +2,7 @@
 //! as the operators' door does, one call to a connection.
 
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum HttpFault {
+pub enum HttpError {
     #[error("the head of the answer is no HTTP/1.1")]
     Head,
     #[error("the answer's length or a chunk of it cannot be read")]
@@ -63,11 +63,11 @@
 
 impl Arriving {
     /// Takes what has come out of `inbox`, and hands out the answer once it is whole. `ended`: nothing more comes.
-    pub fn read(&mut self, inbox: &mut Vec<u8>, ended: bool) -> Result<Option<Reply>, HttpFault> {
-        let missing = || if ended { Err(HttpFault::Ended) } else { Ok(None) };
+    pub fn read(&mut self, inbox: &mut Vec<u8>, ended: bool) -> Result<Option<Reply>, HttpError> {
+        let missing = || if ended { Err(HttpError::Ended) } else { Ok(None) };
         if self.head.is_none() {
             let Some(end) = self.look_for(inbox, b"\r\n\r\n") else {
-                return if inbox.len() > LONGEST_HEAD { Err(HttpFault::Head) } else { missing() };
+                return if inbox.len() > LONGEST_HEAD { Err(HttpError::Head) } else { missing() };
             };
             self.head = Some(answer_head(&inbox[..end])?);
             inbox.drain(..end + 4);
@@ -86,7 +86,7 @@
             }
         };
         if self.body.len() > LONGEST {
-            return Err(HttpFault::TooLong(LONGEST));
+            return Err(HttpError::TooLong(LONGEST));
         }
         match std::mem::take(self) {
             Arriving { head: Some(head), body, .. } if whole => {
@@ -108,12 +108,12 @@
     }
 
     /// Whether the last chunk and its trailers have come.
-    fn read_chunks(&mut self, inbox: &mut Vec<u8>) -> Result<bool, HttpFault> {
+    fn read_chunks(&mut self, inbox: &mut Vec<u8>) -> Result<bool, HttpError> {
         loop {
             match self.chunk {
                 Chunk::Size | Chunk::Trailer => {
                     let Some(end) = self.look_for(inbox, b"\r\n") else {
-                        return if inbox.len() > LONGEST_HEAD { Err(HttpFault::Length) } else { Ok(false) };
+                        return if inbox.len() > LONGEST_HEAD { Err(HttpError::Length) } else { Ok(false) };
                     };
                     let line: Vec<u8> = inbox.drain(..end + 2).collect();
                     match self.chunk {
@@ -121,11 +121,11 @@
                         Chunk::Trailer if end == 0 => return Ok(true),
                         Chunk::Trailer => {}
                         _ => {
-                            let text = std::str::from_utf8(&line).map_err(|_| HttpFault::Length)?;
+                            let text = std::str::from_utf8(&line).map_err(|_| HttpError::Length)?;
                             let size = text.split(';').next().unwrap_or_default().trim();
-                            let size = usize::from_str_radix(size, 16).map_err(|_| HttpFault::Length)?;
+                            let size = usize::from_str_radix(size, 16).map_err(|_| HttpError::Length)?;
                             if size > LONGEST {
-                                return Err(HttpFault::TooLong(LONGEST));
+                                return Err(HttpError::TooLong(LONGEST));
                             }
                             self.chunk = if size == 0 { Chunk::Trailer } else { Chunk::Data(size) };
                         }
@@ -141,7 +141,7 @@
                 }
                 Chunk::DataEnd => {
                     if !b"\r\n".starts_with(&inbox[..inbox.len().min(2)]) {
-                        return Err(HttpFault::Length);
+                        return Err(HttpError::Length);
                     }
                     if inbox.len() < 2 {
                         return Ok(false);
@@ -151,22 +151,22 @@
                 }
             }
             if self.body.len() > LONGEST {
-                return Err(HttpFault::TooLong(LONGEST));
+                return Err(HttpError::TooLong(LONGEST));
             }
         }
     }
 }
 
-fn answer_head(head: &[u8]) -> Result<AnswerHead, HttpFault> {
-    let head = std::str::from_utf8(head).map_err(|_| HttpFault::Head)?;
+fn answer_head(head: &[u8]) -> Result<AnswerHead, HttpError> {
+    let head = std::str::from_utf8(head).map_err(|_| HttpError::Head)?;
     let mut lines = head.split("\r\n");
-    let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).ok_or(HttpFault::Head)?;
-    let status = first.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or(HttpFault::Head)?;
+    let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).ok_or(HttpError::Head)?;
+    let status = first.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or(HttpError::Head)?;
     let (mut length, mut chunked, mut keeps_open) = (None, false, first.starts_with('1'));
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         let value = value.trim();
         if name.eq_ignore_ascii_case("content-length") {
-            length = Some(value.parse::<usize>().map_err(|_| HttpFault::Length)?);
+            length = Some(value.parse::<usize>().map_err(|_| HttpError::Length)?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             chunked = value.eq_ignore_ascii_case("chunked");
         } else if name.eq_ignore_ascii_case("connection") {
@@ -177,7 +177,7 @@
         (length, chunked) = (Some(0), false);
     }
     if length.is_some_and(|length| length > LONGEST) {
-        return Err(HttpFault::TooLong(LONGEST));
+        return Err(HttpError::TooLong(LONGEST));
     }
     // Its end is the end of the connection.
     keeps_open &= chunked || length.is_some();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,34 +3,34 @@
 mod admin;
 mod clients;
 mod config;
-mod conn;
-mod deadlines;
-mod figures;
+mod connection;
+mod endpoint_list;
 mod fleet;
 mod handover;
 mod hosts;
 mod http;
-mod line;
-mod list;
+mod metrics;
 mod peers;
+mod protocol;
 mod reactor;
 mod service;
 mod slots;
+mod takeover;
+mod timers;
 mod warm_state;
-mod work;
 
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use service::{Service, ServiceFault};
+use service::{Service, ServiceError};
 use tracing::error;
 
 #[derive(Debug, thiserror::Error)]
 enum Fault {
     #[error("bad configuration: {0}")]
-    Config(#[from] config::ConfigFault),
+    Config(#[from] config::ConfigError),
     #[error(transparent)]
-    Service(#[from] ServiceFault),
+    Service(#[from] ServiceError),
 }
 
 /// What is wrong with the machine under a node. The product's has nothing wrong.
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/metrics.rs
@@ -3,7 +3,7 @@
 use glendeck::domain::ClassId;
 use serde_json::{Map, Value, json};
 
-use crate::service::{Service, Stage};
+use crate::service::{CallStage, Service};
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,16 +23,16 @@
 }
 
 /// Counts since the start of the process.
-pub struct Figures {
+pub struct Metrics {
     of_type: Vec<(String, Outcomes)>,
     /// Attempts whose line was written to a host whole.
     pub attempts: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// All types are there from the start, with 0.
-    pub fn new(names: &[String]) -> Figures {
-        Figures {
+    pub fn new(names: &[String]) -> Metrics {
+        Metrics {
             of_type: names.iter().map(|name| (name.clone(), Outcomes::default())).collect(),
             attempts: 0,
         }
@@ -57,7 +57,7 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All calls that ended or opened, those of them that failed, and those that were turned away.
     pub fn totals(&self) -> (u64, u64, u64) {
         self.of_type.iter().fold((0, 0, 0), |(all, failed, busy), (_, n)| {
@@ -69,18 +69,21 @@
 impl Service {
     /// Calls that have had no answer yet.
     pub fn waiting(&self) -> usize {
-        self.calls.iter().filter(|(_, held)| matches!(held.stage, Stage::Waiting | Stage::Returning)).count()
+        self.calls
+            .iter()
+            .filter(|(_, held)| matches!(held.stage, CallStage::Waiting | CallStage::Returning))
+            .count()
     }
 
-    pub fn figures(&mut self) -> Value {
-        let of_type = self.figures.of_type.iter().map(|(name, n)| {
+    pub fn metrics(&mut self) -> Value {
+        let of_type = self.metrics.of_type.iter().map(|(name, n)| {
             (name.clone(), json!({"success": n.success, "busy": n.busy, "failure": n.failure}))
         });
         let calls: Map<String, Value> = of_type.collect();
         let slowest = std::mem::take(&mut self.slowest_turn);
         json!({
             "calls": calls,
-            "backend_calls": self.figures.attempts,
+            "backend_calls": self.metrics.attempts,
             "inflight": self.calls.len(),
             "waiting": self.waiting(),
             "hosts_listed": self.hosts.listed().count(),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -14,8 +14,8 @@
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
 
-use crate::conn::{Conn, Got};
-use crate::service::{ConnId, PEERS, Role, Service};
+use crate::connection::{Connection, Got};
+use crate::service::{ConnectionId, PEERS, Service, SocketRole};
 
 /// One letter at most: a whole state of 300 units takes some 60 KiB, a log to be taken anew a few hundred.
 const LONGEST_FRAME: usize = 8 << 20;
@@ -73,7 +73,7 @@
 
 #[derive(Default)]
 struct Dial {
-    conn: Option<ConnId>,
+    connection: Option<ConnectionId>,
     next: Time,
     wait: Span,
 }
@@ -81,10 +81,10 @@
 #[derive(Default)]
 pub struct Peers {
     pub listener: Option<OwnedFd>,
-    links: BTreeMap<ConnId, Link>,
+    links: BTreeMap<ConnectionId, Link>,
     dials: BTreeMap<UnitName, Dial>,
     /// The link that a peer has dialled last.
-    incoming: BTreeMap<UnitName, ConnId>,
+    incoming: BTreeMap<UnitName, ConnectionId>,
     /// What has been sent and heard, in frames and bytes.
     pub sent: (u64, u64),
     pub came: (u64, u64),
@@ -103,11 +103,13 @@
 
     /// The one that it was heard on last. Danger: two voters dial each other at once, and if each spoke on its own link each
     /// would hear nothing on it, take it for silent, and dial again every few seconds.
-    fn link_to(&self, peer: &UnitName) -> Option<ConnId> {
-        let dialled = self.dials.get(peer).and_then(|dial| dial.conn);
+    fn link_to(&self, peer: &UnitName) -> Option<ConnectionId> {
+        let dialled = self.dials.get(peer).and_then(|dial| dial.connection);
         let incoming = self.incoming.get(peer).copied();
-        let up = |conn: ConnId| Some((self.links.get(&conn).filter(|link| link.peer.is_some())?.heard, conn));
-        dialled.and_then(up).max(incoming.and_then(up)).map(|(_, conn)| conn)
+        let up = |connection: ConnectionId| {
+            Some((self.links.get(&connection).filter(|link| link.peer.is_some())?.heard, connection))
+        };
+        dialled.and_then(up).max(incoming.and_then(up)).map(|(_, connection)| connection)
     }
 }
 
@@ -155,7 +157,7 @@
                     if membership.peers.links() >= membership.most_links() {
                         continue;
                     }
-                    if let Some(id) = self.add_conn(Conn::new(fd, false), Role::Peer) {
+                    if let Some(id) = self.add_connection(Connection::new(fd, false), SocketRole::Peer) {
                         let link = Link { peer: None, dialled: None, heard: self.now, speaks: 0 };
                         self.links_mut(|links| drop(links.insert(id, link)));
                     }
@@ -167,7 +169,7 @@
         }
     }
 
-    fn links_mut(&mut self, change: impl FnOnce(&mut BTreeMap<ConnId, Link>)) {
+    fn links_mut(&mut self, change: impl FnOnce(&mut BTreeMap<ConnectionId, Link>)) {
         if let Some(membership) = &mut self.membership {
             change(&mut membership.peers.links);
         }
@@ -189,16 +191,16 @@
         let (now, Some(membership)) = (self.now, &mut self.membership) else { return };
         let voters = membership.fleet.voters();
         let peers = &mut membership.peers;
-        peers.dials.retain(|peer, dial| voters.contains(peer) || dial.conn.is_some());
+        peers.dials.retain(|peer, dial| voters.contains(peer) || dial.connection.is_some());
         for voter in &voters {
             peers.dials.entry(voter.clone()).or_default();
         }
         let silent = |link: &Link| now.since(link.heard) > if link.peer.is_some() { SILENT } else { COME_UP };
         let old = peers.links.iter().filter(|(_, link)| silent(link)).map(|(id, _)| *id);
-        let mut old: Vec<ConnId> = old.collect();
+        let mut old: Vec<ConnectionId> = old.collect();
         old.sort_unstable();
         let due = |(peer, dial): &(&UnitName, &Dial)| {
-            dial.conn.is_none() && dial.next <= now && peers.link_to(peer).is_none()
+            dial.connection.is_none() && dial.next <= now && peers.link_to(peer).is_none()
         };
         let due = peers.dials.iter().filter(due);
         let due: Vec<UnitName> = due.map(|(peer, _)| peer.clone()).collect();
@@ -212,50 +214,50 @@
 
     fn dial(&mut self, peer: &UnitName) {
         let now = self.now;
-        let address = self.startup.fleet.as_ref().and_then(|fleet| fleet.peers.get(peer)).copied();
-        let conn = address.and_then(|address| Conn::connect(address).ok());
-        let id = conn.and_then(|conn| self.add_conn(conn, Role::Peer));
+        let address = self.config.fleet.as_ref().and_then(|fleet| fleet.peers.get(peer)).copied();
+        let connection = address.and_then(|address| Connection::connect(address).ok());
+        let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Peer));
         let Some(membership) = &mut self.membership else { return };
         let Some(dial) = membership.peers.dials.get_mut(peer) else { return };
         dial.wait = dial.wait.times(2.0).clamp(DIAL_AGAIN, DIAL_LATEST);
-        dial.conn = id;
+        dial.connection = id;
         dial.next = now + dial.wait.times(0.5 + f64::from(membership.chance.generate::<f32>()) / 2.0);
         let Some(id) = id else { return };
         let link = Link { peer: None, dialled: Some(peer.clone()), heard: now, speaks: 0 };
         membership.peers.links.insert(id, link);
         let hello = self.hello();
-        if let Some(seat) = self.conns.get_mut(id.0) {
-            frame(&hello, &mut seat.conn.outbox);
+        if let Some(seat) = self.sockets.get_mut(id.0) {
+            frame(&hello, &mut seat.connection.outbox);
         }
     }
 
-    pub fn peer_up(&mut self, id: ConnId) {
+    pub fn peer_up(&mut self, id: ConnectionId) {
         self.pump(id);
     }
 
-    pub fn peer_lost(&mut self, id: ConnId) {
-        self.drop_conn(id);
+    pub fn peer_lost(&mut self, id: ConnectionId) {
+        self.close_connection(id);
         let Some(membership) = &mut self.membership else { return };
         let Some(link) = membership.peers.links.remove(&id) else { return };
         if let Some(dial) = link.dialled.as_ref().and_then(|peer| membership.peers.dials.get_mut(peer))
-            && dial.conn == Some(id)
+            && dial.connection == Some(id)
         {
-            dial.conn = None;
+            dial.connection = None;
         }
-        membership.peers.incoming.retain(|_, conn| *conn != id);
+        membership.peers.incoming.retain(|_, connection| *connection != id);
     }
 
-    pub fn peer_came(&mut self, id: ConnId, got: Got) {
+    pub fn peer_came(&mut self, id: ConnectionId, got: Got) {
         let now = self.now;
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
         match got {
             Got::NothingYet => return,
             Got::End => return self.peer_lost(id),
-            Got::Bytes(n) => seat.conn.inbox.extend_from_slice(&self.scratch[..n]),
+            Got::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
         }
         loop {
-            let Some(seat) = self.conns.get_mut(id.0) else { return };
-            match take_frame(&mut seat.conn.inbox) {
+            let Some(seat) = self.sockets.get_mut(id.0) else { return };
+            match take_frame(&mut seat.connection.inbox) {
                 Ok(None) => return,
                 Ok(Some(bytes)) => {
                     let Some(membership) = &mut self.membership else { return };
@@ -277,7 +279,7 @@
     }
 
     /// The first frame of a link says who is at its other end.
-    fn greeted(&mut self, id: ConnId, bytes: &[u8]) {
+    fn greeted(&mut self, id: ConnectionId, bytes: &[u8]) {
         let hello = read_greeting(bytes).filter(|(hello, _)| hello.version == VERSION);
         let Some(membership) = &mut self.membership else { return };
         let Some(link) = membership.peers.links.get_mut(&id) else { return };
@@ -300,15 +302,15 @@
         if answers {
             membership.peers.incoming.insert(hello.name.clone(), id);
             let back = self.hello();
-            if let Some(seat) = self.conns.get_mut(id.0) {
-                frame(&back, &mut seat.conn.outbox);
+            if let Some(seat) = self.sockets.get_mut(id.0) {
+                frame(&back, &mut seat.connection.outbox);
             }
             self.pump(id);
         }
         self.peer_linked(&hello.name);
     }
 
-    fn consensus_message(&mut self, id: ConnId, peer: &UnitName, bytes: &[u8]) {
+    fn consensus_message(&mut self, id: ConnectionId, peer: &UnitName, bytes: &[u8]) {
         let links = self.membership.as_ref().map(|membership| &membership.peers.links);
         let sums = links.and_then(|links| links.get(&id)).is_some_and(|link| link.speaks >= SUMS);
         let Some(bytes) = (if sums { unseal(bytes) } else { Some(bytes) }) else {
@@ -334,8 +336,8 @@
     pub fn send_peer(&mut self, peer: &UnitName, said: &Frame) {
         let Some(membership) = &mut self.membership else { return };
         let Some(id) = membership.peers.link_to(peer) else { return };
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        if seat.conn.unsent() > MOST_UNSENT {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        if seat.connection.unsent() > MOST_UNSENT {
             debug!(%peer, "does not read");
             return self.peer_lost(id);
         }
@@ -345,12 +347,12 @@
         }
         membership.peers.sent.0 += 1;
         membership.peers.sent.1 += bytes.len() as u64;
-        frame(&bytes, &mut seat.conn.outbox);
+        frame(&bytes, &mut seat.connection.outbox);
         self.pump(id);
     }
 
     pub fn listen_for_peers(&mut self, address: std::net::SocketAddr) -> Result<(), Errno> {
-        let listener = crate::conn::listen(address)?;
+        let listener = crate::connection::listen(address)?;
         self.watch_listener(&listener, PEERS)?;
         if let Some(membership) = &mut self.membership {
             membership.peers.listener = Some(listener);
--- a/crates/node/src/line.rs
+++ b/crates/node/src/protocol.rs
@@ -9,7 +9,7 @@
 pub const LONGEST: usize = 4096;
 
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub enum LineFault {
+pub enum ProtocolError {
     #[error("the line is not printable ASCII with CRLF at its end")]
     NoText,
     #[error("the line is neither OPEN nor PING")]
@@ -31,9 +31,9 @@
 
 /// How a connection begins.
 #[derive(Debug, PartialEq)]
-pub enum First {
+pub enum ClientMessage {
     Ping,
-    Open(Opening),
+    Open(OpenRequest),
 }
 
 /// A connection's own id, new with every connection.
@@ -41,7 +41,7 @@
 pub struct ClientId(pub u64);
 
 #[derive(Debug, PartialEq)]
-pub struct Opening {
+pub struct OpenRequest {
     pub id: ClientId,
     pub traffic: ClassId,
     pub tenant: TenantId,
@@ -63,7 +63,7 @@
 
 /// What a host says before or among its lines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum HostMessage {
     Up,
     Bye,
     Move,
@@ -122,52 +122,52 @@
 
 /// A client's number: decimal digits, perhaps with a fraction. Danger: the usual parser also takes signs,
 /// exponents and words, and hosts do not.
-fn plain(text: &str, what: &'static str, most: f64) -> Result<f64, LineFault> {
+fn plain(text: &str, what: &'static str, most: f64) -> Result<f64, ProtocolError> {
     let sound = text.starts_with(|c: char| c.is_ascii_digit())
         && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     match amount(text, what) {
         Ok(number) if sound && number <= most => Ok(number),
-        _ => Err(LineFault::Bad(what)),
+        _ => Err(ProtocolError::Bad(what)),
     }
 }
 
-fn flag(text: &str, what: &'static str) -> Result<bool, LineFault> {
+fn flag(text: &str, what: &'static str) -> Result<bool, ProtocolError> {
     match text {
         "0" => Ok(false),
         "1" => Ok(true),
-        _ => Err(LineFault::Bad(what)),
+        _ => Err(ProtocolError::Bad(what)),
     }
 }
 
-fn amount(text: &str, what: &'static str) -> Result<f64, LineFault> {
+fn amount(text: &str, what: &'static str) -> Result<f64, ProtocolError> {
     let number = f64::from_str(text).ok().filter(|number| number.is_finite() && *number >= 0.0);
-    number.ok_or(LineFault::Bad(what))
+    number.ok_or(ProtocolError::Bad(what))
 }
 
-fn index(names: &[String], name: &str, what: &'static str) -> Result<usize, LineFault> {
-    names.iter().position(|known| known == name).ok_or(LineFault::Bad(what))
+fn index(names: &[String], name: &str, what: &'static str) -> Result<usize, ProtocolError> {
+    names.iter().position(|known| known == name).ok_or(ProtocolError::Bad(what))
 }
 
 /// Danger: what is let through here unread costs a host a connection and counts there as its failure; so
 /// whatever is not exactly of the form ends the connection instead.
-pub fn first(line: &[u8], names: &Names) -> Result<First, LineFault> {
-    let bare = line.strip_suffix(b"\r\n").ok_or(LineFault::NoText)?;
-    let text = std::str::from_utf8(bare).map_err(|_| LineFault::NoText)?;
+pub fn first(line: &[u8], names: &Names) -> Result<ClientMessage, ProtocolError> {
+    let bare = line.strip_suffix(b"\r\n").ok_or(ProtocolError::NoText)?;
+    let text = std::str::from_utf8(bare).map_err(|_| ProtocolError::NoText)?;
     if !text.bytes().all(|byte| (b' '..=b'~').contains(&byte)) {
-        return Err(LineFault::NoText);
+        return Err(ProtocolError::NoText);
     }
     if text == "PING" {
-        return Ok(First::Ping);
+        return Ok(ClientMessage::Ping);
     }
-    let mut words = text.strip_prefix("OPEN ").ok_or(LineFault::Verb)?.split(' ');
-    let mut word = |what| words.next().filter(|word| !word.is_empty()).ok_or(LineFault::Missing(what));
+    let mut words = text.strip_prefix("OPEN ").ok_or(ProtocolError::Verb)?.split(' ');
+    let mut word = |what| words.next().filter(|word| !word.is_empty()).ok_or(ProtocolError::Missing(what));
     let (client, key, list) = (word("an id")?, word("a key")?, word("a list")?);
     if words.next().is_some() {
-        return Err(LineFault::Bad("word behind its list"));
+        return Err(ProtocolError::Bad("word behind its list"));
     }
     let (mut traffic, mut wait) = (None, None);
-    let mut opening = Opening {
-        id: ClientId(hex(client).ok_or(LineFault::Bad("id"))?),
+    let mut opening = OpenRequest {
+        id: ClientId(hex(client).ok_or(ProtocolError::Bad("id"))?),
         traffic: ClassId(0),
         tenant: TenantId(0),
         subject: id(key).map(SubjectId),
@@ -181,10 +181,10 @@
         at: None,
     };
     for (place, field) in list.split(',').enumerate() {
-        let (name, value) = field.split_once('=').ok_or(LineFault::Bad("list"))?;
+        let (name, value) = field.split_once('=').ok_or(ProtocolError::Bad("list"))?;
         let doubled = || list.split(',').take(place).any(|other| other.split('=').next() == Some(name));
         if name.is_empty() || value.is_empty() || place >= NAMES || doubled() {
-            return Err(LineFault::Bad("list"));
+            return Err(ProtocolError::Bad("list"));
         }
         match name {
             "c" => traffic = Some(ClassId(index(&names.traffic, value, "c")? as u8)),
@@ -205,9 +205,9 @@
         }
     }
     opening.returning = opening.repeat || opening.again;
-    opening.traffic = traffic.ok_or(LineFault::Missing("c"))?;
-    opening.wait = wait.ok_or(LineFault::Missing("d"))?;
-    Ok(First::Open(opening))
+    opening.traffic = traffic.ok_or(ProtocolError::Missing("c"))?;
+    opening.wait = wait.ok_or(ProtocolError::Missing("d"))?;
+    Ok(ClientMessage::Open(opening))
 }
 
 /// The client's line as it goes on to a host: unchanged, but for how long the node waits.
@@ -217,26 +217,26 @@
     out.extend_from_slice(&line[wait_at.end..]);
 }
 
-pub fn word(line: &[u8]) -> Word {
+pub fn word(line: &[u8]) -> HostMessage {
     let line = bare(line);
     let (verb, rest) = match line.iter().position(|byte| *byte == b' ') {
         Some(at) => (&line[..at], &line[at + 1..]),
         None => (line, &[][..]),
     };
     match verb {
-        b"UP" => Word::Up,
-        b"BYE" => Word::Bye,
-        b"MOVE" => Word::Move,
-        b"ERR" => Word::Error,
-        b"BUSY" => Word::Busy,
-        b"PONG" => Word::Pong,
+        b"UP" => HostMessage::Up,
+        b"BYE" => HostMessage::Bye,
+        b"MOVE" => HostMessage::Move,
+        b"ERR" => HostMessage::Error,
+        b"BUSY" => HostMessage::Busy,
+        b"PONG" => HostMessage::Pong,
         b"LOAD" => {
             let load = std::str::from_utf8(rest).ok().and_then(|text| amount(text.trim(), "load").ok());
             // More than a million cores is no load, and sums of such would be no numbers.
             let load = load.filter(|microseconds| *microseconds <= 1e12);
-            load.map_or(Word::Other, |microseconds| Word::Load(microseconds / 1e6))
+            load.map_or(HostMessage::Other, |microseconds| HostMessage::Load(microseconds / 1e6))
         }
-        _ => Word::Other,
+        _ => HostMessage::Other,
     }
 }
 
@@ -267,7 +267,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{First, Names};
+    use super::{ClientMessage, Names};
     use test_case::test_case;
 
     #[test_case("OPEN 9b1f 7f3a c=chat,t=one,d=2000,g=5c0f,r=1,again=0,h=1.5,zz=9\r\n", true; "all names")]
@@ -293,6 +293,6 @@
     fn first_lines(line: &str, sound: bool) {
         let (traffic, tenants) = (vec!["chat".to_owned()], vec!["one".to_owned()]);
         let said = super::first(line.as_bytes(), &Names { traffic, tenants, groups: true });
-        assert_eq!(matches!(said, Ok(First::Open(_))), sound, "{said:?}");
+        assert_eq!(matches!(said, Ok(ClientMessage::Open(_))), sound, "{said:?}");
     }
 }
