--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -17,29 +17,29 @@
 use rustix::io::Errno;
 use tracing::{error, info, warn};
 
-use crate::admin::{CALLERS, Door};
+use crate::admin::{AdminServer, CALLERS};
 use crate::clients::{ACCEPT_AGAIN, FIRST_LINE};
-use crate::config::{self, Startup};
-use crate::conn::{self, Conn, Got, MUCH};
-use crate::deadlines::Deadlines;
-use crate::figures::{Figures, Outcome};
-use crate::fleet::{FleetFault, Membership};
+use crate::config::{self, NodeConfig};
+use crate::connection::{self, Connection, Got, MUCH};
+use crate::endpoint_list::EndpointListClient;
+use crate::fleet::{FleetError, Membership};
 use crate::handover::{Handover, Inherited};
-use crate::hosts::Directory;
-use crate::line::{Answer, ClientId, LONGEST, Word};
-use crate::list::List;
+use crate::hosts::HostTable;
+use crate::metrics::{Metrics, Outcome};
+use crate::protocol::{Answer, ClientId, HostMessage, LONGEST};
 use crate::reactor::{Flags, Reactor};
 use crate::slots::Slots;
-use crate::work::Kept;
+use crate::takeover::Kept;
+use crate::timers::Timers;
 
 #[derive(Debug, thiserror::Error)]
-pub enum ServiceFault {
+pub enum ServiceError {
     #[error("cannot listen on {address}: {fault}")]
     Listen { address: std::net::SocketAddr, fault: Errno },
     #[error("cannot wait for events: {0}")]
     Reactor(#[from] Errno),
     #[error("fleet: {0}")]
-    Fleet(#[from] FleetFault),
+    Fleet(#[from] FleetError),
     #[error("cannot take signals: {0}")]
     Signals(#[from] std::io::Error),
 }
@@ -67,16 +67,16 @@
 
 /// Number of a socket in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// Whom a socket leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum SocketRole {
     Client(Option<CallId>),
     Host(CallId),
     Probe(HostId),
     /// A question for the list, and when its answer is given up.
-    List(Time),
+    EndpointListClient(Time),
     Closing,
     /// Someone at the operators' door.
     Admin,
@@ -87,9 +87,9 @@
     Peer,
 }
 
-pub struct Seat {
-    pub conn: Conn,
-    pub role: Role,
+pub struct SocketEntry {
+    pub connection: Connection,
+    pub role: SocketRole,
     /// When it came, or last said PING.
     pub quiet_since: Time,
     /// Since when it is of no use to a call: it has opened none yet, or has had its last words.
@@ -99,7 +99,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum CallStage {
     /// The decisions have it; an attempt may be out.
     Waiting,
     /// It was open before the start and goes to the host where it was.
@@ -112,7 +112,7 @@
 pub struct Attempt {
     pub no: AttemptNumber,
     pub host: HostId,
-    pub conn: ConnId,
+    pub connection: ConnectionId,
     pub sent: Time,
     pub limit: Time,
     /// Its intent is kept, or nobody has to keep it.
@@ -124,13 +124,13 @@
 }
 
 /// A call in hand.
-pub struct Held {
+pub struct InFlightCall {
     pub id: ClientId,
-    pub client: Option<ConnId>,
+    pub client: Option<ConnectionId>,
     pub line: Vec<u8>,
     pub wait_at: Range<usize>,
     pub call: Call,
-    pub stage: Stage,
+    pub stage: CallStage,
     pub at: Option<HostId>,
     pub attempt: Option<Attempt>,
     pub attempts: u16,
@@ -138,24 +138,24 @@
     pub asked: Option<Time>,
     pub silence_set: bool,
     /// The host's last word, if it ended the connection with one.
-    pub last: Option<Word>,
+    pub last: Option<HostMessage>,
     /// What its client was told, if it never opened.
     pub outcome: Option<Outcome>,
     /// What others keep of it, if they do.
     pub kept: Option<Kept>,
 }
 
-impl Held {
+impl InFlightCall {
     pub fn new(
         id: ClientId,
-        client: ConnId,
+        client: ConnectionId,
         line: Vec<u8>,
         wait_at: Range<usize>,
         call: Call,
-        stage: Stage,
+        stage: CallStage,
         at: Option<HostId>,
-    ) -> Held {
-        Held {
+    ) -> InFlightCall {
+        InFlightCall {
             id,
             client: Some(client),
             line,
@@ -184,7 +184,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum TimerEvent {
     Wake(TimerToken),
     Connect(CallId, AttemptNumber),
     Attempt(CallId, AttemptNumber),
@@ -196,11 +196,11 @@
     Drain(u32),
     DrainMove(u32, CallId),
     DrainEnd(u32),
-    Caller(ConnId),
-    Probe(ConnId),
-    ListLimit(ConnId),
-    FirstLine(ConnId),
-    Shut(ConnId),
+    Caller(ConnectionId),
+    Probe(ConnectionId),
+    ListLimit(ConnectionId),
+    FirstLine(ConnectionId),
+    Shut(ConnectionId),
     Accept,
     /// The list is not waited for any longer.
     TakeOver,
@@ -240,22 +240,22 @@
 
 pub struct Service {
     pub phase: Phase,
-    pub startup: Startup,
+    pub config: NodeConfig,
     clock: Clock,
     pub now: Time,
     reactor: Reactor,
-    pub deadlines: Deadlines<Due>,
+    pub timers: Timers<TimerEvent>,
     /// Until the front sends nothing more.
     pub listener: Option<OwnedFd>,
     /// Since when connections may wait in its queue.
     pub queued_since: Option<Time>,
     /// When they were last looked for.
     pub queued_at: Time,
-    pub door: Door,
+    pub door: AdminServer,
     pub handover: Handover,
     /// Its part in a fleet, if it is of one.
     pub membership: Option<Box<Membership>>,
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Drains so far.
     pub drains: u32,
     /// The longest turn of the loop since somebody asked.
@@ -264,15 +264,15 @@
     /// SIGTERM and SIGHUP each write here.
     signals: UnixStream,
     reloads: UnixStream,
-    pub conns: Slots<Seat>,
-    pub calls: Slots<Held>,
+    pub sockets: Slots<SocketEntry>,
+    pub calls: Slots<InFlightCall>,
     /// The ids of the calls in hand.
     pub ids: FxHashSet<ClientId>,
     /// Connections of no use to a call, the longest idle first, each with the time since when.
-    pub idle: VecDeque<(Time, ConnId)>,
+    pub idle: VecDeque<(Time, ConnectionId)>,
     pub attempts_out: usize,
-    pub hosts: Directory,
-    pub list: List,
+    pub hosts: HostTable,
+    pub list: EndpointListClient,
     pub list_failures: u32,
     pub probes_failed: Vec<HostId>,
     /// Out of its place only while it decides.
@@ -292,7 +292,7 @@
 pub const LISTENER: u64 = u64::MAX;
 const SIGNALS: u64 = u64::MAX - 1;
 const RELOADS: u64 = u64::MAX - 2;
-pub const DOOR: u64 = u64::MAX - 3;
+pub const ADMIN: u64 = u64::MAX - 3;
 pub const SUCCESSORS: u64 = u64::MAX - 4;
 pub const PEERS: u64 = u64::MAX - 5;
 pub const STORE: u64 = u64::MAX - 6;
@@ -344,60 +344,62 @@
 const MOVES: Span = Span::ms(1_000);
 
 impl Service {
-    pub fn start(mut startup: Startup, machine: crate::Machine) -> Result<Service, ServiceFault> {
-        let (address, inherited) = (startup.listen, Inherited::ask(&startup));
+    pub fn start(mut config: NodeConfig, machine: crate::Machine) -> Result<Service, ServiceError> {
+        let (address, inherited) = (config.listen, Inherited::ask(&config));
         let (listener, mut inherited) = match inherited {
             // The process before goes on accepting until this one can serve.
             Some(Inherited { listener, line, told }) => (listener, Some((line, told))),
-            None => (conn::listen(address).map_err(|fault| ServiceFault::Listen { address, fault })?, None),
+            None => {
+                (connection::listen(address).map_err(|fault| ServiceError::Listen { address, fault })?, None)
+            }
         };
         let reactor = Reactor::new()?;
         reactor.add(&listener, LISTENER, if inherited.is_none() { Flags::IN } else { Flags::empty() })?;
-        let door =
-            Door::open(startup.admin).map_err(|(address, fault)| ServiceFault::Listen { address, fault })?;
+        let door = AdminServer::open(config.admin)
+            .map_err(|(address, fault)| ServiceError::Listen { address, fault })?;
         if let Some(listener) = &door.listener {
-            reactor.add(listener, DOOR, Flags::IN)?;
+            reactor.add(listener, ADMIN, Flags::IN)?;
         }
         let signals = signalled(signal_hook::consts::SIGTERM)?;
         reactor.add(&signals, SIGNALS, Flags::IN)?;
         // Danger: unhandled, this signal ends the process and all its connections.
         let reloads = signalled(signal_hook::consts::SIGHUP)?;
         reactor.add(&reloads, RELOADS, Flags::IN)?;
-        let (clock, known) = (Clock::start(machine.ahead_s), startup.known.take());
+        let (clock, known) = (Clock::start(machine.ahead_s), config.known.take());
         let mut service = Service {
             phase: Phase::Starting,
             now: clock.now(),
             clock,
             reactor,
-            deadlines: Deadlines::default(),
+            timers: Timers::default(),
             listener: Some(listener),
             queued_since: None,
             queued_at: Time(0),
             door,
             handover: Handover::default(),
             membership: None,
-            figures: Figures::new(&startup.names.traffic),
+            metrics: Metrics::new(&config.names.traffic),
             drains: 0,
             slowest_turn: Span::ZERO,
             // Apart from the decisions' own chances.
-            chance: WyRand::new_seed(!startup.seed),
+            chance: WyRand::new_seed(!config.seed),
             signals,
             reloads,
-            conns: Slots::default(),
+            sockets: Slots::default(),
             calls: Slots::default(),
             ids: FxHashSet::default(),
             idle: VecDeque::new(),
             attempts_out: 0,
-            hosts: Directory::default(),
-            list: List::default(),
+            hosts: HostTable::default(),
+            list: EndpointListClient::default(),
             list_failures: 0,
             probes_failed: Vec::new(),
             node: None,
             ended: VecDeque::new(),
             scratch: vec![0; MUCH],
-            startup,
+            config,
         };
-        let (settings, seed, now) = (service.startup.settings.clone(), service.startup.seed, service.now);
+        let (settings, seed, now) = (service.config.settings.clone(), service.config.seed, service.now);
         let snapshot = inherited.as_mut().and_then(|(_, told)| told.take());
         let older = snapshot
             .as_ref()
@@ -423,17 +425,17 @@
         }
         service.settle();
         service.join_fleet(machine.disk)?;
-        if service.startup.list_is_pushed {
-            service.deadlines.set(now + AGENT_PATIENCE, Due::TakeOver);
+        if service.config.list_is_pushed {
+            service.timers.set(now + AGENT_PATIENCE, TimerEvent::TakeOver);
         }
         service.ready_now();
         Ok(service)
     }
 
     /// Serves until it is told to leave and has left.
-    pub fn run(&mut self) -> Result<(), ServiceFault> {
+    pub fn run(&mut self) -> Result<(), ServiceError> {
         while self.phase != Phase::Left {
-            let wait = self.deadlines.wait(self.clock.now());
+            let wait = self.timers.wait(self.clock.now());
             let events = self.reactor.wait(wait)?;
             self.now = self.clock.now();
             let began = self.now;
@@ -441,15 +443,15 @@
             for of_the_door in [true, false] {
                 for at in 0..events {
                     if let Some((number, flags)) = self.reactor.event(at)
-                        && self.is_of_the_door(number) == of_the_door
+                        && self.is_admin_socket(number) == of_the_door
                     {
                         self.happened(number, flags);
                     }
                 }
             }
             self.now = self.clock.now();
-            while let Some(due) = self.deadlines.next_due(self.now) {
-                self.fell_due(due);
+            while let Some(due) = self.timers.next_due(self.now) {
+                self.timer_event(due);
             }
             self.send_words();
             if self.phase == Phase::Flushing && !self.has_peers_to_hear() {
@@ -466,7 +468,7 @@
                 self.accept();
                 return;
             }
-            DOOR => return self.accept_callers(),
+            ADMIN => return self.accept_callers(),
             SUCCESSORS => return self.accept_successor(),
             PEERS => return self.accept_peers(),
             STORE => return self.store_says(),
@@ -486,16 +488,16 @@
             }
             _ => {}
         }
-        let id = ConnId(number);
-        let Some(seat) = self.conns.get_mut(number) else { return };
-        if seat.conn.connecting {
+        let id = ConnectionId(number);
+        let Some(seat) = self.sockets.get_mut(number) else { return };
+        if seat.connection.connecting {
             if !flags.intersects(Flags::OUT | Flags::ERR | Flags::HUP) {
                 return;
             }
-            if seat.conn.came_up().is_err() {
+            if seat.connection.came_up().is_err() {
                 return self.lost(id);
             }
-            if seat.role == Role::Peer {
+            if seat.role == SocketRole::Peer {
                 self.peer_up(id);
             } else {
                 self.attempt_connected(id);
@@ -509,34 +511,36 @@
     }
 
     /// What was to be sent has gone in part: whoever fills it may be read again.
-    fn drained(&mut self, id: ConnId) {
+    fn drained(&mut self, id: ConnectionId) {
         self.pump(id);
-        let Some(seat) = self.conns.get(id.0) else { return };
-        if seat.conn.unsent() > MUCH / 2 {
+        let Some(seat) = self.sockets.get(id.0) else { return };
+        if seat.connection.unsent() > MUCH / 2 {
             return;
         }
         let other = match seat.role {
-            Role::Client(Some(call)) => {
-                self.calls.get(call.0).and_then(|held| held.attempt.as_ref()).map(|attempt| attempt.conn)
-            }
-            Role::Host(call) => self.calls.get(call.0).and_then(|held| held.client),
-            Role::Closing => return self.closing_came(id),
-            Role::Admin => return self.caller_over(id),
-            Role::Successor => return self.hand_on(),
+            SocketRole::Client(Some(call)) => self
+                .calls
+                .get(call.0)
+                .and_then(|held| held.attempt.as_ref())
+                .map(|attempt| attempt.connection),
+            SocketRole::Host(call) => self.calls.get(call.0).and_then(|held| held.client),
+            SocketRole::Closing => return self.closing_came(id),
+            SocketRole::Admin => return self.caller_over(id),
+            SocketRole::Successor => return self.hand_on(),
             _ => None,
         };
         if let Some(other) = other
-            && let Some(seat) = self.conns.get_mut(other.0)
-            && seat.conn.paused
+            && let Some(seat) = self.sockets.get_mut(other.0)
+            && seat.connection.paused
         {
-            seat.conn.paused = false;
-            self.watch_conn(other);
+            seat.connection.paused = false;
+            self.watch_connection(other);
         }
     }
 
-    pub fn readable(&mut self, id: ConnId, flags: Flags) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        if seat.conn.read_ended {
+    pub fn readable(&mut self, id: ConnectionId, flags: Flags) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        if seat.connection.read_ended {
             // Nothing more can come: the peer has gone for good.
             if flags.intersects(Flags::ERR | Flags::HUP) {
                 self.lost(id);
@@ -544,103 +548,103 @@
             return;
         }
         let role = seat.role;
-        if role == Role::Predecessor {
+        if role == SocketRole::Predecessor {
             return self.predecessor_readable(id);
         }
         // A connection that has not opened needs room for one line.
-        let most = if role == Role::Client(None) { LONGEST } else { MUCH };
-        let got = match seat.conn.read(&mut self.scratch[..most]) {
+        let most = if role == SocketRole::Client(None) { LONGEST } else { MUCH };
+        let got = match seat.connection.read(&mut self.scratch[..most]) {
             Ok(got) => got,
             Err(_) => return self.lost(id),
         };
         match role {
-            Role::Client(call) => self.client_came(id, call, got),
-            Role::Host(call) => self.host_came(id, call, got),
-            Role::Probe(host) => self.probe_came(id, host, got),
-            Role::List(_) => self.list_came(id, got),
-            Role::Admin => self.caller_came(id, got),
-            Role::Successor => self.successor_readable(id, got),
-            Role::Peer => self.peer_came(id, got),
-            Role::Predecessor => {}
-            Role::Closing => {
+            SocketRole::Client(call) => self.client_came(id, call, got),
+            SocketRole::Host(call) => self.host_came(id, call, got),
+            SocketRole::Probe(host) => self.probe_came(id, host, got),
+            SocketRole::EndpointListClient(_) => self.list_came(id, got),
+            SocketRole::Admin => self.caller_came(id, got),
+            SocketRole::Successor => self.successor_readable(id, got),
+            SocketRole::Peer => self.peer_came(id, got),
+            SocketRole::Predecessor => {}
+            SocketRole::Closing => {
                 if let Got::Bytes(n) = got {
-                    seat.conn.discarded += n;
+                    seat.connection.discarded += n;
                 }
                 self.closing_came(id);
             }
         }
-        self.watch_conn(id);
+        self.watch_connection(id);
     }
 
     /// The connection broke.
-    fn lost(&mut self, id: ConnId) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        seat.conn.read_ended = true;
+    fn lost(&mut self, id: ConnectionId) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        seat.connection.read_ended = true;
         match seat.role {
-            Role::Client(call) => self.client_left(id, call, true),
-            Role::Host(call) => self.host_lost(call),
-            Role::Probe(host) => self.probe_over(id, host, AttemptOutcome::Unreachable),
-            Role::List(_) => self.list_lost(id),
-            Role::Closing => self.drop_conn(id),
-            Role::Admin => self.drop_caller(id),
-            Role::Successor => self.successor_gone(id),
-            Role::Predecessor => self.predecessor_gone(id),
-            Role::Peer => self.peer_lost(id),
+            SocketRole::Client(call) => self.client_left(id, call, true),
+            SocketRole::Host(call) => self.host_lost(call),
+            SocketRole::Probe(host) => self.probe_over(id, host, AttemptOutcome::Unreachable),
+            SocketRole::EndpointListClient(_) => self.list_lost(id),
+            SocketRole::Closing => self.close_connection(id),
+            SocketRole::Admin => self.drop_caller(id),
+            SocketRole::Successor => self.successor_gone(id),
+            SocketRole::Predecessor => self.predecessor_gone(id),
+            SocketRole::Peer => self.peer_lost(id),
         }
     }
 
-    fn fell_due(&mut self, due: Due) {
+    fn timer_event(&mut self, due: TimerEvent) {
         let now = self.now;
         match due {
-            Due::Wake(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
-            Due::Connect(call, attempt) => self.attempt_deadline(call, attempt, true),
-            Due::Attempt(call, attempt) => self.attempt_deadline(call, attempt, false),
-            Due::Again(call) => self.return_to_host(call),
-            Due::Silence(call) => self.check_silence(call),
-            Due::Linger(call) => self.linger_over(call),
-            Due::Move(call) => self.move_client(call, AttemptOutcome::Canceled),
-            Due::Drain(no) => self.drain_clients(no),
-            Due::DrainMove(no, call) => {
-                if self.is_drain(no) {
+            TimerEvent::Wake(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
+            TimerEvent::Connect(call, attempt) => self.attempt_deadline(call, attempt, true),
+            TimerEvent::Attempt(call, attempt) => self.attempt_deadline(call, attempt, false),
+            TimerEvent::Again(call) => self.return_to_host(call),
+            TimerEvent::Silence(call) => self.check_silence(call),
+            TimerEvent::Linger(call) => self.linger_over(call),
+            TimerEvent::Move(call) => self.move_client(call, AttemptOutcome::Canceled),
+            TimerEvent::Drain(no) => self.drain_clients(no),
+            TimerEvent::DrainMove(no, call) => {
+                if self.is_current_drain(no) {
                     self.move_client(call, AttemptOutcome::Canceled);
                 }
             }
-            Due::DrainEnd(no) => self.drain_ends(no),
-            Due::Caller(id) => self.drop_caller(id),
-            Due::Probe(id) => {
-                if let Some(Role::Probe(host)) = self.role(id) {
+            TimerEvent::DrainEnd(no) => self.drain_ends(no),
+            TimerEvent::Caller(id) => self.drop_caller(id),
+            TimerEvent::Probe(id) => {
+                if let Some(SocketRole::Probe(host)) = self.role(id) {
                     self.probe_over(id, host, AttemptOutcome::TimedOut);
                 }
             }
-            Due::ListLimit(id) => self.list_limit(id),
-            Due::FirstLine(id) => {
-                if let Some(seat) = self.conns.get(id.0)
-                    && seat.role == Role::Client(None)
+            TimerEvent::ListLimit(id) => self.list_limit(id),
+            TimerEvent::FirstLine(id) => {
+                if let Some(seat) = self.sockets.get(id.0)
+                    && seat.role == SocketRole::Client(None)
                     && now.since(seat.quiet_since) >= FIRST_LINE
                 {
                     self.end_idle(id);
                 }
             }
-            Due::Shut(id) => {
-                if self.role(id) == Some(Role::Closing) {
-                    self.drop_conn(id);
+            TimerEvent::Shut(id) => {
+                if self.role(id) == Some(SocketRole::Closing) {
+                    self.close_connection(id);
                 }
             }
-            Due::Accept => {
+            TimerEvent::Accept => {
                 self.listen_for(self.accepts());
-                self.open_door(true);
+                self.watch_admin(true);
             }
-            Due::TakeOver => {
+            TimerEvent::TakeOver => {
                 self.handover.waited = true;
                 self.ready_now();
             }
-            Due::StopAccepting => self.stop_accepting(),
-            Due::HandOn => self.hand_on(),
-            Due::LeaveEarly => self.leave_early(),
-            Due::Fleet => self.fleet_tick(),
-            Due::Ease => self.ease_off(),
-            Due::Exit => self.exit(),
-            Due::Left => self.left(),
+            TimerEvent::StopAccepting => self.stop_accepting(),
+            TimerEvent::HandOn => self.hand_on(),
+            TimerEvent::LeaveEarly => self.leave_early(),
+            TimerEvent::Fleet => self.fleet_tick(),
+            TimerEvent::Ease => self.ease_off(),
+            TimerEvent::Exit => self.exit(),
+            TimerEvent::Left => self.left(),
         }
         self.settle();
     }
@@ -650,12 +654,12 @@
     /// It serves once it knows a host that is ready.
     pub fn ready_now(&mut self) {
         // Danger: what an agent of the node's own has counts as told from its first moment.
-        let for_list = self.handover.follows() || self.startup.list_is_pushed;
+        let for_list = self.handover.follows() || self.config.list_is_pushed;
         let waits = for_list && !self.list.heard && !self.handover.waited;
         let waits = waits || self.waits_for_fleet();
         if self.phase == Phase::Starting && self.hosts.any_ready() && !waits {
             self.phase = Phase::Serving;
-            info!(name = %self.startup.name, "serving");
+            info!(name = %self.config.name, "serving");
             if std::mem::take(&mut self.handover.drained) {
                 info!("the process before was draining");
                 self.drain();
@@ -684,7 +688,7 @@
         if matches!(self.phase, Phase::Leaving { .. }) && !self.handover.is_replaced() {
             // One that never served leaves the queue to the process before.
             if self.accepts() && !self.accept() {
-                return self.deadlines.set(self.now + ACCEPT_AGAIN, Due::StopAccepting);
+                return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::StopAccepting);
             }
             self.listener = None;
         }
@@ -694,16 +698,16 @@
     fn reload(&mut self) {
         match config::anew() {
             Ok(new) => {
-                let moved = new.discovery != self.startup.discovery;
-                let renewed = self.startup.renew(new);
-                info!(discovery = %self.startup.discovery, "configuration read anew");
+                let moved = new.discovery != self.config.discovery;
+                let renewed = self.config.renew(new);
+                info!(discovery = %self.config.discovery, "configuration read anew");
                 for key in renewed.later {
                     warn!("{key} has changed in the configuration: that counts from the next start");
                 }
                 if renewed.settings {
-                    let (settings, now) = (self.startup.settings.clone(), self.now);
+                    let (settings, now) = (self.config.settings.clone(), self.now);
                     info!(weights = ?settings.weights, nodes = settings.nodes, "settings changed");
-                    self.figures.name(&self.startup.names.traffic);
+                    self.metrics.name(&self.config.names.traffic);
                     self.tell(|node, port| node.update_settings(now, settings, port));
                 }
                 // Danger: a host of a zone that had no number keeps a wrong one once there are more.
@@ -723,11 +727,11 @@
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
             return;
         }
-        let until = self.now + self.startup.longest_guard.min(LONGEST_LEAVE) + LEAVE_MORE;
+        let until = self.now + self.config.longest_guard.min(LONGEST_LEAVE) + LEAVE_MORE;
         self.phase = Phase::Leaving { until };
         info!(calls = self.calls.len(), "leaving");
-        self.deadlines.set(until, Due::Exit);
-        self.deadlines.set(self.now + STOP_ACCEPTING, Due::StopAccepting);
+        self.timers.set(until, TimerEvent::Exit);
+        self.timers.set(self.now + STOP_ACCEPTING, TimerEvent::StopAccepting);
         let open: Vec<CallId> = self.calls.iter().map(|(number, _)| CallId(number)).collect();
         // Where the next process serves already, clients have somewhere to go from the first moment.
         let replaced = self.handover.is_replaced();
@@ -737,7 +741,7 @@
         let span = (until - LAST_MOVES).since(first);
         for (at, call) in open.iter().enumerate() {
             let due = first + span.times(at as f64 / open.len() as f64);
-            self.deadlines.set(due, Due::Move(*call));
+            self.timers.set(due, TimerEvent::Move(*call));
         }
         if replaced {
             self.hand_over_calls();
@@ -747,11 +751,13 @@
 
     /// Replaced, it has no reason to stay once its last call has ended or gone over.
     fn leave_early(&mut self) {
-        let busy = |seat: &Seat| matches!(seat.role, Role::Client(_) | Role::Host(_) | Role::Closing);
-        if self.calls.len() == 0 && !self.conns.iter().any(|(_, seat)| busy(seat)) {
+        let busy = |seat: &SocketEntry| {
+            matches!(seat.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
+        };
+        if self.calls.len() == 0 && !self.sockets.iter().any(|(_, seat)| busy(seat)) {
             self.exit();
         } else {
-            self.deadlines.set(self.now + HANDED, Due::LeaveEarly);
+            self.timers.set(self.now + HANDED, TimerEvent::LeaveEarly);
         }
     }
 
@@ -767,8 +773,8 @@
         let (first, at) = (first.max(self.now + Span::ms(1)), self.chance());
         let due = first + last.since(first).times(at);
         match self.phase {
-            Phase::Draining { .. } => self.deadlines.set(due, Due::DrainMove(self.drains, call)),
-            _ => self.deadlines.set(due, Due::Move(call)),
+            Phase::Draining { .. } => self.timers.set(due, TimerEvent::DrainMove(self.drains, call)),
+            _ => self.timers.set(due, TimerEvent::Move(call)),
         }
     }
 
@@ -780,8 +786,8 @@
             info!(calls = self.calls.len(), "draining");
             self.phase = Phase::Draining { since: self.now };
             self.drains += 1;
-            self.deadlines.set(self.now + STILL_SENT, Due::Drain(self.drains));
-            self.deadlines.set(self.now + EMPTY, Due::DrainEnd(self.drains));
+            self.timers.set(self.now + STILL_SENT, TimerEvent::Drain(self.drains));
+            self.timers.set(self.now + EMPTY, TimerEvent::DrainEnd(self.drains));
         }
         // Who has been replaced has no say, and who leaves sends its clients away as it is.
         self.phase != Phase::Replaced
@@ -798,30 +804,30 @@
     }
 
     /// Danger: what an earlier drain has set is still in the deadlines after its end, and after the next.
-    fn is_drain(&self, no: u32) -> bool {
+    fn is_current_drain(&self, no: u32) -> bool {
         matches!(self.phase, Phase::Draining { .. }) && self.drains == no
     }
 
     fn open_calls(&self) -> Vec<CallId> {
-        let open = self.calls.iter().filter(|(_, held)| held.stage == Stage::Open);
+        let open = self.calls.iter().filter(|(_, held)| held.stage == CallStage::Open);
         open.map(|(number, _)| CallId(number)).collect()
     }
 
     /// The front sends no more: what stands goes one by one.
     fn drain_clients(&mut self, no: u32) {
         let Phase::Draining { since } = self.phase else { return };
-        if self.is_drain(no) {
+        if self.is_current_drain(no) {
             let (open, span) = (self.open_calls(), (since + DRAINED).since(self.now));
             for (at, call) in open.iter().enumerate() {
                 let due = self.now + span.times(at as f64 / open.len() as f64);
-                self.deadlines.set(due, Due::DrainMove(no, *call));
+                self.timers.set(due, TimerEvent::DrainMove(no, *call));
             }
         }
     }
 
     /// Whatever is still open goes now.
     fn drain_ends(&mut self, no: u32) {
-        if self.is_drain(no) {
+        if self.is_current_drain(no) {
             for call in self.open_calls() {
                 self.move_client(call, AttemptOutcome::Canceled);
             }
@@ -839,7 +845,8 @@
         for call in left {
             self.move_client(call, AttemptOutcome::Canceled);
             // Its deadline is over by now, or it never had an attempt.
-            let unopened = |held: &Held| matches!(held.stage, Stage::Waiting | Stage::Returning);
+            let unopened =
+                |held: &InFlightCall| matches!(held.stage, CallStage::Waiting | CallStage::Returning);
             if self.calls.get(call.0).is_some_and(unopened) {
                 let answer = self.calls.get(call.0).is_some_and(|held| held.attempts == 0 && !held.looks());
                 self.answer_call(call, if answer { Answer::Busy(None) } else { Answer::Error });
@@ -849,15 +856,15 @@
             self.accept();
         }
         self.listener = None;
-        let idle = self.conns.iter().filter(|(_, seat)| seat.role == Role::Client(None));
-        let idle: Vec<ConnId> = idle.map(|(number, _)| ConnId(number)).collect();
+        let idle = self.sockets.iter().filter(|(_, seat)| seat.role == SocketRole::Client(None));
+        let idle: Vec<ConnectionId> = idle.map(|(number, _)| ConnectionId(number)).collect();
         self.phase = Phase::Flushing;
         idle.into_iter().for_each(|id| self.end_idle(id));
-        self.deadlines.set(self.now + FLUSH, Due::Left);
+        self.timers.set(self.now + FLUSH, TimerEvent::Left);
     }
 
     fn has_peers_to_hear(&self) -> bool {
-        self.conns.iter().any(|(_, seat)| matches!(seat.role, Role::Client(_) | Role::Closing))
+        self.sockets.iter().any(|(_, seat)| matches!(seat.role, SocketRole::Client(_) | SocketRole::Closing))
     }
 
     fn left(&mut self) {
@@ -874,14 +881,14 @@
 
     // Sockets.
 
-    pub fn role(&self, id: ConnId) -> Option<Role> {
-        self.conns.get(id.0).map(|seat| seat.role)
+    pub fn role(&self, id: ConnectionId) -> Option<SocketRole> {
+        self.sockets.get(id.0).map(|seat| seat.role)
     }
 
     /// Descriptors in use, and those that the calls in hand will need.
     pub fn descriptors(&self) -> usize {
         let links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
-        self.kept_back() + self.handover.other_uses + self.conns.len() - links - self.door.callers.len()
+        self.kept_back() + self.handover.other_uses + self.sockets.len() - links - self.door.callers.len()
             + self.calls.len()
             - self.attempts_out.min(self.calls.len())
     }
@@ -898,20 +905,20 @@
     }
 
     /// Takes a call out of the tables. One that never opened has its outcome here, one that did when it did.
-    pub fn forget_call(&mut self, call: CallId) -> Option<Held> {
+    pub fn forget_call(&mut self, call: CallId) -> Option<InFlightCall> {
         let held = self.calls.remove(call.0)?;
         self.work_ended(call, held.kept.as_ref());
-        if matches!(held.stage, Stage::Waiting | Stage::Returning) {
-            self.figures.count(held.call.traffic, held.outcome.unwrap_or(Outcome::Failure));
+        if matches!(held.stage, CallStage::Waiting | CallStage::Returning) {
+            self.metrics.count(held.call.traffic, held.outcome.unwrap_or(Outcome::Failure));
         }
         self.ids.remove(&held.id);
         Some(held)
     }
 
-    pub fn open_door(&mut self, open: bool) {
+    pub fn watch_admin(&mut self, open: bool) {
         let flags = if open { Flags::IN } else { Flags::empty() };
         if let Some(listener) = &self.door.listener {
-            let _ = self.reactor.change(listener, DOOR, flags);
+            let _ = self.reactor.change(listener, ADMIN, flags);
         }
     }
 
@@ -928,7 +935,7 @@
     pub fn leave_drained(&mut self) {
         self.leave();
         if self.calls.len() == 0 {
-            self.deadlines.set(self.now + STOP_ACCEPTING + Span::ms(50), Due::Exit);
+            self.timers.set(self.now + STOP_ACCEPTING + Span::ms(50), TimerEvent::Exit);
         }
     }
 
@@ -936,32 +943,39 @@
         self.reactor.add(door, SUCCESSORS, Flags::IN)
     }
 
-    pub fn add_conn(&mut self, conn: Conn, role: Role) -> Option<ConnId> {
+    pub fn add_connection(&mut self, connection: Connection, role: SocketRole) -> Option<ConnectionId> {
         let (quiet_since, idle_since) = (self.now, self.now);
-        let id = ConnId(self.conns.insert(Seat { conn, role, quiet_since, idle_since, queued_since: None }));
-        let seat = self.conns.get(id.0)?;
-        if self.reactor.add(&seat.conn.fd, id.0, seat.conn.watched).is_err() {
-            self.conns.remove(id.0);
+        let id = ConnectionId(self.sockets.insert(SocketEntry {
+            connection,
+            role,
+            quiet_since,
+            idle_since,
+            queued_since: None,
+        }));
+        let seat = self.sockets.get(id.0)?;
+        if self.reactor.add(&seat.connection.fd, id.0, seat.connection.watched).is_err() {
+            self.sockets.remove(id.0);
             return None;
         }
         Some(id)
     }
 
     /// Sends what can be sent. What breaks on the way shows in the next event.
-    pub fn pump(&mut self, id: ConnId) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let _ = seat.conn.flush();
-        if let Role::Host(call) = seat.role {
+    pub fn pump(&mut self, id: ConnectionId) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        let _ = seat.connection.flush();
+        if let SocketRole::Host(call) = seat.role {
             self.note_line_gone(call);
         }
-        self.watch_conn(id);
+        self.watch_connection(id);
     }
 
-    pub fn watch_conn(&mut self, id: ConnId) {
-        let Some(seat) = self.conns.get_mut(id.0) else { return };
-        let wanted = seat.conn.wanted();
-        if wanted != seat.conn.watched && self.reactor.change(&seat.conn.fd, id.0, wanted).is_ok() {
-            seat.conn.watched = wanted;
+    pub fn watch_connection(&mut self, id: ConnectionId) {
+        let Some(seat) = self.sockets.get_mut(id.0) else { return };
+        let wanted = seat.connection.wanted();
+        if wanted != seat.connection.watched && self.reactor.change(&seat.connection.fd, id.0, wanted).is_ok()
+        {
+            seat.connection.watched = wanted;
         }
     }
 
@@ -972,20 +986,20 @@
         }
     }
 
-    pub fn drop_conn(&mut self, id: ConnId) {
-        self.conns.remove(id.0);
+    pub fn close_connection(&mut self, id: ConnectionId) {
+        self.sockets.remove(id.0);
     }
 
     /// Takes a socket out of the tables to leave it to another process: it is not ended.
-    pub fn give_up_conn(&mut self, id: ConnId) {
-        if let Some(seat) = self.conns.remove(id.0) {
-            self.reactor.remove(&seat.conn.fd);
+    pub fn abandon_connection(&mut self, id: ConnectionId) {
+        if let Some(seat) = self.sockets.remove(id.0) {
+            self.reactor.remove(&seat.connection.fd);
         }
     }
 
-    pub fn reset_conn(&mut self, id: ConnId) {
-        if let Some(seat) = self.conns.remove(id.0) {
-            seat.conn.reset_on_close();
+    pub fn reset_connection(&mut self, id: ConnectionId) {
+        if let Some(seat) = self.sockets.remove(id.0) {
+            seat.connection.reset_on_close();
         }
     }
 
@@ -1075,6 +1089,6 @@
     }
 
     fn set_timer(&mut self, time: Time, token: TimerToken) {
-        self.deadlines.set(time, Due::Wake(token));
+        self.timers.set(time, TimerEvent::Wake(token));
     }
 }
--- a/crates/node/src/work.rs
+++ b/crates/node/src/takeover.rs
@@ -15,9 +15,9 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
-use crate::line::{Answer, Opening, hashed};
 use crate::peers::{Frame, seal, unseal};
-use crate::service::{Held, Service};
+use crate::protocol::{Answer, OpenRequest, hashed};
+use crate::service::{InFlightCall, Service};
 
 /// In the node's folder, beside the store: what the process before kept.
 const LEFT: &str = "work";
@@ -35,7 +35,7 @@
     pub ran: Option<(HostId, Time)>,
 }
 
-impl Held {
+impl InFlightCall {
     pub fn looks(&self) -> bool {
         self.kept.is_some_and(|kept| kept.looks)
     }
@@ -89,7 +89,7 @@
         self.takeover.view()
     }
 
-    pub fn figures(&self, now: Timestamp) -> Value {
+    pub fn metrics(&self, now: Timestamp) -> Value {
         let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
         json!({
             "records_held": self.takeover.replica.held(), "in_hand": self.takeover.owner.in_hand(),
@@ -124,20 +124,20 @@
     }
 
     /// What others are to keep of a call, if they are: not of what may run again, nor of what names nothing.
-    pub fn work_of(&self, opening: &Opening) -> Option<WorkId> {
+    pub fn work_of(&self, opening: &OpenRequest) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
-        let lasting = self.startup.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
+        let lasting = self.config.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
         if !lasting || opening.at.is_some() {
             return None;
         }
-        let tenant = self.startup.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
-        Some(name(self.startup.names.traffic.get(traffic)?, tenant, opening.subject?.0))
+        let tenant = self.config.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
+        Some(name(self.config.names.traffic.get(traffic)?, tenant, opening.subject?.0))
     }
 
     /// A repeat, as far as can be told: where clients do not mark theirs, any call but one whose connection was up.
-    pub fn is_repeat(&self, opening: &Opening) -> bool {
-        if self.startup.marks_repeats { opening.repeat } else { !opening.again }
+    pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
+        if self.config.marks_repeats { opening.repeat } else { !opening.again }
     }
 
     fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Timestamp)) {
@@ -261,7 +261,7 @@
         let Some(held) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (held.kept, &held.attempt) else { return };
         let traffic =
-            self.startup.settings.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.idempotency);
+            self.config.settings.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.idempotency);
         let first = held.call.before.or(kept.ran);
         let recalled = match (traffic, first) {
             (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
@@ -310,17 +310,17 @@
     fn may_go(&mut self, call: CallId) {
         let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
         attempt.may_go = true;
-        let conn = attempt.conn;
+        let connection = attempt.connection;
         if let Some(work) = self.work() {
             work.counts.kept += 1;
         }
-        self.attempt_connected(conn);
+        self.attempt_connected(connection);
     }
 
     /// Nobody keeps it: it does not go, and the call has its answer at once.
     fn not_kept(&mut self, call: CallId) {
         // Its attempt may have ended meanwhile, and then it is for the decisions to go on.
-        let waits = |held: &Held| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
+        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
         if !self.calls.get(call.0).is_some_and(waits) {
             return;
         }
@@ -333,7 +333,7 @@
         let answer = if ran { Answer::Error } else { Answer::Busy(None) };
         let client = held.client.take();
         held.outcome =
-            Some(if ran { crate::figures::Outcome::Failure } else { crate::figures::Outcome::Busy });
+            Some(if ran { crate::metrics::Outcome::Failure } else { crate::metrics::Outcome::Busy });
         if let Some(client) = client {
             self.answer_conn(client, answer);
         }
@@ -348,7 +348,7 @@
         }
         let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.take()) else { return };
         self.attempts_out -= 1;
-        self.drop_conn(attempt.conn);
+        self.close_connection(attempt.connection);
         let now = self.now;
         self.tell(|node, port| {
             node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port)
--- a/crates/node/src/deadlines.rs
+++ b/crates/node/src/timers.rs
@@ -7,18 +7,18 @@
 
 /// What falls due at the same time comes in the order in which it was set. Nothing is taken out early: what
 /// an entry names has ended by then or says itself that it is not due, and numbers are never used twice.
-pub struct Deadlines<T> {
+pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Time, u64, T)>>,
     set: u64,
 }
 
-impl<T: Ord> Default for Deadlines<T> {
+impl<T: Ord> Default for Timers<T> {
     fn default() -> Self {
-        Deadlines { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), set: 0 }
     }
 }
 
-impl<T: Ord> Deadlines<T> {
+impl<T: Ord> Timers<T> {
     pub fn set(&mut self, at: Time, due: T) {
         self.set += 1;
         self.heap.push(Reverse((at, self.set, due)));
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    pub fn figures(&self) -> Value {
+    pub fn metrics(&self) -> Value {
         let (nodes, known) = self.estates.held();
         json!({"nodes": nodes, "known": known, "lost_expected": self.expected})
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum SettingsError {
     #[error("setting {0} is missing")]
     Missing(String),
     #[error("setting {key} has the value {value:?}, expected {expected}")]
@@ -22,38 +22,38 @@
 }
 
 /// Settings by their path, as text.
-pub struct Pairs<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
+pub struct SettingsMap<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
 
-impl<'a> Pairs<'a> {
-    pub fn from_lines(text: &'a str) -> Result<Pairs<'a>, Fault> {
+impl<'a> SettingsMap<'a> {
+    pub fn from_lines(text: &'a str) -> Result<SettingsMap<'a>, SettingsError> {
         let mut pairs = FxHashMap::default();
         for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-            let (key, value) = line.split_once('=').ok_or(Fault::NoPair { line: at + 1 })?;
+            let (key, value) = line.split_once('=').ok_or(SettingsError::NoPair { line: at + 1 })?;
             if value.trim() != "null" {
                 pairs.insert(key.trim().into(), value.trim().into());
             }
         }
-        Ok(Pairs(pairs))
+        Ok(SettingsMap(pairs))
     }
 
     /// Nested objects flattened to the same paths: lists of plain values joined by commas, lists of objects
     /// numbered, with their length under `count`.
-    pub fn from_json(settings: &Value) -> Pairs<'static> {
+    pub fn from_json(settings: &Value) -> SettingsMap<'static> {
         let mut pairs = FxHashMap::default();
         flatten(&mut pairs, &mut String::new(), settings);
-        Pairs(pairs)
+        SettingsMap(pairs)
     }
 
-    fn text(&self, key: &str) -> Result<&str, Fault> {
-        self.0.get(key).map(|value| &**value).ok_or_else(|| Fault::Missing(key.to_owned()))
+    fn text(&self, key: &str) -> Result<&str, SettingsError> {
+        self.0.get(key).map(|value| &**value).ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    fn parse<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, Fault> {
+    fn parse<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
         let value = self.text(key)?;
         value.parse().map_err(|_| bad(key, value, expected))
     }
 
-    pub fn number(&self, key: &str) -> Result<f64, Fault> {
+    pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let value: f64 = self.parse(key, "a number")?;
         if value.is_finite() && value >= 0.0 {
             Ok(value)
@@ -62,29 +62,29 @@
         }
     }
 
-    fn number_or(&self, key: &str, absent: f64) -> Result<f64, Fault> {
+    fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
         if self.0.contains_key(key) { self.number(key) } else { Ok(absent) }
     }
 
     /// A time given in milliseconds.
-    pub fn span(&self, key: &str) -> Result<Span, Fault> {
+    pub fn span(&self, key: &str) -> Result<Span, SettingsError> {
         Ok(Span::from_seconds(self.number(key)? / 1e3))
     }
 
-    pub fn span_or(&self, key: &str, absent: Span) -> Result<Span, Fault> {
+    pub fn span_or(&self, key: &str, absent: Span) -> Result<Span, SettingsError> {
         if self.0.contains_key(key) { self.span(key) } else { Ok(absent) }
     }
 
-    pub fn flag(&self, key: &str) -> Result<bool, Fault> {
+    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         self.parse(key, "true or false")
     }
 
-    pub fn flag_or(&self, key: &str, absent: bool) -> Result<bool, Fault> {
+    pub fn flag_or(&self, key: &str, absent: bool) -> Result<bool, SettingsError> {
         if self.0.contains_key(key) { self.flag(key) } else { Ok(absent) }
     }
 
     /// A list in which single values may be absent.
-    fn numbers(&self, key: &str) -> Result<Vec<Option<f64>>, Fault> {
+    fn numbers(&self, key: &str) -> Result<Vec<Option<f64>>, SettingsError> {
         let Some(text) = self.0.get(key).filter(|text| !text.is_empty()) else {
             return Ok(Vec::new());
         };
@@ -97,8 +97,8 @@
     }
 }
 
-fn bad(key: &str, value: &str, expected: &'static str) -> Fault {
-    Fault::Bad { key: key.to_owned(), value: value.to_owned(), expected }
+fn bad(key: &str, value: &str, expected: &'static str) -> SettingsError {
+    SettingsError::Bad { key: key.to_owned(), value: value.to_owned(), expected }
 }
 
 fn flatten(pairs: &mut FxHashMap<Cow<'static, str>, Cow<'static, str>>, path: &mut String, value: &Value) {
@@ -133,7 +133,7 @@
     }
 }
 
-pub fn settings(pairs: &Pairs) -> Result<Settings, Fault> {
+pub fn settings(pairs: &SettingsMap) -> Result<Settings, SettingsError> {
     let message_targets = pairs.numbers("extra.messageAimMs")?;
     let types: usize = pairs.parse("trafficTypes.count", "a whole number")?;
     let traffic = (0..types)
@@ -187,14 +187,14 @@
 
 /// What these allow the decisions do not use, but it has to make sense: nothing new goes to a host that is gone, drained or not,
 /// and an answer goes by the deadline as it was told.
-fn check_leave(pairs: &Pairs) -> Result<(), Fault> {
+fn check_leave(pairs: &SettingsMap) -> Result<(), SettingsError> {
     pairs.flag_or("safety.droppedStayOpen", false)?;
     pairs.span_or("safety.budgetErrorMs", Span::ZERO)?;
     Ok(())
 }
 
 /// All of it or nothing: a budget with a part missing would be another budget.
-fn retry_budget(pairs: &Pairs) -> Result<Option<RetryBudget>, Fault> {
+fn retry_budget(pairs: &SettingsMap) -> Result<Option<RetryBudget>, SettingsError> {
     let keys = ["safety.budgetFree", "safety.repeatRatio", "safety.budgetSpanMs"];
     if !keys.iter().any(|key| pairs.0.contains_key(*key)) {
         return Ok(None);
@@ -207,7 +207,7 @@
 }
 
 /// Load reports are not read by the decisions, but what is said of them has to make sense.
-fn check_reports(pairs: &Pairs) -> Result<(), Fault> {
+fn check_reports(pairs: &SettingsMap) -> Result<(), SettingsError> {
     let key = "loadReport.source";
     match pairs.0.get(key).map(|source| &**source) {
         None | Some("none" | "answers") => Ok(()),
@@ -217,7 +217,11 @@
     }
 }
 
-fn traffic(pairs: &Pairs, i: usize, message_target: Option<f64>) -> Result<TrafficClass, Fault> {
+fn traffic(
+    pairs: &SettingsMap,
+    i: usize,
+    message_target: Option<f64>,
+) -> Result<TrafficClass, SettingsError> {
     let key = |name: &str| format!("trafficTypes.{i}.{name}");
     let idempotency = match pairs.text(&key("effect"))? {
         "retryable" => Idempotency::Idempotent,
@@ -245,8 +249,8 @@
 mod tests {
     use super::*;
 
-    fn budget(lines: &str) -> Result<Option<RetryBudget>, Fault> {
-        retry_budget(&Pairs::from_lines(lines).unwrap())
+    fn budget(lines: &str) -> Result<Option<RetryBudget>, SettingsError> {
+        retry_budget(&SettingsMap::from_lines(lines).unwrap())
     }
 
     #[test]
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,14 +9,14 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("glendeck-simhost: {fault}");
+            eprintln!("glendeck-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Answers batch after batch until the input ends between two of them.
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), wire::Fault> {
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), wire::WireError> {
     let mut tier = wire::Tier::default();
     let (mut head, mut body, mut reply) = ([0u8; wire::HEADER], Vec::new(), Vec::new());
     while let Some(frame) = wire::read_frame(&mut input, &mut head, &mut body)? {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -5,7 +5,7 @@
 use glendeck::domain::*;
 use glendeck::port::Port;
 use glendeck::rules::Node;
-use glendeck_settings::Pairs;
+use glendeck_settings::SettingsMap;
 use rustc_hash::FxHashMap;
 
 pub const HEADER: usize = 20;
@@ -14,7 +14,7 @@
 const LIST_LINE: usize = 25;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum WireError {
     #[error("cannot use the wire: {0}")]
     Io(#[from] io::Error),
     #[error("input ended inside a frame, after {got} of {wanted} bytes of its {part}")]
@@ -32,7 +32,7 @@
     #[error("batch {batch}, record {record}, byte {byte}: instance {instance} was never started")]
     NeverStarted { batch: u32, record: usize, byte: usize, instance: u32 },
     #[error("batch {batch}, record {record}: instance {instance}: {fault}")]
-    Profile { batch: u32, record: usize, instance: u32, fault: glendeck_settings::Fault },
+    Profile { batch: u32, record: usize, instance: u32, fault: glendeck_settings::SettingsError },
     #[error("batch {batch}, record {record}: the settings of instance {instance} are not UTF-8")]
     Text { batch: u32, record: usize, instance: u32 },
 }
@@ -48,12 +48,12 @@
     input: &mut impl Read,
     head: &mut [u8; HEADER],
     body: &mut Vec<u8>,
-) -> Result<Option<Frame>, Fault> {
+) -> Result<Option<Frame>, WireError> {
     match fill(input, head)? {
         0 => return Ok(None),
         HEADER => {}
         got => {
-            return Err(Fault::Truncated { part: "header", got, wanted: HEADER });
+            return Err(WireError::Truncated { part: "header", got, wanted: HEADER });
         }
     }
     let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
@@ -62,13 +62,13 @@
         f64::from_be_bytes([head[12], head[13], head[14], head[15], head[16], head[17], head[18], head[19]]);
     let needed = u64::from(records) * EVENT as u64;
     if needed > u64::from(length) {
-        return Err(Fault::Length { batch, records, needed, length });
+        return Err(WireError::Length { batch, records, needed, length });
     }
-    let now = time(clock).ok_or(Fault::Clock { batch, clock })?;
+    let now = time(clock).ok_or(WireError::Clock { batch, clock })?;
     body.clear();
     let got = input.by_ref().take(u64::from(length)).read_to_end(body)?;
     if got < length as usize {
-        return Err(Fault::Truncated { part: "body", got, wanted: length as usize });
+        return Err(WireError::Truncated { part: "body", got, wanted: length as usize });
     }
     Ok(Some(Frame { batch, records: records as usize, now }))
 }
@@ -136,26 +136,26 @@
         host(self.take(at))
     }
 
-    fn code(&self, at: usize, what: &'static str) -> Fault {
+    fn code(&self, at: usize, what: &'static str) -> WireError {
         let code = u64::from(self.u8(at));
-        Fault::Code { batch: self.batch, record: self.number, byte: self.byte(at), what, code }
+        WireError::Code { batch: self.batch, record: self.number, byte: self.byte(at), what, code }
     }
 
-    fn value(&self, at: usize, what: &'static str, value: f64) -> Fault {
-        Fault::Value { batch: self.batch, record: self.number, byte: self.byte(at), what, value }
+    fn value(&self, at: usize, what: &'static str, value: f64) -> WireError {
+        WireError::Value { batch: self.batch, record: self.number, byte: self.byte(at), what, value }
     }
 
-    fn time(&self, at: usize) -> Result<Time, Fault> {
+    fn time(&self, at: usize) -> Result<Time, WireError> {
         let ms = self.f64(at);
         time(ms).ok_or_else(|| self.value(at, "time", ms))
     }
 
-    fn span(&self, at: usize) -> Result<Span, Fault> {
+    fn span(&self, at: usize) -> Result<Span, WireError> {
         let ms = self.f64(at);
         time(ms).map(|t| t.since(Time(0))).ok_or_else(|| self.value(at, "duration", ms))
     }
 
-    fn load(&self, at: usize, value: f64, per_second: f64) -> Result<f64, Fault> {
+    fn load(&self, at: usize, value: f64, per_second: f64) -> Result<f64, WireError> {
         if value.is_finite() && value >= 0.0 {
             Ok(value / per_second)
         } else {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn outcome(&self, at: usize) -> Result<AttemptOutcome, Fault> {
+    fn outcome(&self, at: usize) -> Result<AttemptOutcome, WireError> {
         Ok(match self.u8(at) {
             0 => AttemptOutcome::Completed,
             1 => AttemptOutcome::Error,
@@ -178,10 +178,10 @@
     }
 
     /// The part of the tail that the offset and count at `at` name.
-    fn tail(&self, at: usize, size: usize, what: &'static str) -> Result<&'a [u8], Fault> {
+    fn tail(&self, at: usize, size: usize, what: &'static str) -> Result<&'a [u8], WireError> {
         let (from, count) = (self.u32(at) as usize, self.u32(at + 4) as usize);
         let part = count.checked_mul(size).and_then(|len| from.checked_add(len));
-        part.and_then(|end| self.tail.get(from..end)).ok_or(Fault::Tail {
+        part.and_then(|end| self.tail.get(from..end)).ok_or(WireError::Tail {
             batch: self.batch,
             record: self.number,
             byte: self.byte(at),
@@ -198,7 +198,7 @@
         team: usize,
         org: usize,
         subject: usize,
-    ) -> Result<Call, Fault> {
+    ) -> Result<Call, WireError> {
         let marked = self.u16(marks);
         let expected = team + 8 + if org > team { 4 } else { 0 };
         let load = match marked & 1 != 0 {
@@ -219,7 +219,7 @@
         })
     }
 
-    fn list(&self, lines: &mut Vec<Endpoint>) -> Result<(), Fault> {
+    fn list(&self, lines: &mut Vec<Endpoint>) -> Result<(), WireError> {
         lines.clear();
         for line in self.tail(10, LIST_LINE, "the host list")?.chunks_exact(LIST_LINE) {
             let word = |at: usize| u16::from_be_bytes([line[at], line[at + 1]]);
@@ -230,7 +230,7 @@
                 other => {
                     let (batch, record, byte) = (self.batch, self.number, self.byte(10));
                     let code = u64::from(other);
-                    return Err(Fault::Code { batch, record, byte, what: "host condition", code });
+                    return Err(WireError::Code { batch, record, byte, what: "host condition", code });
                 }
             };
             let up = f64::from_be_bytes(std::array::from_fn(|i| line[17 + i]));
@@ -266,7 +266,7 @@
 }
 
 impl Tier {
-    pub fn answer(&mut self, frame: &Frame, body: &[u8], reply: &mut Vec<u8>) -> Result<(), Fault> {
+    pub fn answer(&mut self, frame: &Frame, body: &[u8], reply: &mut Vec<u8>) -> Result<(), WireError> {
         let (records, tail) = body.split_at(frame.records * EVENT);
         reply.extend_from_slice(&frame.batch.to_be_bytes());
         reply.extend_from_slice(&[0; 8]);
@@ -279,7 +279,7 @@
         Ok(())
     }
 
-    fn event(&mut self, record: &Record, reply: &mut Vec<u8>) -> Result<(), Fault> {
+    fn event(&mut self, record: &Record, reply: &mut Vec<u8>) -> Result<(), WireError> {
         let instance = record.u32(1);
         let out = &mut Outbox { instance, reply };
         let (batch, number, now) = (record.batch, record.number, record.now);
@@ -288,17 +288,18 @@
         }
         if record.u8(0) == 1 {
             let text = std::str::from_utf8(record.tail(13, 1, "the settings")?);
-            let text = text.map_err(|_| Fault::Text { batch, record: number, instance })?;
-            let settings = Pairs::from_lines(text).and_then(|pairs| glendeck_settings::settings(&pairs));
+            let text = text.map_err(|_| WireError::Text { batch, record: number, instance })?;
             let settings =
-                settings.map_err(|fault| Fault::Profile { batch, record: number, instance, fault })?;
+                SettingsMap::from_lines(text).and_then(|pairs| glendeck_settings::settings(&pairs));
+            let settings =
+                settings.map_err(|fault| WireError::Profile { batch, record: number, instance, fault })?;
             let types = settings.traffic.len();
             self.nodes.insert(instance, Some((types, Node::start(settings, record.u64(5), now, out))));
             return Ok(());
         }
         let slot = self.nodes.get_mut(&instance);
         let slot =
-            slot.ok_or(Fault::NeverStarted { batch, record: number, byte: record.byte(1), instance })?;
+            slot.ok_or(WireError::NeverStarted { batch, record: number, byte: record.byte(1), instance })?;
         if record.u8(0) == 10 {
             *slot = None;
             return Ok(());
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,7 +26,7 @@
 
 /// Why a store cannot be opened.
 #[derive(Debug, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     #[error("the store's folder {0:?} is not there")]
     NoFolder(PathBuf),
     #[error("another process has the store in {0:?}")]
@@ -122,22 +122,22 @@
 /// # Errors
 /// A missing, unwritable or full folder, or one that another process uses. What cannot be read is no error: it is set
 /// aside and said.
-pub fn open(folder: &Path, faults: Option<Arc<dyn Faults>>) -> Result<Opened, StoreFault> {
+pub fn open(folder: &Path, faults: Option<Arc<dyn Faults>>) -> Result<Opened, StoreError> {
     if !folder.is_dir() {
-        return Err(StoreFault::NoFolder(folder.to_owned()));
+        return Err(StoreError::NoFolder(folder.to_owned()));
     }
-    let unwritable = |fault| StoreFault::Unwritable { folder: folder.to_owned(), fault };
+    let unwritable = |fault| StoreError::Unwritable { folder: folder.to_owned(), fault };
     let make = |name: &str| {
         let path = folder.join(name);
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(unwritable)
     };
     let lock = make(LOCK)?;
     if lock.try_lock().is_err() {
-        return Err(StoreFault::InUse(folder.to_owned()));
+        return Err(StoreError::InUse(folder.to_owned()));
     }
-    let database = |faults: Option<Arc<dyn Faults>>| -> Result<Result<Database, String>, StoreFault> {
+    let database = |faults: Option<Arc<dyn Faults>>| -> Result<Result<Database, String>, StoreError> {
         let disk = disk::Disk::new(make(FILE)?, faults)
-            .map_err(|fault| StoreFault::Unopened { folder: folder.to_owned(), fault: fault.to_string() })?;
+            .map_err(|fault| StoreError::Unopened { folder: folder.to_owned(), fault: fault.to_string() })?;
         // Danger: the library trusts what it does not look at. All pages are gone through while nobody waits.
         let built = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             Database::builder().set_check_integrity_on_open(true).create_with_backend(disk)
@@ -158,7 +158,7 @@
             let (path, aside) = (folder.join(FILE), folder.join("fleet.redb.unreadable"));
             std::fs::rename(path, aside).map_err(unwritable)?;
             let database = database(faults)?
-                .map_err(|fault| StoreFault::Unopened { folder: folder.to_owned(), fault })?;
+                .map_err(|fault| StoreError::Unopened { folder: folder.to_owned(), fault })?;
             Ok(Opened { saved: StoredState::default(), spoilt: Some(spoilt), database, lock })
         }
     }
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
-use glendeck_store::{Faults, Instead, Outcome, Store, StoreFault, open};
+use glendeck_store::{Faults, Instead, Outcome, Store, StoreError, open};
 use test_case::test_case;
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
@@ -61,7 +61,7 @@
     let opened = loop {
         // The thread of the store before lets go of it soon after its owner has.
         match open(&folder.0, faults.clone()) {
-            Err(StoreFault::InUse(_)) if Instant::now() < until => {
+            Err(StoreError::InUse(_)) if Instant::now() < until => {
                 std::thread::sleep(Duration::from_millis(5))
             }
             other => break other.unwrap(),
@@ -196,7 +196,7 @@
 fn faults_are_said_clearly() {
     let folder = Folder::new();
     let missing = folder.0.join("none");
-    assert!(matches!(open(&missing, None), Err(StoreFault::NoFolder(_))));
+    assert!(matches!(open(&missing, None), Err(StoreError::NoFolder(_))));
     let first = open(&folder.0, None).unwrap();
     let second = open(&folder.0, None).map(|_| ()).unwrap_err();
     assert!(second.to_string().contains("another process has the store"), "{second}");
