--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Fleet, Shape};
+use glendeck_harness::{Cluster, ClusterSpec};
 use serde_json::json;
 
 use crate::{Failure, show};
@@ -41,29 +41,30 @@
 
 pub fn play(program: Option<&Path>, stay: Duration) -> Result<(), Failure> {
     let program = program.map_or_else(beside, |program| Ok(program.to_owned()))?;
-    let shape =
-        Shape { nodes: 3, voters: 3, zones: 3, hosts: 3, most_out: 1, work: true, program, logs: None };
+    let spec =
+        ClusterSpec { nodes: 3, voters: 3, zones: 3, hosts: 3, most_out: 1, work: true, program, logs: None };
     println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
-    let mut fleet = Fleet::start(shape).map_err(fault)?;
-    fleet.clients.come(30, 1);
-    let takes = |fleet: &Fleet, at: usize| fleet.clients.standing(at).is_some_and(|of| of.takes);
-    wait("all nodes serve", || (0..3).all(|at| takes(&fleet, at)))?;
+    let mut cluster = Cluster::start(spec).map_err(fault)?;
+    cluster.clients.add_clients(30, 1);
+    let accepts_clients =
+        |cluster: &Cluster, at: usize| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients);
+    wait("all nodes serve", || (0..3).all(|at| accepts_clients(&cluster, at)))?;
     // Before that all were out.
-    fleet.clients.count_anew();
-    let status = |fleet: &Fleet| fleet.leader().and_then(|at| fleet.status(at));
-    let settled = |fleet: &Fleet| {
+    cluster.clients.reset_most_out();
+    let status = |cluster: &Cluster| cluster.leader().and_then(|at| cluster.status(at));
+    let settled = |cluster: &Cluster| {
         let units =
-            status(fleet).unwrap_or_default()["state"]["units"].as_object().cloned().unwrap_or_default();
+            status(cluster).unwrap_or_default()["state"]["units"].as_object().cloned().unwrap_or_default();
         units.len() == 3 && units.values().all(|unit| unit["lost"] == false && unit["standing"] == "Serving")
     };
     println!("the group is being founded; each node counts once it was seen to serve for 5 s");
-    wait("all are seen to serve", || settled(&fleet))?;
+    wait("all are seen to serve", || settled(&cluster))?;
     for at in 0..3 {
-        println!("  n{at}: its operators' door is {}", fleet.admin_address(at));
+        println!("  n{at}: its operators' door is {}", cluster.admin_address(at));
     }
-    println!("{}\n", show::status(&status(&fleet).unwrap_or_default()));
+    println!("{}\n", show::status(&status(&cluster).unwrap_or_default()));
     let order = |path: &str, body: serde_json::Value| -> Result<(), Failure> {
-        let (code, reply) = fleet.call(0, "POST", path, &body).map_err(fault)?;
+        let (code, reply) = cluster.call(0, "POST", path, &body).map_err(fault)?;
         println!(
             "POST {path} {body} -> {code} {}",
             reply["said"].as_str().or(reply["why"].as_str()).unwrap_or("-")
@@ -72,11 +73,11 @@
     };
     order("/v1/fleet/drain", json!({"unit": "n2", "id": "demo drain"}))?;
     order("/v1/fleet/drain", json!({"unit": "n1", "id": "demo second drain"}))?;
-    wait("n2 is out", || !takes(&fleet, 2))?;
+    wait("n2 is out", || !accepts_clients(&cluster, 2))?;
     println!("the front sends n2 nobody; its clients go to the others");
     std::thread::sleep(Duration::from_secs(4));
     order("/v1/fleet/activate", json!({"unit": "n2", "id": "demo activate"}))?;
-    wait("n2 is back", || settled(&fleet))?;
+    wait("n2 is back", || settled(&cluster))?;
     println!("n2 is back\n");
     let plan = json!({"version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60,
                       // A node that has just come back turns some of the demo's crowd away until it knows its hosts.
@@ -84,7 +85,7 @@
     order("/v1/fleet/release/start", json!({"plan": plan, "id": "demo release"}))?;
     let mut before = String::new();
     wait("the release is over", || {
-        let now = status(&fleet).unwrap_or_default();
+        let now = status(&cluster).unwrap_or_default();
         let text = show::release(&now);
         if !now.is_null() && text != before {
             println!("{text}");
@@ -96,19 +97,19 @@
         println!(
             "\nit goes on for {} s: try `glendeck fleet status --door {}`",
             stay.as_secs(),
-            fleet.admin_address(0)
+            cluster.admin_address(0)
         );
         std::thread::sleep(stay);
     }
-    let seen = fleet.clients.end();
+    let stats = cluster.clients.end();
     println!(
         "\nclients: {} calls answered, {} turned away, {} failed, {} moved, {} lost; most nodes out at once: {}",
-        seen.answered,
-        seen.busy,
-        seen.failed,
-        seen.moved,
-        seen.lost.len(),
-        seen.most_out
+        stats.answered,
+        stats.busy,
+        stats.failed,
+        stats.moved,
+        stats.lost.len(),
+        stats.most_out
     );
-    if seen.lost.is_empty() { Ok(()) } else { Err(Failure::Refused(seen.lost.join("\n"))) }
+    if stats.lost.is_empty() { Ok(()) } else { Err(Failure::Refused(stats.lost.join("\n"))) }
 }
--- a/crates/harness/src/bin/fleet-bench.rs
+++ b/crates/harness/src/bin/fleet-bench.rs
@@ -1,10 +1,10 @@
-//! Figures of a fleet of processes on this machine: `fleet-bench NODES VOTERS [ROUNDS]`. Bounded, loopback only; what is
-//! timed is what the front and the doors saw. Beside it stands `harness-node`, which it starts.
+//! Figures of a fleet of processes on this machine: `cluster-bench NODES VOTERS [ROUNDS]`. Bounded, loopback only; what is
+//! timed is what the frontend and the admin interface saw. Beside it stands `harness-node`, which it starts.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Fleet, Shape, Way};
+use glendeck_harness::{Cluster, ClusterSpec, LinkFault};
 use serde_json::{Value, json};
 
 const PATIENCE: Duration = Duration::from_secs(150);
@@ -50,12 +50,12 @@
     );
 }
 
-fn order(fleet: &Fleet, path: &str, mut body: Value, id: &str) -> Result<(), String> {
+fn order(cluster: &Cluster, path: &str, mut body: Value, id: &str) -> Result<(), String> {
     body["id"] = id.into();
     let until = Instant::now() + Duration::from_secs(20);
     loop {
-        let at = fleet.leader().unwrap_or(0);
-        match fleet.call(at, "POST", path, &body) {
+        let at = cluster.leader().unwrap_or(0);
+        match cluster.call(at, "POST", path, &body) {
             Ok((200, _)) => return Ok(()),
             Ok((503, _)) | Err(_) if Instant::now() < until => std::thread::sleep(Duration::from_millis(50)),
             other => return Err(format!("{path}: {other:?}")),
@@ -63,31 +63,31 @@
     }
 }
 
-fn is_settled(fleet: &Fleet) -> bool {
-    let status = fleet.leader().and_then(|at| fleet.status(at)).unwrap_or_default();
+fn is_settled(cluster: &Cluster) -> bool {
+    let status = cluster.leader().and_then(|at| cluster.status(at)).unwrap_or_default();
     let units = status["state"]["units"].as_object().cloned().unwrap_or_default();
-    units.len() == fleet.shape.nodes
+    units.len() == cluster.spec.nodes
         && units.values().all(|unit| unit["lost"] == false && unit["standing"] == "Serving")
 }
 
 /// Until another voter leads, and has decided something.
-fn replaced(fleet: &Fleet, leader: usize) -> Result<Duration, String> {
+fn replaced(cluster: &Cluster, leader: usize) -> Result<Duration, String> {
     wait("a new leader", || {
-        (0..fleet.shape.voters).filter(|at| *at != leader).any(|at| {
-            let status = fleet.status(at).unwrap_or_default();
+        (0..cluster.spec.voters).filter(|at| *at != leader).any(|at| {
+            let status = cluster.status(at).unwrap_or_default();
             status["leads"] == true && status["confirmed"] == true
         })
     })
 }
 
-fn takes(fleet: &Fleet, at: usize) -> bool {
-    fleet.clients.standing(at).is_some_and(|of| of.takes)
+fn accepts_clients(cluster: &Cluster, at: usize) -> bool {
+    cluster.clients.availability(at).is_some_and(|of| of.accepts_clients)
 }
 
 fn measure(nodes: usize, voters: usize, rounds: usize) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let most_out = (nodes as u32 / 4).max(1);
-    let shape = Shape {
+    let spec = ClusterSpec {
         nodes,
         voters,
         zones: 3,
@@ -97,23 +97,23 @@
         program,
         logs: std::env::var_os("RIG_LOGS").map(Into::into),
     };
-    let mut fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
-    wait("all serve", || (0..nodes).all(|at| takes(&fleet, at)))?;
-    let took = wait("all are seen to serve", || is_settled(&fleet))?;
+    let mut cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
+    wait("all serve", || (0..nodes).all(|at| accepts_clients(&cluster, at)))?;
+    let took = wait("all are seen to serve", || is_settled(&cluster))?;
     println!(
         "{nodes} nodes, {voters} voters, at most {most_out} out; founded and seen {:.1} s after all serve",
         took.as_secs_f64()
     );
     // Idle, without clients.
-    let leader = fleet.leader().ok_or("nobody leads")?;
+    let leader = cluster.leader().ok_or("nobody leads")?;
     let kinds = [
         ("leader", leader),
         ("voter", (0..voters).find(|at| *at != leader).unwrap_or(0)),
         ("member", nodes - 1),
     ];
     let look = |at: usize| {
-        let status = fleet.status(at).unwrap_or_default();
-        (said(&status), fleet.process(at).map(cost).unwrap_or_default())
+        let status = cluster.status(at).unwrap_or_default();
+        (said(&status), cluster.process(at).map(cost).unwrap_or_default())
     };
     let before: Vec<_> = kinds.iter().map(|(_, at)| look(*at)).collect();
     std::thread::sleep(Duration::from_secs(20));
@@ -127,81 +127,81 @@
             cost.1 as f64 / 1024.0
         );
     }
-    fleet.clients.come(3 * nodes as u64, 1);
+    cluster.clients.add_clients(3 * nodes as u64, 1);
     std::thread::sleep(Duration::from_secs(3));
     if voters > 2 {
         let mut times = Vec::new();
         for _ in 0..rounds {
-            let leader = fleet.leader().ok_or("nobody leads")?;
-            fleet.kill(leader);
-            times.push(replaced(&fleet, leader)?);
-            fleet.begin(leader).map_err(|fault| fault.to_string())?;
-            wait("it serves again", || takes(&fleet, leader))?;
-            wait("all are seen to serve", || is_settled(&fleet))?;
-            fleet.forgive();
+            let leader = cluster.leader().ok_or("nobody leads")?;
+            cluster.kill(leader);
+            times.push(replaced(&cluster, leader)?);
+            cluster.start_node(leader).map_err(|fault| fault.to_string())?;
+            wait("it serves again", || accepts_clients(&cluster, leader))?;
+            wait("all are seen to serve", || is_settled(&cluster))?;
+            cluster.clear_recovered();
         }
         spread("a leader is killed, until another has decided something", times);
         let mut times = Vec::new();
         for _ in 0..rounds {
-            let leader = fleet.leader().ok_or("nobody leads")?;
-            fleet.around(leader, Way::Stalled);
-            times.push(replaced(&fleet, leader)?);
-            fleet.links.heal();
-            wait("all are seen to serve", || is_settled(&fleet))?;
+            let leader = cluster.leader().ok_or("nobody leads")?;
+            cluster.set_all_links(leader, LinkFault::Stalled);
+            times.push(replaced(&cluster, leader)?);
+            cluster.links.heal();
+            wait("all are seen to serve", || is_settled(&cluster))?;
         }
         spread("all links of a leader stall, until another has decided something", times);
     }
-    // A halt, from its being ordered until the last who goes out for all that, as the front sees.
+    // A halt, from its being ordered until the last who goes out for all that, as the frontend sees.
     let plan = json!({"version": "v1", "waves": ["100%"], "watch_s": 3, "unit_limit_s": 200, "act": "drain",
                       "gates": {"most_lost": nodes, "failures_per_thousand": 1000, "busy_per_thousand": 1000}});
     let (mut times, mut answered) = (Vec::new(), Vec::new());
     for round in 0..rounds {
-        order(&fleet, "/v1/fleet/release/start", json!({"plan": plan}), &format!("start {round}"))?;
-        wait("some are out", || (0..nodes).any(|at| !takes(&fleet, at)))?;
+        order(&cluster, "/v1/fleet/release/start", json!({"plan": plan}), &format!("start {round}"))?;
+        wait("some are out", || (0..nodes).any(|at| !accepts_clients(&cluster, at)))?;
         let began = Instant::now();
-        order(&fleet, "/v1/fleet/release/halt", json!({}), &format!("halt {round}"))?;
+        order(&cluster, "/v1/fleet/release/halt", json!({}), &format!("halt {round}"))?;
         answered.push(began.elapsed());
         std::thread::sleep(Duration::from_secs(5));
         let last = (0..nodes)
-            .filter_map(|at| fleet.clients.standing(at))
-            .filter(|of| !of.takes)
+            .filter_map(|at| cluster.clients.availability(at))
+            .filter(|of| !of.accepts_clients)
             .map(|of| of.since)
             .max();
         times.push(last.map_or(Duration::ZERO, |last| last.saturating_duration_since(began)));
         // What is out is taken back, and the release is ended by its way back.
-        order(&fleet, "/v1/fleet/release/back", json!({}), &format!("back {round}"))?;
+        order(&cluster, "/v1/fleet/release/back", json!({}), &format!("back {round}"))?;
         wait("it is back", || {
-            let status = fleet.leader().and_then(|at| fleet.status(at)).unwrap_or_default();
-            status["state"]["release"]["course"] == "Finished" && is_settled(&fleet)
+            let status = cluster.leader().and_then(|at| cluster.status(at)).unwrap_or_default();
+            status["state"]["release"]["course"] == "Finished" && is_settled(&cluster)
         })?;
     }
     spread("a halt is answered", answered);
     spread("a halt holds everywhere", times);
     let mut plan = plan;
     (plan["version"], plan["act"], plan["waves"]) = ("v2".into(), "exit".into(), json!([1, "100%"]));
-    fleet.clients.count_anew();
+    cluster.clients.reset_most_out();
     let began = Instant::now();
-    order(&fleet, "/v1/fleet/release/start", json!({"plan": plan}), "release")?;
+    order(&cluster, "/v1/fleet/release/start", json!({"plan": plan}), "release")?;
     wait("the release is over", || {
-        let status = fleet.leader().and_then(|at| fleet.status(at)).unwrap_or_default();
+        let status = cluster.leader().and_then(|at| cluster.status(at)).unwrap_or_default();
         status["state"]["release"]["course"] == "Finished"
     })?;
     let took = began.elapsed();
-    let seen = fleet.clients.end();
+    let stats = cluster.clients.end();
     println!(
         "a release of all: {:.0} s, most out at once {}; {} calls answered, {} turned away, {} failed, {} moved, {} lost",
         took.as_secs_f64(),
-        seen.most_out,
-        seen.answered,
-        seen.busy,
-        seen.failed,
-        seen.moved,
-        seen.lost.len()
+        stats.most_out,
+        stats.answered,
+        stats.busy,
+        stats.failed,
+        stats.moved,
+        stats.lost.len()
     );
-    for lost in seen.lost.iter().take(5) {
+    for lost in stats.lost.iter().take(5) {
         println!("lost: {lost}");
     }
-    let badly = fleet.ended_badly();
+    let badly = cluster.failed_exits();
     if badly.is_empty() { Ok(()) } else { Err(format!("{badly:?}")) }
 }
 
--- a/crates/harness/src/bin/harness-node.rs
+++ b/crates/harness/src/bin/harness-node.rs
@@ -1,5 +1,5 @@
-//! The node as it is, on a machine whose disk does what the file named by `RIG_DISK` says (`fails`, `full`, `stalls`), and
-//! whose wall clock is `RIG_CLOCK` seconds ahead.
+//! The node as it is, on a machine whose disk does what the file named by `HARNESS_DISK` says (`fails`, `full`, `stalls`), and
+//! whose wall clock is `HARNESS_CLOCK` seconds ahead.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,17 +10,17 @@
 use glendeck_store::{Faults, Instead};
 
 #[derive(Debug)]
-struct Told {
+struct ScriptEntry {
     file: PathBuf,
 }
 
-impl Told {
+impl ScriptEntry {
     fn now(&self) -> String {
         std::fs::read_to_string(&self.file).unwrap_or_default().trim().to_owned()
     }
 }
 
-impl Faults for Told {
+impl Faults for ScriptEntry {
     fn writes(&self, _: u64, _: &[u8]) -> io::Result<Instead> {
         match self.now().as_str() {
             "full" => Err(io::Error::from_raw_os_error(28)),
@@ -43,8 +43,8 @@
 }
 
 fn main() -> ExitCode {
-    let told = std::env::var_os("RIG_DISK").map(PathBuf::from);
-    let faults = told.map(|file| Arc::new(Told { file }) as Arc<dyn Faults>);
-    let ahead_s = std::env::var("RIG_CLOCK").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let told = std::env::var_os("HARNESS_DISK").map(PathBuf::from);
+    let faults = told.map(|file| Arc::new(ScriptEntry { file }) as Arc<dyn Faults>);
+    let ahead_s = std::env::var("HARNESS_CLOCK").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     glendeck_node::run(glendeck_node::Machine { disk: faults, ahead_s })
 }
--- a/crates/harness/src/bin/takeover-bench.rs
+++ b/crates/harness/src/bin/takeover-bench.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Ended, Fleet, Shape, Workers};
+use glendeck_harness::{Cluster, ClusterSpec, KeyedClientStats, KeyedClients};
 
 const PATIENCE: Duration = Duration::from_secs(120);
 
@@ -31,41 +31,41 @@
 }
 
 /// Processor time of all nodes in ms, and frames that they sent.
-fn spent(fleet: &Fleet) -> (u64, u64) {
+fn spent(cluster: &Cluster) -> (u64, u64) {
     let cpu = |at: usize| {
-        let process = fleet.process(at)?;
+        let process = cluster.process(at)?;
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
         let rest: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = |at: usize| rest.get(at).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
         Some((ticks(11) + ticks(12)) * 10)
     };
-    let frames = |at: usize| fleet.status(at)?["links"]["frames_sent"].as_u64();
-    let nodes = 0..fleet.shape.nodes;
+    let frames = |at: usize| cluster.status(at)?["links"]["frames_sent"].as_u64();
+    let nodes = 0..cluster.spec.nodes;
     (nodes.clone().filter_map(cpu).sum(), nodes.filter_map(frames).sum())
 }
 
-fn bytes(fleet: &Fleet) -> u64 {
-    let sent = |at: usize| fleet.status(at)?["links"]["bytes_sent"].as_u64();
-    (0..fleet.shape.nodes).filter_map(sent).sum()
+fn bytes(cluster: &Cluster) -> u64 {
+    let sent = |at: usize| cluster.status(at)?["links"]["bytes_sent"].as_u64();
+    (0..cluster.spec.nodes).filter_map(sent).sum()
 }
 
-fn takes(fleet: &Fleet, at: usize) -> bool {
-    fleet.clients.standing(at).is_some_and(|of| of.takes)
+fn accepts_clients(cluster: &Cluster, at: usize) -> bool {
+    cluster.clients.availability(at).is_some_and(|of| of.accepts_clients)
 }
 
 fn measure(nodes: usize, voters: usize, kills: usize, work: bool) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
-    let shape = Shape { nodes, voters, zones: 3, hosts: 4, most_out: 1, work, program, logs };
-    let fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
-    wait("all serve", || (0..nodes).all(|at| takes(&fleet, at)))?;
-    wait("somebody leads", || fleet.leader().is_some())?;
+    let spec = ClusterSpec { nodes, voters, zones: 3, hosts: 4, most_out: 1, work, program, logs };
+    let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
+    wait("all serve", || (0..nodes).all(|at| accepts_clients(&cluster, at)))?;
+    wait("somebody leads", || cluster.leader().is_some())?;
     std::thread::sleep(REMEMBER);
-    fleet.forgive();
+    cluster.clear_recovered();
     println!("{nodes} nodes, {voters} voters, {}", if work { "with keepers" } else { "without" });
-    let before = (spent(&fleet), bytes(&fleet));
+    let before = (spent(&cluster), bytes(&cluster));
     std::thread::sleep(Duration::from_secs(10));
-    let (after, sent) = (spent(&fleet), bytes(&fleet) - before.1);
+    let (after, sent) = (spent(&cluster), bytes(&cluster) - before.1);
     let each = 10.0 * nodes as f64;
     println!(
         "idle, a second and node: {:.2} ms of processor, {:.1} frames, {:.0} bytes",
@@ -73,44 +73,45 @@
         (after.1 - before.0.1) as f64 / each,
         sent as f64 / each
     );
-    let calm = Workers::start(&fleet.clients, 30, 3);
-    let before = spent(&fleet);
+    let calm = KeyedClients::start(&cluster.clients, 30, 3);
+    let before = spent(&cluster);
     std::thread::sleep(Duration::from_secs(15));
-    let after = spent(&fleet);
+    let after = spent(&cluster);
     let ended = calm.end();
     let [referenced, once_only] = ended.first_ms;
-    let all = (ended.up + ended.released + ended.busy + ended.unanswered).max(1);
+    let all = (ended.up + ended.failed + ended.busy + ended.unanswered).max(1);
     println!(
         "calm: {} served, {} released, {} turned away; up after: referenced {}; once-only {}; {:.2} ms of processor and {:.1} frames a work",
         ended.up,
-        ended.released,
+        ended.failed,
         ended.busy,
         spread(referenced),
         spread(once_only),
         (after.0 - before.0) as f64 / all as f64,
         (after.1 - before.1) as f64 / all as f64
     );
-    let workers = Workers::start(&fleet.clients, 30, 5);
+    let keyed_clients = KeyedClients::start(&cluster.clients, 30, 5);
     std::thread::sleep(Duration::from_secs(1));
     // Works served, released and turned away in the 10 s after each kill.
-    let ends = || workers.ended.lock().map(|of| [of.up, of.released, of.busy]).unwrap_or_default();
+    let ends = || keyed_clients.stats.lock().map(|of| [of.up, of.failed, of.busy]).unwrap_or_default();
     let mut after_kills = [0; 3];
     for round in 0..kills {
         let at = (round * 7 + 1) % nodes;
-        let (before, killed) = (ends(), Instant::now());
-        fleet.kill(at);
+        let (before, was_killed) = (ends(), Instant::now());
+        cluster.kill(at);
         std::thread::sleep(Duration::from_millis(1_500));
-        fleet.begin(at).map_err(|fault| fault.to_string())?;
-        std::thread::sleep(Duration::from_secs(10).saturating_sub(killed.elapsed()));
+        cluster.start_node(at).map_err(|fault| fault.to_string())?;
+        std::thread::sleep(Duration::from_secs(10).saturating_sub(was_killed.elapsed()));
         let after = ends();
         (0..3).for_each(|of| after_kills[of] += after[of] - before[of]);
-        wait("it serves again", || takes(&fleet, at))?;
+        wait("it serves again", || accepts_clients(&cluster, at))?;
         std::thread::sleep(REMEMBER);
-        fleet.forgive();
+        cluster.clear_recovered();
     }
-    let Ended { up, released, busy, unanswered, up_again, again_ms, settled_ms, lost, .. } = workers.end();
+    let KeyedClientStats { up, failed, busy, unanswered, up_again, again_ms, settled_ms, lost, .. } =
+        keyed_clients.end();
     println!(
-        "{kills} kills: {up} served, {up_again} of them after their node was lost, {}; {released} released, {busy} turned \
+        "{kills} kills: {up} served, {up_again} of them after their node was lost, {}; {failed} released, {busy} turned \
          away, {unanswered} unanswered at their last coming, {} lost at nodes that lived",
         spread(again_ms),
         lost.len()
@@ -120,13 +121,16 @@
         settled_ms.iter().min().copied().unwrap_or(0),
         spread(settled_ms)
     );
-    let [served, released, busy] = after_kills;
-    println!("in the 10 s after each kill: {served} served, {released} released, {busy} turned away, in all");
-    let effects = fleet.effects.lock().map_err(|fault| fault.to_string())?;
-    let twice = effects.values().filter(|did| did.iter().filter(|did| did.anew).count() > 1).count();
-    println!("works done at hosts: {}, done more than once: {twice}", effects.len());
-    drop(effects);
-    let badly = fleet.ended_badly();
+    let [served, failed, busy] = after_kills;
+    println!("in the 10 s after each kill: {served} served, {failed} released, {busy} turned away, in all");
+    let executions = cluster.executions.lock().map_err(|fault| fault.to_string())?;
+    let twice = executions
+        .values()
+        .filter(|executions| executions.iter().filter(|executions| executions.had_effect).count() > 1)
+        .count();
+    println!("works done at hosts: {}, done more than once: {twice}", executions.len());
+    drop(executions);
+    let badly = cluster.failed_exits();
     if badly.is_empty() { Ok(()) } else { Err(format!("{badly:?}")) }
 }
 
--- a/crates/harness/src/bin/takeover-soak.rs
+++ b/crates/harness/src/bin/takeover-soak.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Ended, Fleet, Shape, Way, Workers};
+use glendeck_harness::{Cluster, ClusterSpec, KeyedClientStats, KeyedClients, LinkFault};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 
@@ -28,65 +28,65 @@
 }
 
 /// One fault, and its end.
-fn strike(fleet: &Fleet, chance: &mut WyRand) -> Result<&'static str, String> {
-    let mut roll = |below: u64| chance.generate_range(0..below);
+fn strike(cluster: &Cluster, rng: &mut WyRand) -> Result<&'static str, String> {
+    let mut roll = |below: u64| rng.generate_range(0..below);
     let (one, other) = (roll(NODES as u64) as usize, roll(NODES as u64) as usize);
     let short = 200 + roll(1_200);
     let long = 5_500 + roll(2_000);
-    let begin = |at: usize| fleet.begin(at).map_err(|fault| fault.to_string());
+    let start_node = |at: usize| cluster.start_node(at).map_err(|fault| fault.to_string());
     let what = match roll(11) {
         0..3 => {
-            fleet.kill(one);
+            cluster.kill(one);
             pause(short);
-            begin(one)?;
+            start_node(one)?;
             "a node killed"
         }
         3 => {
-            fleet.kill(one);
+            cluster.kill(one);
             pause(roll(400));
-            fleet.kill(other);
+            cluster.kill(other);
             pause(short);
-            begin(one)?;
-            begin(other)?;
+            start_node(one)?;
+            start_node(other)?;
             "two nodes killed"
         }
         4 => {
-            fleet.signal(one, Signal::STOP);
+            cluster.signal(one, Signal::STOP);
             pause(short);
-            fleet.signal(one, Signal::CONT);
+            cluster.signal(one, Signal::CONT);
             "a node stopped for a second"
         }
         5 => {
-            fleet.signal(one, Signal::STOP);
+            cluster.signal(one, Signal::STOP);
             pause(long);
-            fleet.signal(one, Signal::CONT);
+            cluster.signal(one, Signal::CONT);
             "a node stopped for longer than a verdict takes"
         }
         6 => {
-            fleet.around(one, Way::Cut);
+            cluster.set_all_links(one, LinkFault::Cut);
             pause(if roll(2) == 0 { short } else { long });
-            fleet.links.heal();
+            cluster.links.heal();
             "a node cut off from its peers"
         }
         9 => {
             for at in (0..NODES).filter(|at| *at != one) {
-                fleet.links.set(at, one, Way::Cut);
+                cluster.links.set(at, one, LinkFault::Cut);
             }
             pause(long);
-            fleet.links.heal();
+            cluster.links.heal();
             "a node that hears no peer"
         }
         7 | 8 => {
-            fleet.around(one, Way::Garbled);
-            fleet.around(other, Way::Garbled);
+            cluster.set_all_links(one, LinkFault::Garbled);
+            cluster.set_all_links(other, LinkFault::Garbled);
             pause(long);
-            fleet.links.heal();
+            cluster.links.heal();
             "two nodes' links turn bits over"
         }
         _ => {
-            fleet.around(one, if roll(2) == 0 { Way::Slow } else { Way::Stalled });
+            cluster.set_all_links(one, if roll(2) == 0 { LinkFault::Slow } else { LinkFault::Stalled });
             pause(2_000 + roll(3_000));
-            fleet.links.heal();
+            cluster.links.heal();
             "a node's links slow or stalled"
         }
     };
@@ -97,13 +97,13 @@
 struct Day {
     faults: Vec<&'static str>,
     works: usize,
-    ended: Ended,
+    ended: KeyedClientStats,
     wrong: Vec<String>,
 }
 
 fn play(rounds: usize, seed: u64) -> Result<Day, String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
-    let shape = Shape {
+    let spec = ClusterSpec {
         nodes: NODES,
         voters: VOTERS,
         zones: 3,
@@ -113,31 +113,33 @@
         program,
         logs: std::env::var_os("RIG_LOGS").map(|logs| std::path::PathBuf::from(logs).join(seed.to_string())),
     };
-    let fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
-    let serve = || (0..NODES).all(|at| fleet.clients.standing(at).is_some_and(|of| of.takes));
+    let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
+    let serve = || (0..NODES).all(|at| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients));
     wait("all serve", serve)?;
-    wait("somebody leads", || fleet.leader().is_some())?;
-    fleet.forgive();
-    let workers = Workers::start(&fleet.clients, 12, seed);
-    let mut chance = WyRand::new_seed(seed);
+    wait("somebody leads", || cluster.leader().is_some())?;
+    cluster.clear_recovered();
+    let keyed_clients = KeyedClients::start(&cluster.clients, 12, seed);
+    let mut rng = WyRand::new_seed(seed);
     let mut played = Vec::new();
     for _ in 0..rounds {
-        played.push(strike(&fleet, &mut chance)?);
+        played.push(strike(&cluster, &mut rng)?);
         wait("all serve", serve)?;
-        let until = Instant::now() + Duration::from_millis(1_200 + chance.generate_range(0..2_000));
+        let until = Instant::now() + Duration::from_millis(1_200 + rng.generate_range(0..2_000));
         while Instant::now() < until {
-            fleet.forgive();
+            cluster.clear_recovered();
             pause(50);
         }
     }
-    let ended = workers.end();
-    let effects = fleet.effects.lock().map_err(|fault| fault.to_string())?;
-    let twice = effects.iter().filter(|(_, did)| did.iter().filter(|did| did.anew).count() > 1);
+    let ended = keyed_clients.end();
+    let executions = cluster.executions.lock().map_err(|fault| fault.to_string())?;
+    let twice = executions
+        .iter()
+        .filter(|(_, executions)| executions.iter().filter(|executions| executions.had_effect).count() > 1);
     let mut wrong: Vec<String> =
-        twice.map(|(work, did)| format!("{work} done more than once: {did:?}")).collect();
+        twice.map(|(work, executions)| format!("{work} done more than once: {executions:?}")).collect();
     wrong.extend(ended.lost.iter().cloned());
-    wrong.extend(fleet.ended_badly());
-    Ok(Day { faults: played, works: effects.len(), ended, wrong })
+    wrong.extend(cluster.failed_exits());
+    Ok(Day { faults: played, works: executions.len(), ended, wrong })
 }
 
 fn main() -> ExitCode {
@@ -153,7 +155,7 @@
         days.into_iter().map(|day| day.join().unwrap_or_else(|_| Err("it panicked".into()))).collect()
     });
     let mut kinds = std::collections::BTreeMap::new();
-    let (mut works, mut sum, mut sound) = (0, Ended::default(), true);
+    let (mut works, mut sum, mut sound) = (0, KeyedClientStats::default(), true);
     for (at, day) in played.into_iter().enumerate() {
         match day {
             Ok(Day { faults, works: done, ended, wrong }) => {
@@ -161,7 +163,7 @@
                 works += done;
                 sum.up += ended.up;
                 sum.up_again += ended.up_again;
-                sum.released += ended.released;
+                sum.failed += ended.failed;
                 sum.busy += ended.busy;
                 sum.unanswered += ended.unanswered;
                 sound &= wrong.is_empty();
@@ -176,7 +178,7 @@
     println!("{} faults: {kinds:?}", kinds.values().sum::<u32>());
     println!(
         "{works} works at hosts; {} served, {} of them after a loss, {} released, {} turned away, {} without an answer",
-        sum.up, sum.up_again, sum.released, sum.busy, sum.unanswered
+        sum.up, sum.up_again, sum.failed, sum.busy, sum.unanswered
     );
     if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/harness/src/bin/warm-state-bench.rs
+++ b/crates/harness/src/bin/warm-state-bench.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Agencies, Fleet, Shape};
+use glendeck_harness::{Cluster, ClusterSpec, GroupedClients};
 
 fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), String> {
     let until = Instant::now() + Duration::from_secs(60);
@@ -21,43 +21,48 @@
 fn measure(nodes: usize, voters: usize, hosts: usize, kills: usize, work: bool) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
-    let shape = Shape { nodes, voters, zones: 1, hosts, most_out: 1, work, program, logs };
-    let fleet = Fleet::start(shape).map_err(|fault| fault.to_string())?;
-    let takes = |at: usize| fleet.clients.standing(at).is_some_and(|of| of.takes);
-    wait("all serve", || (0..nodes).all(takes))?;
-    wait("somebody leads", || fleet.leader().is_some())?;
+    let spec = ClusterSpec { nodes, voters, zones: 1, hosts, most_out: 1, work, program, logs };
+    let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
+    let accepts_clients = |at: usize| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients);
+    wait("all serve", || (0..nodes).all(accepts_clients))?;
+    wait("somebody leads", || cluster.leader().is_some())?;
     let (count, groups) = (24 * nodes as u64, 4 * hosts as u64);
-    let agencies = Agencies::start(&fleet.clients, &fleet.homes, count, groups, 5);
-    wait("all are up", || agencies.up() == count)?;
+    let grouped_clients = GroupedClients::start(&cluster.clients, &cluster.groups, count, groups, 5);
+    wait("all are up", || grouped_clients.open() == count)?;
     std::thread::sleep(Duration::from_secs(8));
     let bytes = || -> u64 {
         let sent =
-            |at: usize| fleet.status(at).and_then(|of| of["links"]["bytes_sent"].as_u64()).unwrap_or(0);
+            |at: usize| cluster.status(at).and_then(|of| of["links"]["bytes_sent"].as_u64()).unwrap_or(0);
         (0..nodes).map(sent).sum()
     };
     let before = bytes();
     std::thread::sleep(Duration::from_secs(5));
     let a_second = (bytes() - before) / 5 / nodes as u64;
-    let homes =
-        || fleet.homes.lock().map(|homes| (homes.again, homes.home, homes.pairs())).unwrap_or_default();
+    let group_counts = || {
+        cluster
+            .groups
+            .lock()
+            .map(|groups| (groups.reconnected, groups.reconnected_to_group, groups.pairs()))
+            .unwrap_or_default()
+    };
     let (mut again, mut home, mut paid) = (0, 0, 0i64);
     for round in 0..kills {
-        let before = homes();
+        let before = group_counts();
         let at = round % nodes;
-        fleet.kill(at);
-        wait("all are up again", || agencies.up() == count)?;
+        cluster.kill(at);
+        wait("all are up again", || grouped_clients.open() == count)?;
         std::thread::sleep(Duration::from_secs(2));
-        let after = homes();
+        let after = group_counts();
         (again, home) = (again + after.0 - before.0, home + after.1 - before.1);
         paid += after.2 as i64 - before.2 as i64;
-        fleet.begin(at).map_err(|fault| fault.to_string())?;
-        wait("it serves again", || takes(at))?;
+        cluster.start_node(at).map_err(|fault| fault.to_string())?;
+        wait("it serves again", || accepts_clients(at))?;
         std::thread::sleep(Duration::from_secs(6));
-        fleet.forgive();
+        cluster.clear_recovered();
     }
-    agencies.end();
-    let seen = agencies.seen.lock().map_err(|fault| fault.to_string())?;
-    let mut back = seen.back_ms.clone();
+    grouped_clients.end();
+    let stats = grouped_clients.stats.lock().map_err(|fault| fault.to_string())?;
+    let mut back = stats.back_ms.clone();
     back.sort_unstable();
     let at = |part: f64| back.get((back.len() as f64 * part) as usize).or(back.last()).copied().unwrap_or(0);
     println!(
@@ -68,9 +73,9 @@
         home as f64 / again.max(1) as f64,
         at(0.5),
         at(0.99),
-        seen.broke,
-        seen.moved,
-        seen.turned_away,
+        stats.broke,
+        stats.moved,
+        stats.rejected,
     );
     Ok(())
 }
--- a/crates/harness/src/fleet.rs
+++ b/crates/harness/src/cluster.rs
@@ -13,11 +13,13 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-use crate::agencies::Homes;
 use crate::clients::Clients;
-use crate::errands::Wishes;
-use crate::links::{Links, Way};
-use crate::stand_ins::{Attempts, Book, Effects, Host, List, WINDOW_MS};
+use crate::fake_discovery::FakeDiscovery;
+use crate::fake_host::{FakeHost, KEY_WINDOW_MS};
+use crate::grouped_clients::SharedGroupObservations;
+use crate::links::{LinkFault, Links};
+use crate::observations::{Attempts, Executions, Observations};
+use crate::scripted_clients::HostScript;
 use crate::{reserve, spawn};
 
 static RUNS: AtomicU32 = AtomicU32::new(0);
@@ -27,7 +29,7 @@
 
 /// What is to be started.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterSpec {
     pub nodes: usize,
     pub voters: usize,
     pub zones: usize,
@@ -36,7 +38,7 @@
     pub most_out: u32,
     /// Work in hand outlives its node.
     pub work: bool,
-    /// The program, which takes `RIG_DISK` if its disk is to fail.
+    /// The program, which takes `HARNESS_DISK` if its disk is to fail.
     pub program: PathBuf,
     /// What nodes log goes there, one file each; nowhere if none.
     pub logs: Option<PathBuf>,
@@ -46,37 +48,37 @@
     child: Option<Child>,
     version: String,
     /// Nobody starts it again.
-    held: bool,
+    is_held_down: bool,
     starts: u32,
-    /// Set while the rig kills it: its end is no exit of its own.
-    killed: bool,
+    /// Set while the harness kills it: its end is no exit of its own.
+    was_killed: bool,
     /// Seconds that its next process's wall clock is ahead.
     ahead_s: i64,
-    ended_badly: Option<String>,
+    failed_exits: Option<String>,
 }
 
 type Nodes = Arc<Mutex<Vec<Node>>>;
 
-/// An answer at a door: its status and body.
-pub type Reply = (u16, Value);
+/// An answer at a admin interface: its status and body.
+pub type AdminReply = (u16, Value);
 
-pub struct Fleet {
-    pub shape: Shape,
+pub struct Cluster {
+    pub spec: ClusterSpec,
     pub clients: Clients,
     pub links: Links,
     attempts: Attempts,
     /// What hosts did for each work that is not to be done twice.
-    pub effects: Effects,
+    pub executions: Executions,
     /// What hosts saw of clients' groups.
-    pub homes: Homes,
+    pub groups: SharedGroupObservations,
     /// What hosts are told to do with single works.
-    pub wishes: Wishes,
+    pub host_script: HostScript,
     nodes: Nodes,
-    doors: Vec<SocketAddr>,
+    admin_addresses: Vec<SocketAddr>,
     folder: PathBuf,
     _reserved: Vec<OwnedFd>,
-    pub hosts: Vec<Host>,
-    pub list: List,
+    pub hosts: Vec<FakeHost>,
+    pub list: FakeDiscovery,
 }
 
 fn settings(nodes: usize, me: usize) -> Value {
@@ -93,55 +95,54 @@
                           "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0},
                          {"name": "pay", "effect": "fragile", "group": "all", "windowMs": 5000.0,
                           "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0},
-                         {"name": "edit", "effect": "dedup", "group": "cell", "windowMs": WINDOW_MS,
+                         {"name": "edit", "effect": "dedup", "group": "cell", "windowMs": KEY_WINDOW_MS,
                           "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0}],
     })
 }
 
-fn policy(shape: &Shape) -> String {
+fn policy(spec: &ClusterSpec) -> String {
     let mut text = String::from("group = \"rig\"\nvoters = [");
-    text += &(0..shape.voters).map(|at| format!("\"n{at}\"")).collect::<Vec<_>>().join(", ");
+    text += &(0..spec.voters).map(|at| format!("\"n{at}\"")).collect::<Vec<_>>().join(", ");
     text += &format!(
         "]\n\n[limits.fleet]\nmost_out = {}\n\n[hosts.limits.fleet]\nmost_out = 1\n\n[units]\n",
-        shape.most_out
+        spec.most_out
     );
-    if shape.work {
+    if spec.work {
         text = text.replace("[units]", "[work]\nrecall_s = 6\n\n[units]");
     }
-    for at in 0..shape.nodes {
+    for at in 0..spec.nodes {
         text +=
-            &format!("n{at} = {{ zone = \"z{}\", cell = \"\", kind = \"node\" }}\n", at % shape.zones.max(1));
+            &format!("n{at} = {{ zone = \"z{}\", cell = \"\", kind = \"node\" }}\n", at % spec.zones.max(1));
     }
     text
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts all processes, their peers and their front.
     ///
     /// # Errors
     /// Sockets, files or processes that the system does not grant.
-    pub fn start(shape: Shape) -> std::io::Result<Fleet> {
+    pub fn start(spec: ClusterSpec) -> std::io::Result<Cluster> {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("glendeck-harness-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("fleet.toml"), policy(&shape))?;
-        let book = Book::default();
-        let hosts = (0..shape.hosts).map(|at| Host::start(&format!("h{at}"), at % 2, &book));
+        std::fs::write(folder.join("fleet.toml"), policy(&spec))?;
+        let observations = Observations::default();
+        let hosts = (0..spec.hosts).map(|at| FakeHost::start(&format!("h{at}"), at % 2, &observations));
         let hosts = hosts.collect::<Result<Vec<_>, _>>()?;
-        let list = List::start(&hosts)?;
+        let list = FakeDiscovery::start(&hosts)?;
         let (mut reserved, mut places) = (Vec::new(), Vec::new());
-        for _ in 0..shape.nodes {
+        for _ in 0..spec.nodes {
             let place = [reserve()?, reserve()?, reserve()?];
             places.push([place[0].1, place[1].1, place[2].1]);
             reserved.extend(place.map(|(fd, _)| fd));
         }
         let links = Links::default();
-        for at in 0..shape.nodes {
+        for at in 0..spec.nodes {
             let [listen, door, peers_at] = places[at];
             let mut peers = BTreeMap::new();
             // Any node may come to hold a seat, but dials none that does not.
-            let dialled =
-                (0..shape.nodes).filter(|to| *to != at && (*to < shape.voters || shape.nodes <= 12));
+            let dialled = (0..spec.nodes).filter(|to| *to != at && (*to < spec.voters || spec.nodes <= 12));
             for to in dialled {
                 peers.insert(format!("n{to}"), links.between(at, to, places[to][2])?.to_string());
             }
@@ -151,8 +152,8 @@
             let config = json!({
                 "name": format!("n{at}"), "listen": listen.to_string(), "admin": door.to_string(),
                 "seed": format!("{:016x}", at + 1), "discovery": list.address.to_string(),
-                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024 + 4 * shape.nodes}, "known": null,
-                "settings": settings(shape.nodes, at),
+                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024 + 4 * spec.nodes}, "known": null,
+                "settings": settings(spec.nodes, at),
                 "fleet": {"listen": peers_at.to_string(), "peers": peers, "version": "v1",
                           "folder": of.join("store"), "charter": folder.join("fleet.toml")},
             });
@@ -161,37 +162,37 @@
         let fresh = |_| Node {
             child: None,
             version: "v1".into(),
-            held: false,
+            is_held_down: false,
             starts: 0,
-            killed: false,
+            was_killed: false,
             ahead_s: 0,
-            ended_badly: None,
+            failed_exits: None,
         };
-        let fleet = Fleet {
+        let cluster = Cluster {
             clients: Clients::start(places.iter().map(|place| place[0]).collect()),
             links,
-            attempts: book.attempts,
-            effects: book.effects,
-            homes: book.homes,
-            wishes: book.wishes,
-            nodes: Arc::new(Mutex::new((0..shape.nodes).map(fresh).collect())),
-            doors: places.iter().map(|place| place[1]).collect(),
+            attempts: observations.attempts,
+            executions: observations.executions,
+            groups: observations.groups,
+            host_script: observations.host_script,
+            nodes: Arc::new(Mutex::new((0..spec.nodes).map(fresh).collect())),
+            admin_addresses: places.iter().map(|place| place[1]).collect(),
             folder,
             _reserved: reserved,
             hosts,
             list,
-            shape,
+            spec,
         };
-        for at in 0..fleet.shape.nodes {
-            fleet.begin(at)?;
+        for at in 0..cluster.spec.nodes {
+            cluster.start_node(at)?;
         }
-        fleet.supervise();
-        Ok(fleet)
+        cluster.supervise();
+        Ok(cluster)
     }
 
     /// Starts what has exited by itself, as the word that it left says.
     fn supervise(&self) {
-        let (nodes, folder, shape) = (self.nodes.clone(), self.folder.clone(), self.shape.clone());
+        let (nodes, folder, spec) = (self.nodes.clone(), self.folder.clone(), self.spec.clone());
         spawn(move || {
             loop {
                 std::thread::sleep(Duration::from_millis(50));
@@ -206,10 +207,10 @@
                         continue;
                     };
                     node.child = None;
-                    if !status.success() && !node.killed {
-                        node.ended_badly = Some(format!("n{at} ended with {status}"));
+                    if !status.success() && !node.was_killed {
+                        node.failed_exits = Some(format!("n{at} ended with {status}"));
                     }
-                    if node.held {
+                    if node.is_held_down {
                         continue;
                     }
                     let word = std::fs::read_to_string(folder.join(format!("n{at}/store/wanted")));
@@ -217,7 +218,7 @@
                         node.version = version.trim().to_owned();
                     }
                     std::thread::sleep(START_AGAIN);
-                    let _ = launch(&shape, &folder, at, node);
+                    let _ = launch(&spec, &folder, at, node);
                 }
             }
         });
@@ -227,50 +228,50 @@
     ///
     /// # Errors
     /// The system grants no process.
-    pub fn begin(&self, at: usize) -> std::io::Result<()> {
+    pub fn start_node(&self, at: usize) -> std::io::Result<()> {
         let Ok(mut nodes) = self.nodes.lock() else { return Ok(()) };
         let node = &mut nodes[at];
-        node.held = false;
+        node.is_held_down = false;
         if node.child.is_none() {
-            launch(&self.shape, &self.folder, at, node)?;
+            launch(&self.spec, &self.folder, at, node)?;
         }
         drop(nodes);
         Ok(())
     }
 
-    /// The rig harms it from here on: it counts neither as out nor for what breaks there, until it has served for a
+    /// The harness harms it from here on: it counts neither as out nor for what breaks there, until it has served for a
     /// second again.
-    fn harm(&self, at: usize) {
-        if let Ok(mut harmed) = self.clients.harmed.lock() {
-            harmed.insert(at, Instant::now());
+    fn mark_disrupted(&self, at: usize) {
+        if let Ok(mut disrupted) = self.clients.disrupted.lock() {
+            disrupted.insert(at, Instant::now());
         }
     }
 
     /// Nodes that serve again count again.
-    pub fn forgive(&self) {
-        let Ok(mut harmed) = self.clients.harmed.lock() else { return };
-        let well: Vec<usize> = harmed
+    pub fn clear_recovered(&self) {
+        let Ok(mut disrupted) = self.clients.disrupted.lock() else { return };
+        let well: Vec<usize> = disrupted
             .iter()
             .filter(|(at, since)| {
                 let long = Duration::from_secs(1);
-                let taking = |of: &crate::clients::Standing| {
-                    of.takes && of.since.elapsed() >= long && of.since > **since
+                let taking = |of: &crate::clients::NodeAvailability| {
+                    of.accepts_clients && of.since.elapsed() >= long && of.since > **since
                 };
-                self.clients.standing(**at).as_ref().is_some_and(taking)
+                self.clients.availability(**at).as_ref().is_some_and(taking)
             })
             .map(|(at, _)| *at)
             .collect();
         for at in well {
-            harmed.remove(&at);
+            disrupted.remove(&at);
         }
     }
 
     /// Kills it outright; it stays down.
     pub fn kill(&self, at: usize) {
-        self.harm(at);
+        self.mark_disrupted(at);
         let Ok(mut nodes) = self.nodes.lock() else { return };
         let node = &mut nodes[at];
-        (node.held, node.killed) = (true, true);
+        (node.is_held_down, node.was_killed) = (true, true);
         if let Some(mut child) = node.child.take() {
             let _ = (child.kill(), child.wait());
         }
@@ -278,7 +279,7 @@
 
     pub fn signal(&self, at: usize, signal: Signal) {
         if signal != Signal::CONT {
-            self.harm(at);
+            self.mark_disrupted(at);
         }
         let Ok(nodes) = self.nodes.lock() else { return };
         if let Some(child) = &nodes[at].child {
@@ -294,10 +295,10 @@
     ///
     /// # Errors
     /// The word cannot be written.
-    pub fn disk(&self, at: usize, does: &str) -> std::io::Result<()> {
+    pub fn disk(&self, at: usize, execute: &str) -> std::io::Result<()> {
         let (fresh, file) =
             (self.folder.join(format!("n{at}/disk.new")), self.folder.join(format!("n{at}/disk")));
-        std::fs::write(&fresh, does)?;
+        std::fs::write(&fresh, execute)?;
         std::fs::rename(fresh, file)
     }
 
@@ -310,10 +311,10 @@
     }
 
     /// All links to and from it.
-    pub fn around(&self, at: usize, way: Way) {
-        for other in (0..self.shape.nodes).filter(|other| *other != at) {
-            self.links.set(at, other, way);
-            self.links.set(other, at, way);
+    pub fn set_all_links(&self, at: usize, fault: LinkFault) {
+        for other in (0..self.spec.nodes).filter(|other| *other != at) {
+            self.links.set(at, other, fault);
+            self.links.set(other, at, fault);
         }
     }
 
@@ -333,12 +334,12 @@
         self.nodes.lock().ok()?.get(at)?.child.as_ref().map(Child::id)
     }
 
-    /// One call at a node's door.
+    /// One call at a node's admin interface.
     ///
     /// # Errors
-    /// The door is not there, or says what is no answer.
-    pub fn call(&self, at: usize, method: &str, path: &str, body: &Value) -> std::io::Result<Reply> {
-        let mut stream = TcpStream::connect_timeout(&self.doors[at], Duration::from_secs(1))?;
+    /// The admin interface is not there, or says what is no answer.
+    pub fn call(&self, at: usize, method: &str, path: &str, body: &Value) -> std::io::Result<AdminReply> {
+        let mut stream = TcpStream::connect_timeout(&self.admin_addresses[at], Duration::from_secs(1))?;
         stream.set_read_timeout(Some(Duration::from_secs(3)))?;
         let body = if body.is_null() { String::new() } else { body.to_string() };
         write!(
@@ -356,7 +357,7 @@
 
     /// Where a node's operators call.
     pub fn admin_address(&self, at: usize) -> SocketAddr {
-        self.doors[at]
+        self.admin_addresses[at]
     }
 
     /// What a node says of the fleet, and whether the group has confirmed it.
@@ -366,7 +367,7 @@
 
     /// Who says that it leads, confirmed by the group.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.shape.nodes).find(|at| {
+        (0..self.spec.nodes).find(|at| {
             let status = self.status(*at).unwrap_or_default();
             status["leads"] == true && status["confirmed"] == true
         })
@@ -378,21 +379,21 @@
     }
 
     /// Processes that ended with an error, and were not killed.
-    pub fn ended_badly(&self) -> Vec<String> {
+    pub fn failed_exits(&self) -> Vec<String> {
         self.nodes
             .lock()
-            .map(|nodes| nodes.iter().filter_map(|node| node.ended_badly.clone()).collect())
+            .map(|nodes| nodes.iter().filter_map(|node| node.failed_exits.clone()).collect())
             .unwrap_or_default()
     }
 }
 
-fn launch(shape: &Shape, folder: &Path, at: usize, node: &mut Node) -> std::io::Result<()> {
+fn launch(spec: &ClusterSpec, folder: &Path, at: usize, node: &mut Node) -> std::io::Result<()> {
     let of = folder.join(format!("n{at}"));
-    let mut command = Command::new(&shape.program);
+    let mut command = Command::new(&spec.program);
     for key in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_ADMIN"] {
         command.env_remove(key);
     }
-    let log = match &shape.logs {
+    let log = match &spec.logs {
         Some(logs) => {
             std::fs::create_dir_all(logs)?;
             let file = std::fs::OpenOptions::new()
@@ -405,15 +406,15 @@
     };
     command.env("ROUTER_CONFIG", of.join("node.json")).env("TMPDIR", of.join("tmp"));
     let ahead_s = node.ahead_s * i64::from(node.starts + 1);
-    command.env("RIG_CLOCK", ahead_s.to_string());
-    command.env("ROUTER_FLEET_VERSION", &node.version).env("RIG_DISK", of.join("disk"));
+    command.env("HARNESS_CLOCK", ahead_s.to_string());
+    command.env("ROUTER_FLEET_VERSION", &node.version).env("HARNESS_DISK", of.join("disk"));
     node.child = Some(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?);
     node.starts += 1;
-    node.killed = false;
+    node.was_killed = false;
     Ok(())
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         if let Ok(mut nodes) = self.nodes.lock() {
             for node in nodes.iter_mut() {
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,21 +1,27 @@
-//! For development: a fleet of real processes on loopback. Hosts, the list's service, the front and its clients are
+//! For development: a fleet of real processes on loopback. Hosts, the list's service, the frontend and its clients are
 //! stand-ins; a proxy sits on every link between nodes. What is true is judged by what the stand-ins saw.
 
-mod agencies;
 mod clients;
-mod errands;
-mod fleet;
+mod cluster;
+mod fake_discovery;
+mod fake_host;
+mod grouped_clients;
+mod keyed_clients;
 mod links;
-mod stand_ins;
-mod workers;
+mod observations;
+mod scripted_clients;
 
-pub use agencies::{Agencies, Groups};
-pub use clients::{Clients, Seen};
-pub use errands::{Errands, Heard, Wish};
-pub use fleet::{Fleet, Reply, Shape};
-pub use links::{Links, Way};
-pub use stand_ins::{Did, Effects, Host, List};
-pub use workers::{Ended, Workers, kind_of};
+pub use clients::{ClientStats, Clients};
+pub use cluster::{AdminReply, Cluster, ClusterSpec};
+pub use fake_discovery::FakeDiscovery;
+pub use fake_host::FakeHost;
+pub use grouped_clients::{GroupObservations, GroupedClients};
+pub use keyed_clients::{KeyedClientStats, KeyedClients, class_of};
+pub use links::{LinkFault, Links};
+pub use observations::{Execution, Executions};
+pub use scripted_clients::{ClientAnswer, HostBehaviour, ScriptedClients};
+
+use std::time::Duration;
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -23,8 +29,12 @@
 use rustix::net;
 use rustix::net::sockopt;
 
-/// An address that stays this run's own: bound and never listened at. Danger: nodes share their port, so one that was
-/// only free a moment ago may be another run's by now.
+/// How long a client waits for its answer, and how much later an answer still counts.
+pub(crate) const CALL_DEADLINE: Duration = Duration::from_millis(1_500);
+pub(crate) const LATE_ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+
+/// Reserves an address for this run: it is bound and never listened at. Nodes share their port with their successors, so
+/// one that was only free a moment ago may belong to another run by now.
 pub(crate) fn reserve() -> std::io::Result<(OwnedFd, SocketAddr)> {
     let fd = net::socket(net::AddressFamily::INET, net::SocketType::STREAM, None)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
--- a/crates/harness/src/links.rs
+++ b/crates/harness/src/links.rs
@@ -15,7 +15,7 @@
 /// What becomes of bytes in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Way {
+pub enum LinkFault {
     Open,
     /// They vanish, and nobody is told.
     Cut,
@@ -32,32 +32,39 @@
 /// Of so many pieces one has a bit turned over: a voter's link carries some five a second.
 const GARBLES: u64 = 20;
 
-impl Way {
-    fn of(number: u8) -> Way {
-        [Way::Open, Way::Cut, Way::Stalled, Way::Slow, Way::Trickle, Way::Garbled][usize::from(number).min(5)]
+impl LinkFault {
+    fn of(number: u8) -> LinkFault {
+        [
+            LinkFault::Open,
+            LinkFault::Cut,
+            LinkFault::Stalled,
+            LinkFault::Slow,
+            LinkFault::Trickle,
+            LinkFault::Garbled,
+        ][usize::from(number).min(5)]
     }
 }
 
 /// One direction between two nodes, whoever of them dialled.
-struct Lane {
+struct LinkDirection {
     way: AtomicU8,
     /// Rises when connections over it are to be reset.
     resets: AtomicU32,
 }
 
-type Lanes = Arc<Mutex<BTreeMap<(usize, usize), Arc<Lane>>>>;
+type LinkDirections = Arc<Mutex<BTreeMap<(usize, usize), Arc<LinkDirection>>>>;
 
 #[derive(Clone, Default)]
 pub struct Links {
-    lanes: Lanes,
+    directions: LinkDirections,
     dials: Arc<AtomicU64>,
 }
 
 impl Links {
-    fn lane(&self, from: usize, to: usize) -> Arc<Lane> {
-        let fresh = || Arc::new(Lane { way: AtomicU8::new(0), resets: AtomicU32::new(0) });
-        match self.lanes.lock() {
-            Ok(mut lanes) => lanes.entry((from, to)).or_insert_with(fresh).clone(),
+    fn direction(&self, from: usize, to: usize) -> Arc<LinkDirection> {
+        let fresh = || Arc::new(LinkDirection { way: AtomicU8::new(0), resets: AtomicU32::new(0) });
+        match self.directions.lock() {
+            Ok(mut directions) => directions.entry((from, to)).or_insert_with(fresh).clone(),
             Err(_) => fresh(),
         }
     }
@@ -69,7 +76,7 @@
     pub fn between(&self, from: usize, to: usize, address: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = loopback()?;
         let at = listener.local_addr()?;
-        let (there, back, dials) = (self.lane(from, to), self.lane(to, from), self.dials.clone());
+        let (there, back, dials) = (self.direction(from, to), self.direction(to, from), self.dials.clone());
         spawn(move || {
             for near in listener.incoming().flatten() {
                 dials.fetch_add(1, Ordering::Relaxed);
@@ -78,10 +85,10 @@
                     let _ = set_socket_linger(&near, Some(Duration::ZERO));
                     continue;
                 };
-                for (from, to, lane) in [(&near, &far, &there), (&far, &near, &back)] {
+                for (from, to, direction) in [(&near, &far, &there), (&far, &near, &back)] {
                     if let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) {
-                        let lane = lane.clone();
-                        spawn(move || pump(from, to, &lane));
+                        let direction = direction.clone();
+                        spawn(move || pump(from, to, &direction));
                     }
                 }
             }
@@ -94,48 +101,48 @@
         self.dials.load(Ordering::Relaxed)
     }
 
-    pub fn set(&self, from: usize, to: usize, way: Way) {
-        let lane = self.lane(from, to);
-        let before = Way::of(lane.way.swap(way as u8, Ordering::Relaxed));
+    pub fn set(&self, from: usize, to: usize, way: LinkFault) {
+        let direction = self.direction(from, to);
+        let before = LinkFault::of(direction.way.swap(way as u8, Ordering::Relaxed));
         // What has vanished leaves half a frame behind: such a connection is of no use any more.
-        if before == Way::Cut && way != Way::Cut {
-            lane.resets.fetch_add(1, Ordering::Relaxed);
+        if before == LinkFault::Cut && way != LinkFault::Cut {
+            direction.resets.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     pub fn reset(&self, from: usize, to: usize) {
-        self.lane(from, to).resets.fetch_add(1, Ordering::Relaxed);
+        self.direction(from, to).resets.fetch_add(1, Ordering::Relaxed);
     }
 
     /// All is as it was.
     pub fn heal(&self) {
         let all: Vec<(usize, usize)> =
-            self.lanes.lock().map(|lanes| lanes.keys().copied().collect()).unwrap_or_default();
+            self.directions.lock().map(|directions| directions.keys().copied().collect()).unwrap_or_default();
         for (from, to) in all {
-            self.set(from, to, Way::Open);
+            self.set(from, to, LinkFault::Open);
         }
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, lane: &Lane) {
-    let resets = lane.resets.load(Ordering::Relaxed);
+fn pump(mut from: TcpStream, mut to: TcpStream, direction: &LinkDirection) {
+    let resets = direction.resets.load(Ordering::Relaxed);
     let _ = (from.set_read_timeout(Some(Duration::from_millis(20))), to.set_nodelay(true));
     let mut buffer = [0; 16 << 10];
-    let mut chance = WyRand::new_seed(from.peer_addr().map_or(1, |of| u64::from(of.port())));
+    let mut rng = WyRand::new_seed(from.peer_addr().map_or(1, |of| u64::from(of.port())));
     loop {
-        if lane.resets.load(Ordering::Relaxed) != resets {
+        if direction.resets.load(Ordering::Relaxed) != resets {
             for stream in [&from, &to] {
                 let _ = set_socket_linger(stream, Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Both);
             }
             return;
         }
-        let way = Way::of(lane.way.load(Ordering::Relaxed));
-        if way == Way::Stalled {
+        let way = LinkFault::of(direction.way.load(Ordering::Relaxed));
+        if way == LinkFault::Stalled {
             std::thread::sleep(Duration::from_millis(10));
             continue;
         }
-        let most = if way == Way::Trickle { 16 } else { buffer.len() };
+        let most = if way == LinkFault::Trickle { 16 } else { buffer.len() };
         match from.read(&mut buffer[..most]) {
             Ok(0) => {
                 let _ = to.shutdown(Shutdown::Write);
@@ -143,19 +150,19 @@
             }
             Ok(n) => {
                 // Danger: it may have waited here since before the fault.
-                let mut way = Way::of(lane.way.load(Ordering::Relaxed));
-                while way == Way::Stalled && lane.resets.load(Ordering::Relaxed) == resets {
+                let mut way = LinkFault::of(direction.way.load(Ordering::Relaxed));
+                while way == LinkFault::Stalled && direction.resets.load(Ordering::Relaxed) == resets {
                     std::thread::sleep(Duration::from_millis(10));
-                    way = Way::of(lane.way.load(Ordering::Relaxed));
+                    way = LinkFault::of(direction.way.load(Ordering::Relaxed));
                 }
                 match way {
-                    Way::Cut => continue,
-                    Way::Slow => std::thread::sleep(Duration::from_millis(200)),
-                    Way::Trickle => std::thread::sleep(Duration::from_millis(2)),
-                    Way::Garbled if chance.generate_range(0..GARBLES) == 0 => {
-                        buffer[chance.generate_range(0..n)] ^= 1 << chance.generate_range(0..8_u32);
+                    LinkFault::Cut => continue,
+                    LinkFault::Slow => std::thread::sleep(Duration::from_millis(200)),
+                    LinkFault::Trickle => std::thread::sleep(Duration::from_millis(2)),
+                    LinkFault::Garbled if rng.generate_range(0..GARBLES) == 0 => {
+                        buffer[rng.generate_range(0..n)] ^= 1 << rng.generate_range(0..8_u32);
                     }
-                    Way::Open | Way::Stalled | Way::Garbled => {}
+                    LinkFault::Open | LinkFault::Stalled | LinkFault::Garbled => {}
                 }
                 if to.write_all(&buffer[..n]).is_err() {
                     let _ = from.shutdown(Shutdown::Both);
--- a/crates/harness/tests/processes.rs
+++ b/crates/harness/tests/processes.rs
@@ -4,7 +4,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Agencies, Did, Ended, Errands, Fleet, Heard, Shape, Way, Wish, Workers, kind_of};
+use glendeck_harness::{
+    ClientAnswer, Cluster, ClusterSpec, Execution, GroupedClients, HostBehaviour, KeyedClientStats,
+    KeyedClients, LinkFault, ScriptedClients, class_of,
+};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use test_case::test_case;
@@ -13,10 +16,10 @@
 const PATIENCE: Duration = Duration::from_secs(45);
 
 struct Run {
-    fleet: Fleet,
-    workers: Option<Workers>,
-    errands: Errands,
-    agencies: Option<Agencies>,
+    cluster: Cluster,
+    keyed_clients: Option<KeyedClients>,
+    scripted_clients: ScriptedClients,
+    grouped_clients: Option<GroupedClients>,
     /// How many lost nodes' clients each node had expected.
     expected: Vec<u64>,
     /// Works are to have been done twice: the checker sees it.
@@ -42,7 +45,7 @@
         let leader = || {
             let end = Instant::now() + PATIENCE;
             loop {
-                if let Some(at) = self.fleet.leader() {
+                if let Some(at) = self.cluster.leader() {
                     return at;
                 }
                 assert!(Instant::now() < end, "nobody leads");
@@ -53,9 +56,9 @@
             "leader" => leader(),
             "other" => {
                 let leads = leader();
-                (0..self.fleet.shape.voters).find(|at| *at != leads).unwrap()
+                (0..self.cluster.spec.voters).find(|at| *at != leads).unwrap()
             }
-            "member" => self.fleet.shape.nodes - 1,
+            "member" => self.cluster.spec.nodes - 1,
             name => name[1..].parse().unwrap(),
         }
     }
@@ -69,7 +72,7 @@
         loop {
             let at = at.unwrap_or_else(|| self.node("leader"));
             let began = Instant::now();
-            let reply = self.fleet.call(at, "POST", path, &body);
+            let reply = self.cluster.call(at, "POST", path, &body);
             let took = began.elapsed();
             assert!(took < Duration::from_millis(1_500), "the door took {took:?}");
             match reply {
@@ -84,16 +87,16 @@
     }
 
     fn expected(&self, at: usize) -> Option<u64> {
-        self.fleet.status(at)?["estates"]["lost_expected"].as_u64()
+        self.cluster.status(at)?["estates"]["lost_expected"].as_u64()
     }
 
     fn all_stand(&self) {
-        let Some(agencies) = &self.agencies else { return };
-        until("all clients stand", PATIENCE, || agencies.up() == agencies.count);
+        let Some(grouped_clients) = &self.grouped_clients else { return };
+        until("all clients stand", PATIENCE, || grouped_clients.open() == grouped_clients.count);
     }
 
     fn release_state(&self) -> Option<(u64, String)> {
-        let status = self.fleet.status(self.fleet.leader()?)?;
+        let status = self.cluster.status(self.cluster.leader()?)?;
         let release = &status["state"]["release"];
         let release_state = &release["course"];
         let name = release_state.as_str().map_or_else(|| "Halted".to_owned(), str::to_owned);
@@ -102,12 +105,13 @@
 
     /// Connections that a host saw, standing now and ever.
     fn host(&self, name: &str) -> (i64, u64) {
-        self.fleet.hosts.iter().find(|host| host.name == name).unwrap().seen()
+        let host = self.cluster.hosts.iter().find(|host| host.name == name).unwrap();
+        (host.open_connections(), host.opened_connections())
     }
 
     /// How the group holds a host out, by its leader's confirmed word.
     fn hold(&self, host: &str) -> String {
-        let status = self.fleet.leader().and_then(|at| self.fleet.status(at));
+        let status = self.cluster.leader().and_then(|at| self.cluster.status(at));
         let status = status.filter(|status| status["confirmed"] == true);
         status.map_or("?".into(), |status| {
             let draining_hosts = status["emptying"].as_array().cloned().unwrap_or_default();
@@ -122,98 +126,114 @@
         })
     }
 
-    fn takes(&self, at: usize) -> bool {
-        self.fleet.clients.standing(at).is_some_and(|standing| standing.takes)
+    fn accepts_clients(&self, at: usize) -> bool {
+        self.cluster.clients.availability(at).is_some_and(|availability| availability.accepts_clients)
     }
 
-    fn link(&self, way: Way, words: &[&str]) {
+    fn link(&self, fault: LinkFault, words: &[&str]) {
         match words {
             [one] if one.contains('>') => {
                 let (from, to) = one.split_once('>').unwrap();
-                self.fleet.links.set(self.node(from), self.node(to), way);
+                self.cluster.links.set(self.node(from), self.node(to), fault);
             }
-            [one] => self.fleet.around(self.node(one), way),
+            [one] => self.cluster.set_all_links(self.node(one), fault),
             [one, other] => {
                 let (one, other) = (self.node(one), self.node(other));
-                self.fleet.links.set(one, other, way);
-                self.fleet.links.set(other, one, way);
+                self.cluster.links.set(one, other, fault);
+                self.cluster.links.set(other, one, fault);
             }
             other => panic!("which link is {other:?}"),
         }
     }
 
     fn file(&self, at: usize) -> PathBuf {
-        self.fleet.store(at).join("fleet.redb")
+        self.cluster.store(at).join("fleet.redb")
     }
 
     fn play(&mut self, words: &[&str]) {
         match words {
-            ["calls", count] => self.fleet.clients.come(count.parse().unwrap(), 1),
+            ["calls", count] => self.cluster.clients.add_clients(count.parse().unwrap(), 1),
             ["works", count] => {
-                self.workers = Some(Workers::start(&self.fleet.clients, count.parse().unwrap(), 7));
+                self.keyed_clients =
+                    Some(KeyedClients::start(&self.cluster.clients, count.parse().unwrap(), 7));
             }
             ["agencies", count, groups] => {
                 let (count, groups) = (count.parse().unwrap(), groups.parse().unwrap());
-                self.agencies =
-                    Some(Agencies::start(&self.fleet.clients, &self.fleet.homes, count, groups, 9));
+                self.grouped_clients = Some(GroupedClients::start(
+                    &self.cluster.clients,
+                    &self.cluster.groups,
+                    count,
+                    groups,
+                    9,
+                ));
                 self.all_stand();
             }
-            ["hosts", "do", name, kind, does] => {
-                let wish = match *does {
-                    "soon" => Wish::Soon,
-                    "held" => Wish::Held,
-                    "half" => Wish::Half,
+            ["hosts", "do", name, kind, execute] => {
+                let behaviour = match *execute {
+                    "soon" => HostBehaviour::AnswerAtOnce,
+                    "held" => HostBehaviour::HoldAnswer,
+                    "half" => HostBehaviour::ReceiveHalf,
                     other => panic!("hosts cannot do {other:?}"),
                 };
-                self.errands.wish(name, *kind == kind_of(true), wish);
+                self.scripted_clients.set_behaviour(name, *kind == class_of(true), behaviour);
             }
             ["come", name, units @ ..] => {
                 for unit in units {
                     let at = self.node(unit);
-                    self.errands.come(name, at);
+                    self.scripted_clients.send(name, at);
                 }
             }
-            ["deaf", name] => self.errands.deaf(name, true),
-            ["hears", name] => self.errands.deaf(name, false),
-            ["unread", name] => until("an answer came", PATIENCE, || self.errands.unread(name)),
-            ["half", name] => until("half a line came", PATIENCE, || self.errands.halves(name) > 0),
-            // What clients heard at their last comings, one each, in any order.
-            ["heard", name, rest @ ..] => {
-                let mut heard = None;
+            ["deaf", name] => self.scripted_clients.set_ignores_answers(name, true),
+            ["hears", name] => self.scripted_clients.set_ignores_answers(name, false),
+            ["unread", name] => {
+                until("an answer came", PATIENCE, || self.scripted_clients.has_unread_answer(name))
+            }
+            ["half", name] => {
+                until("half a line came", PATIENCE, || self.scripted_clients.partial_lines(name) > 0)
+            }
+            // What clients were answered the last times they sent the call, one each, in any order.
+            ["answered", name, expected @ ..] => {
+                let mut answers = None;
                 until(&format!("{name} is over"), PATIENCE, || {
-                    heard = self.errands.heard(name, rest.len());
-                    heard.is_some()
+                    answers = self.scripted_clients.answers(name, expected.len());
+                    answers.is_some()
                 });
-                let mut left = heard.unwrap();
-                for one in rest {
-                    let may =
-                        |of: &Heard| one.split('|').any(|way| format!("{of:?}").eq_ignore_ascii_case(way));
-                    let at = left.iter().position(may);
-                    left.remove(at.unwrap_or_else(|| panic!("{name}: {left:?}, not {rest:?}")));
+                let mut left = answers.unwrap();
+                for alternatives in expected {
+                    let matches = |answer: &ClientAnswer| {
+                        alternatives.split('|').any(|word| answer.to_string() == word)
+                    };
+                    let at = left.iter().position(matches);
+                    left.remove(at.unwrap_or_else(|| panic!("{name}: {left:?}, not {expected:?}")));
                 }
             }
             // So often hosts did it; of those, so often it was anything new.
-            ["did", name, times, "anew", anew] => {
-                let (times, anew): (usize, usize) = (times.parse().unwrap(), anew.parse().unwrap());
-                let work = self.errands.work(name);
-                let did = || self.fleet.effects.lock().unwrap().get(&work).cloned().unwrap_or_default();
-                until(&format!("{name} done {times} times"), PATIENCE, || did().len() >= times);
-                let seen = (did().len(), did().iter().filter(|did| did.anew).count());
-                assert_eq!(seen, (times, anew), "{:#?}", did());
+            ["did", name, times, "anew", had_effect] => {
+                let (times, had_effect): (usize, usize) =
+                    (times.parse().unwrap(), had_effect.parse().unwrap());
+                let work = self.scripted_clients.execution_key(name);
+                let executions =
+                    || self.cluster.executions.lock().unwrap().get(&work).cloned().unwrap_or_default();
+                until(&format!("{name} done {times} times"), PATIENCE, || executions().len() >= times);
+                let stats = (
+                    executions().len(),
+                    executions().iter().filter(|executions| executions.had_effect).count(),
+                );
+                assert_eq!(stats, (times, had_effect), "{:#?}", executions());
             }
             ["die", "where", name, "was", "done"] => {
-                let work = self.errands.work(name);
-                let effects = self.fleet.effects.lock().unwrap();
-                let did = effects[&work].first().unwrap();
-                self.fleet.hosts.iter().find(|host| host.name == did.host).unwrap().die(true);
+                let work = self.scripted_clients.execution_key(name);
+                let executions = self.cluster.executions.lock().unwrap();
+                let executions = executions[&work].first().unwrap();
+                self.cluster.hosts.iter().find(|host| host.name == executions.host).unwrap().set_dead(true);
             }
-            ["hosts", "back"] => self.fleet.hosts.iter().for_each(|host| host.die(false)),
+            ["hosts", "back"] => self.cluster.hosts.iter().for_each(|host| host.set_dead(false)),
             // Waited for by its own word: nobody else can see what it keeps.
             ["forgotten", units @ ..] => {
                 for unit in units {
                     let at = self.node(unit);
                     until(&format!("{unit} keeps nothing"), PATIENCE, || {
-                        let status = self.fleet.status(at).unwrap_or_default();
+                        let status = self.cluster.status(at).unwrap_or_default();
                         status["work"]["records_held"] == 0 && status["work"]["in_hand"] == 0
                     });
                 }
@@ -221,17 +241,17 @@
             ["stand"] => self.all_stand(),
             // Without a client there is nothing that could be told of a node.
             ["peopled", units @ ..] => {
-                let agencies = self.agencies.as_ref().unwrap();
+                let grouped_clients = self.grouped_clients.as_ref().unwrap();
                 for unit in units {
                     let at = self.node(unit);
-                    until(&format!("{unit} has clients"), PATIENCE, || agencies.up_at(at) > 0);
+                    until(&format!("{unit} has clients"), PATIENCE, || grouped_clients.open_at(at) > 0);
                 }
                 // What a node knows it says once a second.
                 std::thread::sleep(Duration::from_secs(2));
             }
             // What each node has heard of lost ones, by its own word.
             ["marked"] => {
-                let nodes = 0..self.fleet.shape.nodes;
+                let nodes = 0..self.cluster.spec.nodes;
                 self.expected = nodes.map(|at| self.expected(at).unwrap_or_default()).collect();
             }
             ["expect", count, units @ ..] => {
@@ -248,19 +268,25 @@
             }
             // Works that are served go on being so, within so many seconds.
             ["worked", count, "within", most] => {
-                let up = || self.workers.as_ref().map_or(0, |workers| workers.ended.lock().unwrap().up);
+                let up = || {
+                    self.keyed_clients
+                        .as_ref()
+                        .map_or(0, |keyed_clients| keyed_clients.stats.lock().unwrap().up)
+                };
                 let until_then = up() + count.parse::<u64>().unwrap();
                 until(&format!("{count} works served"), seconds(most), || up() >= until_then);
             }
             ["twice"] => self.twice = true,
             ["forgiven"] => until("no node counts as harmed", PATIENCE, || {
-                self.fleet.forgive();
-                self.fleet.clients.harmed.lock().unwrap().is_empty()
+                self.cluster.clear_recovered();
+                self.cluster.clients.disrupted.lock().unwrap().is_empty()
             }),
             ["serving"] => {
-                until("all serve", PATIENCE, || (0..self.fleet.shape.nodes).all(|at| self.takes(at)));
-                self.fleet.forgive();
-                self.fleet.clients.count_anew();
+                until("all serve", PATIENCE, || {
+                    (0..self.cluster.spec.nodes).all(|at| self.accepts_clients(at))
+                });
+                self.cluster.clear_recovered();
+                self.cluster.clients.reset_most_out();
             }
             ["led"] => drop(self.node("leader")),
             ["order", path, rest @ ..] => self.order(path, json!({}), rest),
@@ -272,9 +298,9 @@
                 self.order(&format!("/v1/fleet/{what}"), body, rest);
             }
             ["settled"] => until("all are seen to serve", PATIENCE, || {
-                let status = self.fleet.leader().and_then(|at| self.fleet.status(at)).unwrap_or_default();
+                let status = self.cluster.leader().and_then(|at| self.cluster.status(at)).unwrap_or_default();
                 let units = status["state"]["units"].as_object().cloned().unwrap_or_default();
-                units.len() == self.fleet.shape.nodes
+                units.len() == self.cluster.spec.nodes
                     && units.values().all(|unit| unit["lost"] == false && unit["standing"] == "Serving")
             }),
             ["release", version, status, rest @ ..] => {
@@ -305,13 +331,13 @@
                 let want = release_state.to_lowercase();
                 let end = Instant::now() + patience;
                 loop {
-                    self.fleet.forgive();
+                    self.cluster.clear_recovered();
                     let now = self.release_state();
                     if now.as_ref().is_some_and(|(_, now)| now.to_lowercase() == want) {
                         break;
                     }
                     if Instant::now() > end {
-                        let status = self.fleet.leader().and_then(|at| self.fleet.status(at));
+                        let status = self.cluster.leader().and_then(|at| self.cluster.status(at));
                         panic!("not {release_state} within {patience:?}: {now:?}, {status:#?}");
                     }
                     std::thread::sleep(Duration::from_millis(30));
@@ -319,76 +345,85 @@
             }
             ["out", unit] => {
                 let at = self.node(unit);
-                until(&format!("{unit} out"), PATIENCE, || !self.takes(at));
+                until(&format!("{unit} out"), PATIENCE, || !self.accepts_clients(at));
             }
             ["in", unit] => {
                 let at = self.node(unit);
-                until(&format!("{unit} in"), PATIENCE, || self.takes(at));
+                until(&format!("{unit} in"), PATIENCE, || self.accepts_clients(at));
             }
             ["stays", "out", unit, long] => {
                 let (at, end) = (self.node(unit), Instant::now() + seconds(long));
                 while Instant::now() < end {
-                    assert!(!self.takes(at), "{unit} takes clients");
+                    assert!(!self.accepts_clients(at), "{unit} takes clients");
                     std::thread::sleep(Duration::from_millis(20));
                 }
             }
             ["none", "out", long] => {
                 let began = Instant::now();
                 std::thread::sleep(seconds(long));
-                for at in 0..self.fleet.shape.nodes {
-                    let gone = self.fleet.clients.standing(at).filter(|standing| !standing.takes);
-                    let harmed = self.fleet.clients.harmed.lock().unwrap().contains_key(&at);
-                    assert!(harmed || gone.is_none_or(|standing| standing.since < began), "n{at} went out");
+                for at in 0..self.cluster.spec.nodes {
+                    let gone = self
+                        .cluster
+                        .clients
+                        .availability(at)
+                        .filter(|availability| !availability.accepts_clients);
+                    let disrupted = self.cluster.clients.disrupted.lock().unwrap().contains_key(&at);
+                    assert!(
+                        disrupted || gone.is_none_or(|availability| availability.since < began),
+                        "n{at} went out"
+                    );
                 }
             }
-            ["some", "out"] => {
-                until("some node out", PATIENCE, || (0..self.fleet.shape.nodes).any(|at| !self.takes(at)))
-            }
-            ["count"] => self.fleet.clients.count_anew(),
+            ["some", "out"] => until("some node out", PATIENCE, || {
+                (0..self.cluster.spec.nodes).any(|at| !self.accepts_clients(at))
+            }),
+            ["count"] => self.cluster.clients.reset_most_out(),
             ["most", "out", most] => {
-                let out = self.fleet.clients.seen().most_out;
+                let out = self.cluster.clients.stats().most_out;
                 assert!(out <= most.parse().unwrap(), "{out} were out at once");
             }
             ["versions", version, rest @ ..] => {
-                let now = self.fleet.versions();
+                let now = self.cluster.versions();
                 let of: Vec<usize> = match rest {
                     [] => (0..now.len()).collect(),
                     units => units.iter().map(|unit| self.node(unit)).collect(),
                 };
                 assert!(of.iter().all(|at| now[*at] == *version), "{now:?}");
             }
-            ["cut", rest @ ..] => self.link(Way::Cut, rest),
-            ["stall", rest @ ..] => self.link(Way::Stalled, rest),
-            ["slow", rest @ ..] => self.link(Way::Slow, rest),
-            ["trickle", rest @ ..] => self.link(Way::Trickle, rest),
-            ["garble", rest @ ..] => self.link(Way::Garbled, rest),
+            ["cut", rest @ ..] => self.link(LinkFault::Cut, rest),
+            ["stall", rest @ ..] => self.link(LinkFault::Stalled, rest),
+            ["slow", rest @ ..] => self.link(LinkFault::Slow, rest),
+            ["trickle", rest @ ..] => self.link(LinkFault::Trickle, rest),
+            ["garble", rest @ ..] => self.link(LinkFault::Garbled, rest),
             // Whoever has a link dials no other.
             ["dials", most, long] => {
-                let before = self.fleet.links.dials();
+                let before = self.cluster.links.dials();
                 std::thread::sleep(seconds(long));
-                let dials = self.fleet.links.dials() - before;
+                let dials = self.cluster.links.dials() - before;
                 assert!(dials <= most.parse().unwrap(), "{dials} dials in {long} s");
             }
             ["reset", one] => {
                 let at = self.node(one);
-                for other in (0..self.fleet.shape.nodes).filter(|other| *other != at) {
-                    self.fleet.links.reset(at, other);
-                    self.fleet.links.reset(other, at);
+                for other in (0..self.cluster.spec.nodes).filter(|other| *other != at) {
+                    self.cluster.links.reset(at, other);
+                    self.cluster.links.reset(other, at);
                 }
             }
-            ["heal"] => self.fleet.links.heal(),
+            ["heal"] => self.cluster.links.heal(),
             ["kill", unit] => {
-                self.fleet.kill(self.node(unit));
+                self.cluster.kill(self.node(unit));
                 self.asked = Instant::now();
             }
-            ["kill", "all", "voters"] => (0..self.fleet.shape.voters).for_each(|at| self.fleet.kill(at)),
-            ["start", "all"] => (0..self.fleet.shape.nodes).for_each(|at| self.fleet.begin(at).unwrap()),
-            ["start", unit] => self.fleet.begin(self.node(unit)).unwrap(),
+            ["kill", "all", "voters"] => (0..self.cluster.spec.voters).for_each(|at| self.cluster.kill(at)),
+            ["start", "all"] => {
+                (0..self.cluster.spec.nodes).for_each(|at| self.cluster.start_node(at).unwrap())
+            }
+            ["start", unit] => self.cluster.start_node(self.node(unit)).unwrap(),
             ["stop", unit] => {
-                self.fleet.signal(self.node(unit), Signal::STOP);
+                self.cluster.signal(self.node(unit), Signal::STOP);
                 self.asked = Instant::now();
             }
-            ["continue", unit] => self.fleet.signal(self.node(unit), Signal::CONT),
+            ["continue", unit] => self.cluster.signal(self.node(unit), Signal::CONT),
             ["copy", unit] => {
                 let file = self.file(self.node(unit));
                 std::fs::copy(&file, file.with_extension("copy")).unwrap();
@@ -398,7 +433,7 @@
                 std::fs::copy(file.with_extension("copy"), &file).unwrap();
             }
             ["nofolder", unit] => {
-                let store = self.fleet.store(self.node(unit));
+                let store = self.cluster.store(self.node(unit));
                 std::fs::remove_dir_all(&store).unwrap();
                 std::fs::create_dir_all(&store).unwrap();
             }
@@ -408,21 +443,21 @@
                 std::fs::write(&file, &bytes[..bytes.len() / 2]).unwrap();
             }
             ["flip", unit] => flip(&self.file(self.node(unit))),
-            ["disk", unit, does] => {
-                let does = if *does == "well" { "" } else { does };
-                self.fleet.disk(self.node(unit), does).unwrap();
+            ["disk", unit, execute] => {
+                let execute = if *execute == "well" { "" } else { execute };
+                self.cluster.disk(self.node(unit), execute).unwrap();
             }
-            ["clock", unit, ahead] => self.fleet.clock(self.node(unit), ahead.parse().unwrap()),
+            ["clock", unit, ahead] => self.cluster.clock(self.node(unit), ahead.parse().unwrap()),
             // What a node says of its own keeping: used to see that it was handed on, never to judge what was done.
             [what @ ("keeping" | "notkeeping"), unit] => {
                 let (at, want) = (self.node(unit), *what == "keeping");
-                let remembers = || self.fleet.status(at).map(|status| status["work"]["remembers"] == want);
+                let remembers = || self.cluster.status(at).map(|status| status["work"]["remembers"] == want);
                 until(&format!("{unit} {what}"), Duration::from_secs(3), || remembers() == Some(true));
             }
             ["chair", unit, voter_status] => {
                 let at = self.node(unit);
                 until(&format!("{unit} {voter_status}"), PATIENCE, || {
-                    self.fleet
+                    self.cluster
                         .status(at)
                         .is_some_and(|of| of["chair"].as_str().unwrap_or("").starts_with(voter_status))
                 });
@@ -430,7 +465,8 @@
             ["seats", unit] => {
                 let name = format!("n{}", self.node(unit));
                 until(&format!("{unit} has a seat"), PATIENCE, || {
-                    let status = self.fleet.leader().and_then(|at| self.fleet.status(at)).unwrap_or_default();
+                    let status =
+                        self.cluster.leader().and_then(|at| self.cluster.status(at)).unwrap_or_default();
                     let voter_slots = status["state"]["seats"].as_array().cloned().unwrap_or_default();
                     voter_slots.iter().any(|voter_slot| voter_slot["name"] == name.as_str())
                 });
@@ -438,15 +474,16 @@
             ["doubled", unit] => {
                 let name = format!("n{}", self.node(unit));
                 until(&format!("{unit} doubled"), PATIENCE, || {
-                    let status = self.fleet.leader().and_then(|at| self.fleet.status(at)).unwrap_or_default();
+                    let status =
+                        self.cluster.leader().and_then(|at| self.cluster.status(at)).unwrap_or_default();
                     status["doubled"].as_array().is_some_and(|of| of.iter().any(|of| *of == name.as_str()))
                 });
             }
             ["unconfirmed", unit] => {
-                let status = self.fleet.status(self.node(unit)).unwrap();
+                let status = self.cluster.status(self.node(unit)).unwrap();
                 assert_eq!(status["confirmed"], false, "{status}");
             }
-            ["list", host, status] => self.fleet.list.say(host, status),
+            ["list", host, status] => self.cluster.list.set_status(host, status),
             // What the group says of a host is waited for; what is so, the host itself saw.
             ["host", host, "empty"] => {
                 until(&format!("{host} empty"), PATIENCE, || self.hold(host) == "Empty");
@@ -470,8 +507,8 @@
             }
             ["host", host, "back"] => until(&format!("{host} back"), PATIENCE, || self.hold(host).is_empty()),
             ["hosts", "known"] => until("hosts known", PATIENCE, || {
-                let status = self.fleet.leader().and_then(|at| self.fleet.status(at)).unwrap_or_default();
-                status["state"]["hosts"].as_object().is_some_and(|of| of.len() == self.fleet.hosts.len())
+                let status = self.cluster.leader().and_then(|at| self.cluster.status(at)).unwrap_or_default();
+                status["state"]["hosts"].as_object().is_some_and(|of| of.len() == self.cluster.hosts.len())
             }),
             ["pause", long] => std::thread::sleep(seconds(long)),
             ["within", most] => {
@@ -483,33 +520,36 @@
     }
 
     fn end(self) {
-        if let Some(workers) = &self.workers {
-            let ended = workers.end();
+        if let Some(keyed_clients) = &self.keyed_clients {
+            let ended = keyed_clients.end();
             assert!(ended.lost.is_empty(), "works lost: {:#?}", ended.lost);
-            let effects = self.fleet.effects.lock().unwrap();
-            let anew = |did: &Vec<Did>| did.iter().filter(|did| did.anew).count();
-            let twice: Vec<_> = effects.iter().filter(|(_, did)| anew(did) > 1).collect();
+            let executions = self.cluster.executions.lock().unwrap();
+            let had_effect = |executions: &Vec<Execution>| {
+                executions.iter().filter(|executions| executions.had_effect).count()
+            };
+            let twice: Vec<_> =
+                executions.iter().filter(|(_, executions)| had_effect(executions) > 1).collect();
             assert_eq!(!twice.is_empty(), self.twice, "done more than once: {twice:#?}");
-            let Ended { up, released, busy, unanswered, up_again, .. } = ended;
+            let KeyedClientStats { up, failed, busy, unanswered, up_again, .. } = ended;
             println!(
-                "works: up {up} ({up_again} again), released {released}, busy {busy}, unanswered {unanswered}"
+                "works: up {up} ({up_again} again), released {failed}, busy {busy}, unanswered {unanswered}"
             );
         }
-        if let Some(agencies) = &self.agencies {
-            agencies.end();
+        if let Some(grouped_clients) = &self.grouped_clients {
+            grouped_clients.end();
         }
-        let seen = self.fleet.clients.end();
-        assert!(seen.lost.is_empty(), "lost: {:#?}", seen.lost);
+        let stats = self.cluster.clients.end();
+        assert!(stats.lost.is_empty(), "lost: {:#?}", stats.lost);
         assert!(
-            self.fleet.max_attempts() <= 1 || seen.failed == 0,
+            self.cluster.max_attempts() <= 1 || stats.failed == 0,
             "one call had {} legs",
-            self.fleet.max_attempts()
+            self.cluster.max_attempts()
         );
-        let badly = self.fleet.ended_badly();
+        let badly = self.cluster.failed_exits();
         assert!(badly.is_empty(), "{badly:?}");
         println!(
             "answered {}, busy {}, failed {}, moved {}",
-            seen.answered, seen.busy, seen.failed, seen.moved
+            stats.answered, stats.busy, stats.failed, stats.moved
         );
     }
 }
@@ -561,7 +601,7 @@
                     .map(|(key, value)| (key, value.parse().unwrap()))
                     .collect();
                 let of = |key: &str, otherwise: u32| given.get(key).copied().unwrap_or(otherwise);
-                let shape = Shape {
+                let spec = ClusterSpec {
                     nodes: nodes.parse().unwrap(),
                     voters: of("voters", 3) as usize,
                     zones: of("zones", 3) as usize,
@@ -571,12 +611,12 @@
                     program: env!("CARGO_BIN_EXE_harness-node").into(),
                     logs: std::env::var_os("RIG_LOGS").map(|logs| PathBuf::from(logs).join(name)),
                 };
-                let fleet = Fleet::start(shape).unwrap();
+                let cluster = Cluster::start(spec).unwrap();
                 run = Some(Run {
-                    errands: Errands::new(fleet.clients.nodes(), &fleet.wishes),
-                    fleet,
-                    workers: None,
-                    agencies: None,
+                    scripted_clients: ScriptedClients::new(cluster.clients.nodes(), &cluster.host_script),
+                    cluster,
+                    keyed_clients: None,
+                    grouped_clients: None,
                     expected: vec![],
                     twice: false,
                     asked: Instant::now(),
