--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -41,13 +41,22 @@
 
 pub fn play(program: Option<&Path>, stay: Duration) -> Result<(), Failure> {
     let program = program.map_or_else(beside, |program| Ok(program.to_owned()))?;
-    let spec =
-        ClusterSpec { nodes: 3, voters: 3, zones: 3, hosts: 3, most_out: 1, work: true, program, logs: None };
+    let spec = ClusterSpec {
+        nodes: 3,
+        voters: 3,
+        zones: 3,
+        hosts: 3,
+        most_out: 1,
+        stores_intents: true,
+        program,
+        logs: None,
+    };
     println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
     let mut cluster = Cluster::start(spec).map_err(fault)?;
     cluster.clients.add_clients(30, 1);
-    let accepts_clients =
-        |cluster: &Cluster, at: usize| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients);
+    let accepts_clients = |cluster: &Cluster, at: usize| {
+        cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients)
+    };
     wait("all nodes serve", || (0..3).all(|at| accepts_clients(&cluster, at)))?;
     // Before that all were out.
     cluster.clients.reset_most_out();
@@ -64,7 +73,8 @@
     }
     println!("{}\n", show::status(&status(&cluster).unwrap_or_default()));
     let order = |path: &str, body: serde_json::Value| -> Result<(), Failure> {
-        let (code, reply) = cluster.call(0, "POST", path, &body).map_err(fault)?;
+        let answer = cluster.call(0, "POST", path, &body).map_err(fault)?;
+        let (code, reply) = (answer.status, answer.body);
         println!(
             "POST {path} {body} -> {code} {}",
             reply["said"].as_str().or(reply["why"].as_str()).unwrap_or("-")
--- a/crates/harness/src/bin/fleet-bench.rs
+++ b/crates/harness/src/bin/fleet-bench.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Cluster, ClusterSpec, LinkFault};
+use glendeck_harness::{AdminReply, Cluster, ClusterSpec, LinkFault};
 use serde_json::{Value, json};
 
 const PATIENCE: Duration = Duration::from_secs(150);
@@ -56,8 +56,10 @@
     loop {
         let at = cluster.leader().unwrap_or(0);
         match cluster.call(at, "POST", path, &body) {
-            Ok((200, _)) => return Ok(()),
-            Ok((503, _)) | Err(_) if Instant::now() < until => std::thread::sleep(Duration::from_millis(50)),
+            Ok(AdminReply { status: 200, .. }) => return Ok(()),
+            Ok(AdminReply { status: 503, .. }) | Err(_) if Instant::now() < until => {
+                std::thread::sleep(Duration::from_millis(50))
+            }
             other => return Err(format!("{path}: {other:?}")),
         }
     }
@@ -81,7 +83,7 @@
 }
 
 fn accepts_clients(cluster: &Cluster, at: usize) -> bool {
-    cluster.clients.availability(at).is_some_and(|of| of.accepts_clients)
+    cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients)
 }
 
 fn measure(nodes: usize, voters: usize, rounds: usize) -> Result<(), String> {
@@ -93,7 +95,7 @@
         zones: 3,
         hosts: 4,
         most_out,
-        work: false,
+        stores_intents: false,
         program,
         logs: std::env::var_os("RIG_LOGS").map(Into::into),
     };
@@ -163,7 +165,7 @@
         answered.push(began.elapsed());
         std::thread::sleep(Duration::from_secs(5));
         let last = (0..nodes)
-            .filter_map(|at| cluster.clients.availability(at))
+            .filter_map(|at| cluster.clients.frontend().availability(at))
             .filter(|of| !of.accepts_clients)
             .map(|of| of.since)
             .max();
--- a/crates/harness/src/bin/takeover-bench.rs
+++ b/crates/harness/src/bin/takeover-bench.rs
@@ -50,13 +50,14 @@
 }
 
 fn accepts_clients(cluster: &Cluster, at: usize) -> bool {
-    cluster.clients.availability(at).is_some_and(|of| of.accepts_clients)
+    cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients)
 }
 
 fn measure(nodes: usize, voters: usize, kills: usize, work: bool) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
-    let spec = ClusterSpec { nodes, voters, zones: 3, hosts: 4, most_out: 1, work, program, logs };
+    let spec =
+        ClusterSpec { nodes, voters, zones: 3, hosts: 4, most_out: 1, stores_intents: work, program, logs };
     let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
     wait("all serve", || (0..nodes).all(|at| accepts_clients(&cluster, at)))?;
     wait("somebody leads", || cluster.leader().is_some())?;
--- a/crates/harness/src/bin/takeover-soak.rs
+++ b/crates/harness/src/bin/takeover-soak.rs
@@ -109,12 +109,14 @@
         zones: 3,
         hosts: 4,
         most_out: 1,
-        work: true,
+        stores_intents: true,
         program,
         logs: std::env::var_os("RIG_LOGS").map(|logs| std::path::PathBuf::from(logs).join(seed.to_string())),
     };
     let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
-    let serve = || (0..NODES).all(|at| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients));
+    let serve = || {
+        (0..NODES).all(|at| cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients))
+    };
     wait("all serve", serve)?;
     wait("somebody leads", || cluster.leader().is_some())?;
     cluster.clear_recovered();
--- a/crates/harness/src/bin/warm-state-bench.rs
+++ b/crates/harness/src/bin/warm-state-bench.rs
@@ -21,9 +21,11 @@
 fn measure(nodes: usize, voters: usize, hosts: usize, kills: usize, work: bool) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|fault| fault.to_string())?.with_file_name("harness-node");
     let logs = std::env::var_os("RIG_LOGS").map(Into::into);
-    let spec = ClusterSpec { nodes, voters, zones: 1, hosts, most_out: 1, work, program, logs };
+    let spec =
+        ClusterSpec { nodes, voters, zones: 1, hosts, most_out: 1, stores_intents: work, program, logs };
     let cluster = Cluster::start(spec).map_err(|fault| fault.to_string())?;
-    let accepts_clients = |at: usize| cluster.clients.availability(at).is_some_and(|of| of.accepts_clients);
+    let accepts_clients =
+        |at: usize| cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients);
     wait("all serve", || (0..nodes).all(accepts_clients))?;
     wait("somebody leads", || cluster.leader().is_some())?;
     let (count, groups) = (24 * nodes as u64, 4 * hosts as u64);
--- a/crates/harness/src/cluster.rs
+++ b/crates/harness/src/cluster.rs
@@ -1,430 +1,296 @@
-//! Processes of the program, and who starts them again.
+//! A cluster: node processes, their links, the frontend, fake hosts and fake discovery.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::fd::OwnedFd;
-use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-use rustix::process::{Pid, Signal, kill_process};
-use serde_json::{Value, json};
+use rustix::process::Signal;
+use serde_json::Value;
 
 use crate::clients::Clients;
 use crate::fake_discovery::FakeDiscovery;
-use crate::fake_host::{FakeHost, KEY_WINDOW_MS};
+use crate::fake_host::FakeHost;
 use crate::grouped_clients::SharedGroupObservations;
 use crate::links::{LinkFault, Links};
+use crate::node_config::{NodeAddresses, fleet_policy, node_config};
 use crate::observations::{Attempts, Executions, Observations};
+use crate::reserve;
 use crate::scripted_clients::HostScript;
-use crate::{reserve, spawn};
+use crate::supervisor::Supervisor;
 
-static RUNS: AtomicU32 = AtomicU32::new(0);
+/// Counts the clusters of this process, for their folders' names.
+static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Who supervises a node starts its next process after this.
-const START_AGAIN: Duration = Duration::from_millis(200);
+/// A disrupted node has recovered once it has accepted clients for so long.
+const RECOVERED_AFTER: Duration = Duration::from_secs(1);
+
+/// How long a node's admin interface may take to accept a connection, and to answer.
+const ADMIN_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const ADMIN_READ_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// In a cluster of up to so many nodes each is linked to all others; in a larger one to voters alone.
+const MOST_NODES_LINKED_TO_ALL: usize = 12;
 
 /// What is to be started.
 #[derive(Clone, Debug)]
 pub struct ClusterSpec {
+    /// How many nodes; they are named `n0`, `n1` and so on.
     pub nodes: usize,
+    /// How many of them, from `n0` on, are voters.
     pub voters: usize,
+    /// Zones that nodes are dealt out over.
     pub zones: usize,
+    /// How many fake hosts.
     pub hosts: usize,
-    /// Most nodes out at once.
+    /// Most nodes out at once, as the fleet policy has it.
     pub most_out: u32,
-    /// Work in hand outlives its node.
-    pub work: bool,
+    /// Nodes store intents for each other (the policy has a `[work]` section).
+    pub stores_intents: bool,
     /// The program, which takes `HARNESS_DISK` if its disk is to fail.
     pub program: PathBuf,
-    /// What nodes log goes there, one file each; nowhere if none.
+    /// The folder for the nodes' logs, one file each; they are dropped without one.
     pub logs: Option<PathBuf>,
 }
 
-struct Node {
-    child: Option<Child>,
-    version: String,
-    /// Nobody starts it again.
-    is_held_down: bool,
-    starts: u32,
-    /// Set while the harness kills it: its end is no exit of its own.
-    was_killed: bool,
-    /// Seconds that its next process's wall clock is ahead.
-    ahead_s: i64,
-    failed_exits: Option<String>,
+/// An answer of a node's admin interface.
+#[derive(Clone, Debug)]
+pub struct AdminReply {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body; null if it is no JSON.
+    pub body: Value,
 }
 
-type Nodes = Arc<Mutex<Vec<Node>>>;
-
-/// An answer at a admin interface: its status and body.
-pub type AdminReply = (u16, Value);
-
+/// A running cluster. Dropping it ends all its processes and removes its folder.
 pub struct Cluster {
+    /// What was started.
     pub spec: ClusterSpec,
+    /// The frontend and its clients.
     pub clients: Clients,
+    /// The proxies of the links between nodes.
     pub links: Links,
-    attempts: Attempts,
-    /// What hosts did for each work that is not to be done twice.
+    /// What hosts executed of calls that must not run twice.
     pub executions: Executions,
-    /// What hosts saw of clients' groups.
+    /// What hosts saw of client groups.
     pub groups: SharedGroupObservations,
-    /// What hosts are told to do with single works.
+    /// What hosts do with scripted calls.
     pub host_script: HostScript,
-    nodes: Nodes,
+    /// The fake hosts.
+    pub hosts: Vec<FakeHost>,
+    /// The fake discovery service.
+    pub discovery: FakeDiscovery,
+    attempts: Attempts,
+    supervisor: Supervisor,
     admin_addresses: Vec<SocketAddr>,
     folder: PathBuf,
     _reserved: Vec<OwnedFd>,
-    pub hosts: Vec<FakeHost>,
-    pub list: FakeDiscovery,
-}
-
-fn settings(nodes: usize, me: usize) -> Value {
-    json!({
-        "caps": {"connectTimeoutMs": 200.0, "maxLegs": 4, "mayCancel": true, "mayProbe": true, "retryAfter": true,
-                 "maxRetryAfterMs": 900.0},
-        "dcs": ["here"], "extra": {"groups": true, "messageAimMs": [100.0]}, "fleetSize": nodes, "me": me,
-        "membershipMode": "on_request", "myZone": 0, "projects": [{"name": "one"}],
-        "safety": {"askWithinMs": 10000.0, "coldFrom": 0.2, "fallMs": 1000.0, "fallMultiple": 4.0,
-                   "warmAfterMs": 20000.0},
-        "tickMs": 5.0,
-        "clients": {"marksRetry": true},
-        "trafficTypes": [{"name": "chat", "effect": "retryable", "group": "all", "windowMs": 5000.0,
-                          "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0},
-                         {"name": "pay", "effect": "fragile", "group": "all", "windowMs": 5000.0,
-                          "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0},
-                         {"name": "edit", "effect": "dedup", "group": "cell", "windowMs": KEY_WINDOW_MS,
-                          "setupTargetMs": 400.0, "guardTimeMs": 1500.0, "revenue": 1.0}],
-    })
-}
-
-fn policy(spec: &ClusterSpec) -> String {
-    let mut text = String::from("group = \"rig\"\nvoters = [");
-    text += &(0..spec.voters).map(|at| format!("\"n{at}\"")).collect::<Vec<_>>().join(", ");
-    text += &format!(
-        "]\n\n[limits.fleet]\nmost_out = {}\n\n[hosts.limits.fleet]\nmost_out = 1\n\n[units]\n",
-        spec.most_out
-    );
-    if spec.work {
-        text = text.replace("[units]", "[work]\nrecall_s = 6\n\n[units]");
-    }
-    for at in 0..spec.nodes {
-        text +=
-            &format!("n{at} = {{ zone = \"z{}\", cell = \"\", kind = \"node\" }}\n", at % spec.zones.max(1));
-    }
-    text
 }
 
 impl Cluster {
-    /// Starts all processes, their peers and their front.
+    /// Starts all processes, their peers and their frontend.
     ///
     /// # Errors
     /// Sockets, files or processes that the system does not grant.
     pub fn start(spec: ClusterSpec) -> std::io::Result<Cluster> {
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("glendeck-harness-{}-{run}", std::process::id()));
+        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let folder = std::env::temp_dir().join(format!("glendeck-harness-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("fleet.toml"), policy(&spec))?;
+        std::fs::write(folder.join("fleet.toml"), fleet_policy(&spec))?;
         let observations = Observations::default();
-        let hosts = (0..spec.hosts).map(|at| FakeHost::start(&format!("h{at}"), at % 2, &observations));
+        let hosts = (0..spec.hosts).map(|host| FakeHost::start(&format!("h{host}"), host % 2, &observations));
         let hosts = hosts.collect::<Result<Vec<_>, _>>()?;
-        let list = FakeDiscovery::start(&hosts)?;
-        let (mut reserved, mut places) = (Vec::new(), Vec::new());
-        for _ in 0..spec.nodes {
-            let place = [reserve()?, reserve()?, reserve()?];
-            places.push([place[0].1, place[1].1, place[2].1]);
-            reserved.extend(place.map(|(fd, _)| fd));
-        }
+        let discovery = FakeDiscovery::start(&hosts)?;
+        let (addresses, reserved) = reserve_addresses(spec.nodes)?;
         let links = Links::default();
-        for at in 0..spec.nodes {
-            let [listen, door, peers_at] = places[at];
-            let mut peers = BTreeMap::new();
-            // Any node may come to hold a seat, but dials none that does not.
-            let dialled = (0..spec.nodes).filter(|to| *to != at && (*to < spec.voters || spec.nodes <= 12));
-            for to in dialled {
-                peers.insert(format!("n{to}"), links.between(at, to, places[to][2])?.to_string());
-            }
-            let of = folder.join(format!("n{at}"));
-            std::fs::create_dir_all(of.join("store"))?;
-            std::fs::create_dir_all(of.join("tmp"))?;
-            let config = json!({
-                "name": format!("n{at}"), "listen": listen.to_string(), "admin": door.to_string(),
-                "seed": format!("{:016x}", at + 1), "discovery": list.address.to_string(),
-                "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024 + 4 * spec.nodes}, "known": null,
-                "settings": settings(spec.nodes, at),
-                "fleet": {"listen": peers_at.to_string(), "peers": peers, "version": "v1",
-                          "folder": of.join("store"), "charter": folder.join("fleet.toml")},
-            });
-            std::fs::write(of.join("node.json"), config.to_string())?;
+        for (node, own) in addresses.iter().enumerate() {
+            let peers = link_to_peers(&spec, node, &addresses, &links)?;
+            let node_folder = folder.join(format!("n{node}"));
+            std::fs::create_dir_all(node_folder.join("store"))?;
+            std::fs::create_dir_all(node_folder.join("tmp"))?;
+            let config = node_config(&spec, node, *own, &peers, discovery.address, &folder);
+            std::fs::write(node_folder.join("node.json"), config.to_string())?;
         }
-        let fresh = |_| Node {
-            child: None,
-            version: "v1".into(),
-            is_held_down: false,
-            starts: 0,
-            was_killed: false,
-            ahead_s: 0,
-            failed_exits: None,
-        };
         let cluster = Cluster {
-            clients: Clients::start(places.iter().map(|place| place[0]).collect()),
+            clients: Clients::start(addresses.iter().map(|own| own.clients).collect()),
             links,
-            attempts: observations.attempts,
             executions: observations.executions,
             groups: observations.groups,
             host_script: observations.host_script,
-            nodes: Arc::new(Mutex::new((0..spec.nodes).map(fresh).collect())),
-            admin_addresses: places.iter().map(|place| place[1]).collect(),
+            hosts,
+            discovery,
+            attempts: observations.attempts,
+            supervisor: Supervisor::new(&spec, &folder),
+            admin_addresses: addresses.iter().map(|own| own.admin).collect(),
             folder,
             _reserved: reserved,
-            hosts,
-            list,
             spec,
         };
-        for at in 0..cluster.spec.nodes {
-            cluster.start_node(at)?;
+        for node in 0..cluster.spec.nodes {
+            cluster.supervisor.start(node)?;
         }
-        cluster.supervise();
+        cluster.supervisor.watch();
         Ok(cluster)
     }
 
-    /// Starts what has exited by itself, as the word that it left says.
-    fn supervise(&self) {
-        let (nodes, folder, spec) = (self.nodes.clone(), self.folder.clone(), self.spec.clone());
-        spawn(move || {
-            loop {
-                std::thread::sleep(Duration::from_millis(50));
-                let Ok(mut all) = nodes.lock() else { return };
-                // The fleet has been dropped.
-                if Arc::strong_count(&nodes) == 1 || all.is_empty() {
-                    return;
-                }
-                for (at, node) in all.iter_mut().enumerate() {
-                    let Some(status) = node.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
-                    else {
-                        continue;
-                    };
-                    node.child = None;
-                    if !status.success() && !node.was_killed {
-                        node.failed_exits = Some(format!("n{at} ended with {status}"));
-                    }
-                    if node.is_held_down {
-                        continue;
-                    }
-                    let word = std::fs::read_to_string(folder.join(format!("n{at}/store/wanted")));
-                    if let (true, Ok(version)) = (status.success(), word) {
-                        node.version = version.trim().to_owned();
-                    }
-                    std::thread::sleep(START_AGAIN);
-                    let _ = launch(&spec, &folder, at, node);
-                }
-            }
-        });
-    }
-
     /// Starts a node that is not running.
     ///
     /// # Errors
     /// The system grants no process.
-    pub fn start_node(&self, at: usize) -> std::io::Result<()> {
-        let Ok(mut nodes) = self.nodes.lock() else { return Ok(()) };
-        let node = &mut nodes[at];
-        node.is_held_down = false;
-        if node.child.is_none() {
-            launch(&self.spec, &self.folder, at, node)?;
-        }
-        drop(nodes);
-        Ok(())
-    }
-
-    /// The harness harms it from here on: it counts neither as out nor for what breaks there, until it has served for a
-    /// second again.
-    fn mark_disrupted(&self, at: usize) {
-        if let Ok(mut disrupted) = self.clients.disrupted.lock() {
-            disrupted.insert(at, Instant::now());
-        }
+    pub fn start_node(&self, node: usize) -> std::io::Result<()> {
+        self.supervisor.start(node)
     }
 
     /// Nodes that serve again count again.
     pub fn clear_recovered(&self) {
-        let Ok(mut disrupted) = self.clients.disrupted.lock() else { return };
-        let well: Vec<usize> = disrupted
-            .iter()
-            .filter(|(at, since)| {
-                let long = Duration::from_secs(1);
-                let taking = |of: &crate::clients::NodeAvailability| {
-                    of.accepts_clients && of.since.elapsed() >= long && of.since > **since
-                };
-                self.clients.availability(**at).as_ref().is_some_and(taking)
-            })
-            .map(|(at, _)| *at)
-            .collect();
-        for at in well {
-            disrupted.remove(&at);
-        }
+        self.clients.frontend().clear_recovered(RECOVERED_AFTER);
     }
 
-    /// Kills it outright; it stays down.
-    pub fn kill(&self, at: usize) {
-        self.mark_disrupted(at);
-        let Ok(mut nodes) = self.nodes.lock() else { return };
-        let node = &mut nodes[at];
-        (node.is_held_down, node.was_killed) = (true, true);
-        if let Some(mut child) = node.child.take() {
-            let _ = (child.kill(), child.wait());
-        }
+    /// Kills a node outright; it stays down.
+    pub fn kill(&self, node: usize) {
+        self.clients.frontend().mark_disrupted(node);
+        self.supervisor.kill(node);
     }
 
-    pub fn signal(&self, at: usize, signal: Signal) {
+    /// Sends a signal to a node's process, if there is one.
+    pub fn signal(&self, node: usize, signal: Signal) {
         if signal != Signal::CONT {
-            self.mark_disrupted(at);
-        }
-        let Ok(nodes) = self.nodes.lock() else { return };
-        if let Some(child) = &nodes[at].child {
-            let _ = kill_process(Pid::from_child(child), signal);
+            self.clients.frontend().mark_disrupted(node);
         }
+        self.supervisor.signal(node, signal);
     }
 
-    pub fn store(&self, at: usize) -> PathBuf {
-        self.folder.join(format!("n{at}/store"))
+    /// The folder of a node's store.
+    pub fn store(&self, node: usize) -> PathBuf {
+        self.folder.join(format!("n{node}/store"))
     }
 
-    /// What its disk does from here on: `fails`, `full`, `stalls`, or nothing.
+    /// What a node's disk does from here on: `fails`, `full`, `stalls`, or nothing.
     ///
     /// # Errors
-    /// The word cannot be written.
-    pub fn disk(&self, at: usize, execute: &str) -> std::io::Result<()> {
-        let (fresh, file) =
-            (self.folder.join(format!("n{at}/disk.new")), self.folder.join(format!("n{at}/disk")));
-        std::fs::write(&fresh, execute)?;
-        std::fs::rename(fresh, file)
+    /// The file that says so cannot be written.
+    pub fn set_disk_fault(&self, node: usize, fault: &str) -> std::io::Result<()> {
+        let fresh = self.folder.join(format!("n{node}/disk.new"));
+        std::fs::write(&fresh, fault)?;
+        std::fs::rename(fresh, self.folder.join(format!("n{node}/disk")))
     }
 
-    /// Its processes' wall clocks are so many seconds ahead from their next start on, and further with each start: a clock
-    /// that steps.
-    pub fn clock(&self, at: usize, ahead_s: i64) {
-        if let Ok(mut nodes) = self.nodes.lock() {
-            nodes[at].ahead_s = ahead_s;
-        }
+    /// Sets the wall clock of a node's processes so many seconds ahead from their next start on, and further with each
+    /// start: a clock that steps.
+    pub fn set_clock(&self, node: usize, ahead_s: i64) {
+        self.supervisor.set_clock(node, ahead_s);
     }
 
-    /// All links to and from it.
-    pub fn set_all_links(&self, at: usize, fault: LinkFault) {
-        for other in (0..self.spec.nodes).filter(|other| *other != at) {
-            self.links.set(at, other, fault);
-            self.links.set(other, at, fault);
+    /// Injects a fault into all links to and from a node.
+    pub fn set_all_links(&self, node: usize, fault: LinkFault) {
+        for other in (0..self.spec.nodes).filter(|other| *other != node) {
+            self.links.set(node, other, fault);
+            self.links.set(other, node, fault);
         }
     }
 
-    /// What supervisors have started last, node by node.
+    /// The versions that were started last, by node.
     pub fn versions(&self) -> Vec<String> {
-        self.nodes
-            .lock()
-            .map(|nodes| nodes.iter().map(|node| node.version.clone()).collect())
-            .unwrap_or_default()
+        self.supervisor.versions()
     }
 
-    pub fn starts(&self, at: usize) -> u32 {
-        self.nodes.lock().map_or(0, |nodes| nodes[at].starts)
+    /// How often a node was started.
+    pub fn starts(&self, node: usize) -> u32 {
+        self.supervisor.starts(node)
     }
 
-    pub fn process(&self, at: usize) -> Option<u32> {
-        self.nodes.lock().ok()?.get(at)?.child.as_ref().map(Child::id)
+    /// The id of a node's process, if it runs.
+    pub fn process(&self, node: usize) -> Option<u32> {
+        self.supervisor.process_id(node)
     }
 
-    /// One call at a node's admin interface.
+    /// Sends one request to a node's admin interface.
     ///
     /// # Errors
-    /// The admin interface is not there, or says what is no answer.
-    pub fn call(&self, at: usize, method: &str, path: &str, body: &Value) -> std::io::Result<AdminReply> {
-        let mut stream = TcpStream::connect_timeout(&self.admin_addresses[at], Duration::from_secs(1))?;
-        stream.set_read_timeout(Some(Duration::from_secs(3)))?;
+    /// The admin interface is not there, or its answer is no HTTP.
+    pub fn call(&self, node: usize, method: &str, path: &str, body: &Value) -> std::io::Result<AdminReply> {
+        let mut stream = TcpStream::connect_timeout(&self.admin_addresses[node], ADMIN_CONNECT_TIMEOUT)?;
+        stream.set_read_timeout(Some(ADMIN_READ_TIMEOUT))?;
         let body = if body.is_null() { String::new() } else { body.to_string() };
-        write!(
-            stream,
-            "{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        )?;
+        let length = body.len();
+        write!(stream, "{method} {path} HTTP/1.1\r\nHost: admin\r\nContent-Length: {length}\r\n\r\n{body}")?;
         let mut text = String::new();
         stream.read_to_string(&mut text)?;
         let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-        let status = status.ok_or_else(|| std::io::Error::other("no answer at the door"))?;
-        Ok((status, serde_json::from_str(body).unwrap_or(Value::Null)))
+        let status = status.ok_or_else(|| std::io::Error::other("no answer at the admin interface"))?;
+        Ok(AdminReply { status, body: serde_json::from_str(body).unwrap_or(Value::Null) })
     }
 
-    /// Where a node's operators call.
-    pub fn admin_address(&self, at: usize) -> SocketAddr {
-        self.admin_addresses[at]
+    /// The address of a node's admin interface.
+    pub fn admin_address(&self, node: usize) -> SocketAddr {
+        self.admin_addresses[node]
     }
 
     /// What a node says of the fleet, and whether the group has confirmed it.
-    pub fn status(&self, at: usize) -> Option<Value> {
-        self.call(at, "GET", "/v1/fleet/status", &Value::Null).ok().map(|(_, body)| body)
+    pub fn status(&self, node: usize) -> Option<Value> {
+        self.call(node, "GET", "/v1/fleet/status", &Value::Null).ok().map(|reply| reply.body)
     }
 
-    /// Who says that it leads, confirmed by the group.
+    /// The node that says that it leads, confirmed by the group.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.spec.nodes).find(|at| {
-            let status = self.status(*at).unwrap_or_default();
+        (0..self.spec.nodes).find(|node| {
+            let status = self.status(*node).unwrap_or_default();
             status["leads"] == true && status["confirmed"] == true
         })
     }
 
-    /// Attempts that hosts were sent for one call, at most.
+    /// Most attempts that hosts were sent for one call.
     pub fn max_attempts(&self) -> u32 {
         self.attempts.lock().map_or(0, |attempts| attempts.values().copied().max().unwrap_or(0))
     }
 
-    /// Processes that ended with an error, and were not killed.
+    /// Nodes whose process exited with an error and was not killed, and how.
     pub fn failed_exits(&self) -> Vec<String> {
-        self.nodes
-            .lock()
-            .map(|nodes| nodes.iter().filter_map(|node| node.failed_exits.clone()).collect())
-            .unwrap_or_default()
+        self.supervisor.failed_exits()
     }
 }
 
-fn launch(spec: &ClusterSpec, folder: &Path, at: usize, node: &mut Node) -> std::io::Result<()> {
-    let of = folder.join(format!("n{at}"));
-    let mut command = Command::new(&spec.program);
-    for key in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_ADMIN"] {
-        command.env_remove(key);
-    }
-    let log = match &spec.logs {
-        Some(logs) => {
-            std::fs::create_dir_all(logs)?;
-            let file = std::fs::OpenOptions::new()
-                .create(true)
-                .append(true)
-                .open(logs.join(format!("n{at}.log")))?;
-            Stdio::from(file)
-        }
-        None => Stdio::null(),
-    };
-    command.env("ROUTER_CONFIG", of.join("node.json")).env("TMPDIR", of.join("tmp"));
-    let ahead_s = node.ahead_s * i64::from(node.starts + 1);
-    command.env("HARNESS_CLOCK", ahead_s.to_string());
-    command.env("ROUTER_FLEET_VERSION", &node.version).env("HARNESS_DISK", of.join("disk"));
-    node.child = Some(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?);
-    node.starts += 1;
-    node.was_killed = false;
-    Ok(())
-}
-
 impl Drop for Cluster {
     fn drop(&mut self) {
-        if let Ok(mut nodes) = self.nodes.lock() {
-            for node in nodes.iter_mut() {
-                if let Some(mut child) = node.child.take() {
-                    let _ = (child.kill(), child.wait());
-                }
-            }
-            nodes.clear();
+        for node in 0..self.spec.nodes {
+            self.supervisor.kill(node);
         }
         self.clients.end();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
+
+fn reserve_addresses(nodes: usize) -> std::io::Result<(Vec<NodeAddresses>, Vec<OwnedFd>)> {
+    let mut addresses = Vec::new();
+    let mut reserved = Vec::new();
+    for _ in 0..nodes {
+        let (clients_fd, clients) = reserve()?;
+        let (admin_fd, admin) = reserve()?;
+        let (peers_fd, peers) = reserve()?;
+        addresses.push(NodeAddresses { clients, admin, peers });
+        reserved.extend([clients_fd, admin_fd, peers_fd]);
+    }
+    Ok((addresses, reserved))
+}
+
+/// Starts the proxies at which a node dials its peers; returns their addresses by the peers' names.
+fn link_to_peers(
+    spec: &ClusterSpec,
+    node: usize,
+    addresses: &[NodeAddresses],
+    links: &Links,
+) -> std::io::Result<BTreeMap<String, String>> {
+    let mut peers = BTreeMap::new();
+    for (peer, address) in addresses.iter().enumerate() {
+        // Any node may come to hold a voter slot, but dials none that does not.
+        let is_dialled = peer < spec.voters || spec.nodes <= MOST_NODES_LINKED_TO_ALL;
+        if peer != node && is_dialled {
+            peers.insert(format!("n{peer}"), links.between(node, peer, address.peers)?.to_string());
+        }
+    }
+    Ok(peers)
+}
--- a/crates/harness/src/grouped_clients.rs
+++ b/crates/harness/src/grouped_clients.rs
@@ -10,7 +10,8 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::clients::{Clients, FrontendView};
+use crate::clients::Clients;
+use crate::frontend::FrontendView;
 use crate::{CALL_DEADLINE, LATE_ANSWER_TOLERANCE, spawn};
 
 /// A host still has a group's state so long after its last connection of it.
--- a/crates/harness/src/keyed_clients.rs
+++ b/crates/harness/src/keyed_clients.rs
@@ -9,7 +9,8 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::clients::{Clients, FrontendView};
+use crate::clients::Clients;
+use crate::frontend::FrontendView;
 use crate::{CALL_DEADLINE, LATE_ANSWER_TOLERANCE, spawn};
 
 /// A call is sent so often at most, and never later than its record is kept.
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,30 +1,35 @@
-//! For development: a fleet of real processes on loopback. Hosts, the list's service, the frontend and its clients are
-//! stand-ins; a proxy sits on every link between nodes. What is true is judged by what the stand-ins saw.
+//! For development: a cluster of real node processes on loopback, with injected faults on links, processes and disks.
+//!
+//! Hosts, discovery, the frontend and its clients are fakes; a proxy sits on every link between nodes. Tests judge by what
+//! the fakes observed, not by what nodes say of themselves.
 
 mod clients;
 mod cluster;
 mod fake_discovery;
 mod fake_host;
+mod frontend;
 mod grouped_clients;
 mod keyed_clients;
 mod links;
+mod node_config;
 mod observations;
 mod scripted_clients;
+mod supervisor;
 
 pub use clients::{ClientStats, Clients};
 pub use cluster::{AdminReply, Cluster, ClusterSpec};
 pub use fake_discovery::FakeDiscovery;
 pub use fake_host::FakeHost;
+pub use frontend::{FrontendView, NodeAvailability};
 pub use grouped_clients::{GroupObservations, GroupedClients};
 pub use keyed_clients::{KeyedClientStats, KeyedClients, class_of};
 pub use links::{LinkFault, Links};
 pub use observations::{Execution, Executions};
 pub use scripted_clients::{ClientAnswer, HostBehaviour, ScriptedClients};
 
-use std::time::Duration;
-
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 use rustix::net;
 use rustix::net::sockopt;
--- a/crates/harness/tests/processes.rs
+++ b/crates/harness/tests/processes.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use glendeck_harness::{
-    ClientAnswer, Cluster, ClusterSpec, Execution, GroupedClients, HostBehaviour, KeyedClientStats,
-    KeyedClients, LinkFault, ScriptedClients, class_of,
+    AdminReply, ClientAnswer, Cluster, ClusterSpec, Execution, GroupedClients, HostBehaviour,
+    KeyedClientStats, KeyedClients, LinkFault, ScriptedClients, class_of,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -76,9 +76,9 @@
             let took = began.elapsed();
             assert!(took < Duration::from_millis(1_500), "the door took {took:?}");
             match reply {
-                Ok((got, _)) if got == status => break,
+                Ok(reply) if reply.status == status => break,
                 // Not decided in time: asked again with the same id, as operators do.
-                Ok((503, _)) | Err(_) if status != 503 && Instant::now() < end => {}
+                Ok(AdminReply { status: 503, .. }) | Err(_) if status != 503 && Instant::now() < end => {}
                 other => panic!("{path} at n{at}: {other:?}, not {status}"),
             }
             std::thread::sleep(Duration::from_millis(100));
@@ -127,7 +127,11 @@
     }
 
     fn accepts_clients(&self, at: usize) -> bool {
-        self.cluster.clients.availability(at).is_some_and(|availability| availability.accepts_clients)
+        self.cluster
+            .clients
+            .frontend()
+            .availability(at)
+            .is_some_and(|availability| availability.accepts_clients)
     }
 
     fn link(&self, fault: LinkFault, words: &[&str]) {
@@ -279,7 +283,8 @@
             ["twice"] => self.twice = true,
             ["forgiven"] => until("no node counts as harmed", PATIENCE, || {
                 self.cluster.clear_recovered();
-                self.cluster.clients.disrupted.lock().unwrap().is_empty()
+                let frontend = self.cluster.clients.frontend();
+                !(0..self.cluster.spec.nodes).any(|node| frontend.is_disrupted(node))
             }),
             ["serving"] => {
                 until("all serve", PATIENCE, || {
@@ -362,12 +367,9 @@
                 let began = Instant::now();
                 std::thread::sleep(seconds(long));
                 for at in 0..self.cluster.spec.nodes {
-                    let gone = self
-                        .cluster
-                        .clients
-                        .availability(at)
-                        .filter(|availability| !availability.accepts_clients);
-                    let disrupted = self.cluster.clients.disrupted.lock().unwrap().contains_key(&at);
+                    let frontend = self.cluster.clients.frontend();
+                    let gone = frontend.availability(at).filter(|availability| !availability.accepts_clients);
+                    let disrupted = frontend.is_disrupted(at);
                     assert!(
                         disrupted || gone.is_none_or(|availability| availability.since < began),
                         "n{at} went out"
@@ -445,9 +447,9 @@
             ["flip", unit] => flip(&self.file(self.node(unit))),
             ["disk", unit, execute] => {
                 let execute = if *execute == "well" { "" } else { execute };
-                self.cluster.disk(self.node(unit), execute).unwrap();
+                self.cluster.set_disk_fault(self.node(unit), execute).unwrap();
             }
-            ["clock", unit, ahead] => self.cluster.clock(self.node(unit), ahead.parse().unwrap()),
+            ["clock", unit, ahead] => self.cluster.set_clock(self.node(unit), ahead.parse().unwrap()),
             // What a node says of its own keeping: used to see that it was handed on, never to judge what was done.
             [what @ ("keeping" | "notkeeping"), unit] => {
                 let (at, want) = (self.node(unit), *what == "keeping");
@@ -483,7 +485,7 @@
                 let status = self.cluster.status(self.node(unit)).unwrap();
                 assert_eq!(status["confirmed"], false, "{status}");
             }
-            ["list", host, status] => self.cluster.list.set_status(host, status),
+            ["list", host, status] => self.cluster.discovery.set_status(host, status),
             // What the group says of a host is waited for; what is so, the host itself saw.
             ["host", host, "empty"] => {
                 until(&format!("{host} empty"), PATIENCE, || self.hold(host) == "Empty");
@@ -607,7 +609,7 @@
                     zones: of("zones", 3) as usize,
                     hosts: of("hosts", 3) as usize,
                     most_out: of("out", 1),
-                    work: of("work", 0) > 0,
+                    stores_intents: of("work", 0) > 0,
                     program: env!("CARGO_BIN_EXE_harness-node").into(),
                     logs: std::env::var_os("RIG_LOGS").map(|logs| PathBuf::from(logs).join(name)),
                 };
