--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -320,3 +320,19 @@
     }
     assert_eq!(SHOWN.lines().count(), now.lines().count(), "as played now:\n{now}");
 }
+
+/// Each is what the older program wrote for the defaults, and for every other word that the keys take.
+const PLANS: [&str; 2] = [
+    r#"{"version":"v2","units":[],"waves":[1,"10%","100%"],"watch_s":10,"unit_limit_s":120,"act":"exit","on_halt":"hold","gates":{"failures_per_thousand":20,"busy_per_thousand":100,"least_calls":20,"most_lost":0,"waiting":null,"hosts_down":null}}"#,
+    r#"{"version":"v2","units":["a"],"waves":["12.5%",3],"watch_s":3,"unit_limit_s":30,"act":"drain","on_halt":"return","gates":{"failures_per_thousand":1,"busy_per_thousand":2,"least_calls":3,"most_lost":4,"waiting":5,"hosts_down":6}}"#,
+];
+
+#[test]
+fn release_plans_keep_their_keys_and_words() {
+    let minimal: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("only the version is needed");
+    assert_eq!(serde_json::to_string(&minimal).expect("a plan is plain"), PLANS[0]);
+    for recorded in PLANS {
+        let plan: Plan = serde_json::from_str(recorded).expect("a recorded plan is read");
+        assert_eq!(serde_json::to_string(&plan).expect("a plan is plain"), recorded);
+    }
+}
