--- a/crates/node/src/service.rs
+++ b/crates/node/src/service.rs
@@ -7,11 +7,11 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+use glendeck::Node;
 use glendeck::domain::{
     AttemptNumber, AttemptOutcome, Call, CallId, HostId, NodeSnapshot, Span, Time, TimerToken,
 };
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
 use rustc_hash::FxHashSet;
 use rustix::io::Errno;
@@ -1029,7 +1029,7 @@
 
     /// Whether the decisions keep away from a host now.
     pub fn avoids(&self, host: HostId) -> bool {
-        self.node.as_ref().is_some_and(|node| node.avoids(host))
+        self.node.as_ref().is_some_and(|node| node.is_ejected(host))
     }
 
     pub fn settle(&mut self) {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,9 +2,9 @@
 
 use std::io::{self, Read};
 
+use glendeck::Node;
 use glendeck::domain::*;
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use glendeck_settings::SettingsMap;
 use rustc_hash::FxHashMap;
 
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -232,7 +232,7 @@
 impl SlowStart {
     /// What a cold host stands a second that by rule may be sent so much: it falls past N + 2 root of N + 2 in the window, N being
     /// what is allowed in it. One less, which is (root of N + 1) squared: what comes due on an edge counts twice.
-    pub fn stands(&self, allowed: f64) -> f64 {
+    pub fn max_rate(&self, allowed: f64) -> f64 {
         let window = self.window.seconds().max(1e-3);
         ((allowed * window).sqrt() + 1.0).powi(2) / window
     }
@@ -277,29 +277,29 @@
 
 impl Settings {
     /// The part of the traffic that other nodes place.
-    pub fn unseen(&self) -> f64 {
+    pub fn remote_share(&self) -> f64 {
         1.0 - 1.0 / f64::from(self.nodes.max(1))
     }
 
     /// Near 0 for a few nodes, near 1 for hundreds.
-    pub fn many(&self) -> f64 {
-        self.unseen().powi(8)
+    pub fn large_fleet_factor(&self) -> f64 {
+        self.remote_share().powi(8)
     }
 
     /// How far all nodes together are bound strictly in what they send a cold host: near 0 for a few nodes, whose budgets were
     /// never near the limit; 1 for 12 to 30; 0 from 120 on, where a node sees a call in so few windows that it hardly uses what it
     /// may (bound as strictly, 300 nodes served 0.49 on roll and 0.46 on join, of 0.52 and 0.50).
-    pub fn bound_together(&self) -> f64 {
-        (1.0 - self.few()) * (1.0 - (f64::from(self.nodes) - 30.0) / 90.0).clamp(0.0, 1.0)
+    pub fn shared_limit_factor(&self) -> f64 {
+        (1.0 - self.small_fleet_factor()) * (1.0 - (f64::from(self.nodes) - 30.0) / 90.0).clamp(0.0, 1.0)
     }
 
     /// Near 1 for a few nodes, 0 from a dozen on.
-    pub fn few(&self) -> f64 {
-        (1.0 - 2.0 * self.many()).max(0.0)
+    pub fn small_fleet_factor(&self) -> f64 {
+        (1.0 - 2.0 * self.large_fleet_factor()).max(0.0)
     }
 
     /// The shortest that any traffic class has for its messages, in seconds.
-    pub fn message_target(&self) -> f64 {
+    pub fn message_target_seconds(&self) -> f64 {
         let targets = self.traffic.iter().filter_map(|traffic| traffic.message_target);
         targets.min().unwrap_or(Span::ms(1000)).seconds().max(1e-3)
     }
--- /dev/null
+++ b/src/node.rs
@@ -0,0 +1,177 @@
+//! A node: the part of a balancer that decides.
+//!
+//! Start one with [`Node::start`], then tell it what happens by its other methods, in the order in which it happens; it
+//! answers on the [`Port`] handed in. docs/design.md says where the mechanism comes from.
+//!
+//! A call passes the stages of [`CHAIN`]: whether it may still be tried ([`eligibility`]), where it goes
+//! ([`placement`]), and the one place that sends attempts and checks each ([`dispatch`]). The end of an attempt passes
+//! them in reverse. Each submodule adds one concern to [`Node`]; none imports another.
+
+mod admission;
+mod affinity;
+mod dispatch;
+mod eligibility;
+mod endpoint_list;
+mod events;
+mod idempotency;
+mod outlier_detection;
+mod overload;
+mod placement;
+mod rebalancing;
+mod reconfiguration;
+mod score;
+mod slow_start;
+mod snapshot;
+mod tick;
+
+use std::ops::ControlFlow;
+
+use nanorand::{Rng, WyRand};
+use rustc_hash::FxHashMap;
+use slab::Slab;
+
+use crate::domain::{CallId, HostId, Settings, Span, Time, TimerToken};
+use crate::port::Port;
+use crate::state::call::{AttemptEnd, CallIndex, InFlightCall};
+use crate::state::concurrency_limit::ConcurrencyLimit;
+use crate::state::endpoint_watch::EndpointWatch;
+use crate::state::fleet_estimate::FleetEstimate;
+use crate::state::groups::{GroupTable, HomeOrder};
+use crate::state::host::{Host, HostIndex};
+use crate::state::host_size::SizeEstimator;
+use crate::state::load_cache::LoadCache;
+use crate::state::load_stats::LoadStats;
+use crate::state::retry_counter::RetryCounter;
+use crate::state::traffic_stats::TrafficStats;
+use crate::state::waiting_queue::WaitingQueue;
+
+/// Period of the node's housekeeping.
+const TICK_PERIOD: Span = Span::ms(1000);
+/// Timer of the housekeeping.
+const TICK_TIMER: TimerToken = TimerToken(0);
+/// Timer of the waiting queue.
+const QUEUE_TIMER: TimerToken = TimerToken(1);
+/// Timer of the next request for the endpoint list.
+const WATCH_TIMER: TimerToken = TimerToken(2);
+
+/// What a stage decides on a call.
+enum StageResult {
+    /// The next stage decides.
+    Continue,
+    /// The call waits for a host.
+    Enqueue,
+    /// The call gets its final answer now.
+    Answer,
+}
+
+/// One stage of the chain.
+struct Stage {
+    forward: fn(&mut Node, CallIndex, &mut dyn Port) -> StageResult,
+    unwind: fn(&mut Node, CallIndex, AttemptEnd, &mut dyn Port) -> ControlFlow<()>,
+}
+
+const CHAIN: [Stage; 3] = [
+    Stage { forward: Node::check_eligibility, unwind: Node::finish_or_retry },
+    Stage { forward: Node::place, unwind: Node::learn_from_attempt },
+    Stage { forward: Node::send, unwind: Node::release_slot },
+];
+
+/// All state and all decisions of one node.
+pub struct Node {
+    settings: Settings,
+    rng: WyRand,
+    /// Time of the event that is being handled.
+    now: Time,
+    hosts: Vec<Host>,
+    /// Hosts ordered by id.
+    hosts_by_id: Vec<HostIndex>,
+    host_index: FxHashMap<HostId, HostIndex>,
+    calls: Slab<InFlightCall>,
+    call_index: FxHashMap<CallId, CallIndex>,
+    groups: GroupTable,
+    home_order: HomeOrder,
+    fleet: FleetEstimate,
+    sizes: SizeEstimator,
+    setup_limit: ConcurrencyLimit,
+    waiting: WaitingQueue,
+    loads: LoadStats,
+    load_cache: LoadCache,
+    traffic: TrafficStats,
+    retries: RetryCounter,
+    /// Ticks so far.
+    ticks: u64,
+    last_tick: Time,
+    /// Host that was probed last to measure its probe time.
+    probe_cursor: HostIndex,
+    /// Most ready hosts are ejected, which is more likely this node's own fault: ejections are ignored.
+    is_in_panic_mode: bool,
+    endpoint_watch: EndpointWatch,
+}
+
+impl Node {
+    /// Starts a node that knows no host yet. All randomness follows from the seed.
+    pub fn start(settings: Settings, seed: u64, now: Time, port: &mut dyn Port) -> Node {
+        let settings = reconfiguration::temper_revenue(settings);
+        let mut rng = WyRand::new_seed(seed);
+        // Nodes that start together tick at different moments, so that their moves do not coincide.
+        let tick_offset = TICK_PERIOD.times(f64::from(rng.generate::<f32>()));
+        port.set_timer(now + tick_offset, TICK_TIMER);
+        let watch_offset = endpoint_list::request_spread(&settings).times(f64::from(rng.generate::<f32>()));
+        let endpoint_watch = endpoint_list::start_watch(&settings, now, watch_offset, port);
+        Node {
+            rng,
+            now,
+            hosts: Vec::new(),
+            hosts_by_id: Vec::new(),
+            host_index: FxHashMap::default(),
+            calls: Slab::new(),
+            call_index: FxHashMap::default(),
+            groups: GroupTable::default(),
+            home_order: HomeOrder::default(),
+            fleet: FleetEstimate::default(),
+            sizes: SizeEstimator::default(),
+            setup_limit: ConcurrencyLimit::new(),
+            waiting: WaitingQueue::default(),
+            loads: LoadStats::new(settings.traffic.len()),
+            load_cache: LoadCache::default(),
+            traffic: TrafficStats::default(),
+            retries: RetryCounter::default(),
+            ticks: 0,
+            last_tick: now,
+            probe_cursor: 0,
+            is_in_panic_mode: false,
+            endpoint_watch,
+            settings,
+        }
+    }
+
+    /// Sends a call through the stages, from the first.
+    fn forward(&mut self, call_index: CallIndex, port: &mut dyn Port) {
+        for stage in &CHAIN {
+            match (stage.forward)(self, call_index, port) {
+                StageResult::Continue => {}
+                StageResult::Enqueue => return self.enqueue(call_index, port),
+                StageResult::Answer => return self.answer(call_index, port),
+            }
+        }
+    }
+
+    /// Sends the end of an attempt through the stages, from the last.
+    fn unwind(&mut self, call_index: CallIndex, end: AttemptEnd, port: &mut dyn Port) {
+        for stage in CHAIN.iter().rev() {
+            if (stage.unwind)(self, call_index, end, port).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// A random number from 0 to below 1.
+    fn random(&mut self) -> f64 {
+        f64::from(self.rng.generate::<f32>())
+    }
+
+    /// A random factor from 0.75 to 1.25, so that nodes do not act in step.
+    fn jitter(&mut self) -> f64 {
+        0.75 + 0.5 * self.random()
+    }
+}
--- /dev/null
+++ b/src/node/affinity.rs
@@ -0,0 +1,84 @@
+//! Connections of one group prefer the same hosts, their homes. All nodes draw the homes alike from the ids, by weighted
+//! rendezvous hashing: a node of many sees few of a group's connections, and without a common order all nodes together
+//! would spread the group over every host.
+
+use super::Node;
+use crate::domain::{Condition, GroupId};
+use crate::state::call::CallIndex;
+use crate::state::host::Host;
+use crate::state::shared_draw::shared_draw;
+
+/// A node's few connections say little of one group: this many that are like its groups in the mean count beside them.
+const PRIOR_CONNECTIONS: f64 = 20.0;
+/// Hosts of one zone that a group has to fill to get homes in each zone: a smaller group costs more in each zone than
+/// its crossings do, and gets homes over all zones.
+const MIN_HOSTS_FOR_ZONE_HOMES: f64 = 0.25;
+/// Homes are rounded up from this share of a host on.
+const HOME_ROUNDING: f64 = 0.75;
+/// Multiple of the crossing price at which no home is in another zone.
+const CROSSING_COST_FACTOR: f64 = 10.0;
+/// Open share of the fleet below which calls wait for a home, for a node of many.
+const WAIT_BELOW_OPEN_SHARE: f64 = 0.95;
+
+impl Node {
+    /// Whether the call waits for a home, or a host that has some of its group. When homes are closed, calls that go
+    /// anywhere would make every host pay for every group. So they wait unless nearly all is open; more so, the less a
+    /// node sees.
+    pub(super) fn waits_for_home(&self, call_index: CallIndex) -> bool {
+        let has_group = self.calls[call_index].call.group.is_some();
+        has_group && self.fleet.open_share < WAIT_BELOW_OPEN_SHARE * self.settings.remote_share()
+    }
+
+    /// Orders the hosts for the call's group. A group with more of the traffic has more homes.
+    pub(super) fn order_homes(&mut self, call_index: CallIndex) {
+        // Taken out, since the keys are computed from the rest of the node.
+        let mut order = std::mem::take(&mut self.home_order);
+        order.clear();
+        if let Some(group) = self.calls[call_index].call.group {
+            let traffic_share = self.group_traffic_share(group);
+            let remote_zone_factor = self.remote_zone_factor(traffic_share);
+            let keys = self.hosts.iter().enumerate().map(|(index, host)| {
+                let zone_factor = if host.zone == self.settings.zone { 1.0 } else { remote_zone_factor };
+                self.home_key(group, index, host, zone_factor)
+            });
+            order.keys.extend(keys);
+            let usable_hosts = order.keys.iter().filter(|key| !key.is_infinite()).count() as u32;
+            let expected_homes = self.fleet.open_share * traffic_share * f64::from(usable_hosts);
+            order.set_home_count(1 + (expected_homes + HOME_ROUNDING) as usize);
+            for (key, connections) in order.keys.iter_mut().zip(self.groups.connections_by_host(group)) {
+                *key = if *connections > 0 { 0.0 } else { *key };
+            }
+        }
+        self.home_order = order;
+    }
+
+    /// The group's part of the traffic, shrunk towards how alike this node's groups are.
+    fn group_traffic_share(&self, group: GroupId) -> f64 {
+        let own = f64::from(self.groups.connections(group));
+        (own + PRIOR_CONNECTIONS * self.groups.similarity) / (self.groups.total as f64 + PRIOR_CONNECTIONS)
+    }
+
+    /// Weight of hosts in other zones when homes are drawn; those of this zone have 1.
+    fn remote_zone_factor(&self, traffic_share: f64) -> f64 {
+        let is_local = |host: &&Host| host.zone == self.settings.zone && host.condition == Condition::Ready;
+        let local_hosts = self.hosts.iter().filter(is_local).count();
+        if traffic_share * (local_hosts as f64) < MIN_HOSTS_FOR_ZONE_HOMES {
+            return 1.0;
+        }
+        let by_price = 1.0 - CROSSING_COST_FACTOR * self.settings.cross_zone_price;
+        let by_displaced = self.displaced_share() / self.settings.remote_share().max(0.1);
+        by_price.max(by_displaced).clamp(0.0, 1.0)
+    }
+
+    /// A host's key in the group's order; infinite if it cannot be a home. In a large fleet a cold host counts with its
+    /// full size: drawn by what it can do now it would be nobody's home while it warms up.
+    fn home_key(&self, group: GroupId, index: usize, host: &Host, zone_factor: f64) -> f64 {
+        let large_fleet = self.settings.large_fleet_factor();
+        let share = large_fleet + (1.0 - large_fleet) * self.slow_start_share(index);
+        let weight = zone_factor * host.size.0 * share;
+        if host.condition != Condition::Ready || host.ejection.is_some() || weight <= 0.0 {
+            return f64::INFINITY;
+        }
+        (1.0 - shared_draw(group.0, host.id.0)) / weight
+    }
+}
--- /dev/null
+++ b/src/node/dispatch.rs
@@ -0,0 +1,111 @@
+//! Last stage: the one place that sends attempts. Each is checked here against the four rules: no call is lost, no effect
+//! happens twice, drains are kept, and all nodes together do not overload a cold host.
+
+use std::ops::ControlFlow;
+
+use super::{Node, StageResult};
+use crate::domain::{Condition, Span};
+use crate::port::Port;
+use crate::state::call::{AttemptEnd, AttemptSlot, CallIndex, PossibleRun};
+use crate::state::host::HostIndex;
+
+impl Node {
+    /// Sends an attempt to the host that was chosen.
+    pub(super) fn send(&mut self, call_index: CallIndex, port: &mut dyn Port) -> StageResult {
+        let host = self.calls[call_index].chosen_host;
+        if !self.is_permitted(call_index, host) || !self.is_within_retry_budget(call_index) {
+            return StageResult::Enqueue;
+        }
+        self.retries.record_attempt(&self.settings, self.now, self.calls[call_index].attempts);
+        if self.slow_start_share(host) < 1.0 {
+            self.hosts[host].slow_start_budget -= 1.0;
+        }
+        let timeout = self.attempt_timeout(call_index);
+        self.traffic.recent_attempts += 1.0;
+        let call = &mut self.calls[call_index];
+        call.sent_at = self.now;
+        call.is_established = false;
+        call.setups_ahead = self.hosts[host].pending_setups;
+        let call_id = call.call.id;
+        self.hosts[host].pending_setups += 1;
+        self.setup_limit.in_progress += 1;
+        self.hosts[host].attempts_since_list[0] += 1.0;
+        self.occupy_slot(call_index, host);
+        port.send_attempt(call_id, self.hosts[host].id, timeout);
+        StageResult::Continue
+    }
+
+    /// All that an attempt may not break, asked while choosing and again on sending.
+    pub(super) fn is_permitted(&self, call_index: CallIndex, host: HostIndex) -> bool {
+        let call = &self.calls[call_index];
+        call.outstanding.is_none()
+            && !call.is_answered
+            && call.attempts < self.settings.max_attempts
+            && self.time_left(call_index) > Span::ZERO
+            && self.hosts[host].condition == Condition::Ready
+            && self.slow_start_allows(call_index, host)
+            && self.may_repeat_on(call_index, host)
+    }
+
+    /// What an attempt may take: the setup target or half of what is left, so that another has room, or three times
+    /// what setups take of late. Where all setups take long, an attempt that is cut off is worked on all the same,
+    /// before the next.
+    fn attempt_timeout(&self, call_index: CallIndex) -> Span {
+        let call = &self.calls[call_index];
+        let time_left = self.time_left(call_index);
+        if call.attempts + 1 >= self.settings.max_attempts {
+            return time_left;
+        }
+        let setup_target = self.settings.traffic[call.class_index()].setup_target;
+        let recent_setups = Span::from_seconds(3.0 * self.traffic.setup_time);
+        time_left.times(0.5).max(setup_target).max(recent_setups).min(time_left)
+    }
+
+    /// Books an attempt at a host.
+    pub(super) fn occupy_slot(&mut self, call_index: CallIndex, host: HostIndex) {
+        self.hosts[host].update_work(self.now, self.loads.mean);
+        let call = &mut self.calls[call_index];
+        call.attempts += 1;
+        call.outstanding = Some(AttemptSlot { host, position: self.hosts[host].calls.len() });
+        self.groups.count(call.call.group, host, 1);
+        self.hosts[host].calls.push(call_index);
+        self.count_load(call_index, host, 1.0);
+    }
+
+    /// First step of an attempt's end: its place at the host is free again.
+    pub(super) fn release_slot(
+        &mut self,
+        call_index: CallIndex,
+        end: AttemptEnd,
+        _: &mut dyn Port,
+    ) -> ControlFlow<()> {
+        let Some(AttemptSlot { host, position }) = self.calls[call_index].outstanding.take() else {
+            return ControlFlow::Break(());
+        };
+        if !end.was_established {
+            self.hosts[host].pending_setups -= 1;
+            self.setup_limit.in_progress -= 1;
+        }
+        self.hosts[host].update_work(self.now, self.loads.mean);
+        self.hosts[host].calls.swap_remove(position);
+        if let Some(moved) = self.hosts[host].calls.get(position).copied() {
+            self.calls[moved].outstanding = Some(AttemptSlot { host, position });
+        }
+        self.count_load(call_index, host, -1.0);
+        self.groups.count(self.calls[call_index].call.group, host, -1);
+        let call = &mut self.calls[call_index];
+        if !end.outcome.never_ran() && call.first_run.is_none() {
+            call.first_run = Some(PossibleRun { host, sent_at: call.sent_at });
+        }
+        if !end.is_final {
+            call.failed_hosts.push(host);
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Counts a connection's load in (`sign` 1) or out (-1) at a host.
+    pub(super) fn count_load(&mut self, call_index: CallIndex, host: HostIndex, sign: f64) {
+        self.hosts[host].update_work(self.now, self.loads.mean);
+        self.loads.count(&mut self.hosts[host], self.calls[call_index].load, sign);
+    }
+}
--- /dev/null
+++ b/src/node/eligibility.rs
@@ -0,0 +1,53 @@
+//! First stage: whether a call may still be tried.
+
+use std::ops::ControlFlow;
+
+use super::{Node, StageResult};
+use crate::domain::Span;
+use crate::port::Port;
+use crate::state::call::{AttemptEnd, CallIndex};
+
+impl Node {
+    /// Ends a call that cannot succeed any more; lets it wait while too many setups are in progress.
+    pub(super) fn check_eligibility(&mut self, call_index: CallIndex, _: &mut dyn Port) -> StageResult {
+        let call = &self.calls[call_index];
+        let setup_target = self.settings.traffic[call.class_index()].setup_target;
+        let time_left = self.time_left(call_index);
+        let is_hopeless = time_left < Span::from_seconds(self.traffic.setup_time).min(setup_target);
+        let is_exhausted = call.attempts >= self.settings.max_attempts
+            || time_left == Span::ZERO
+            || !self.may_repeat(call_index);
+        // A call that waited for the retry budget would only be parked.
+        if is_exhausted || is_hopeless || !self.is_within_retry_budget(call_index) {
+            return StageResult::Answer;
+        }
+        if self.setup_limit.is_reached() { StageResult::Enqueue } else { StageResult::Continue }
+    }
+
+    /// Last step of an attempt's end: the call is over, or tried again.
+    pub(super) fn finish_or_retry(
+        &mut self,
+        call_index: CallIndex,
+        end: AttemptEnd,
+        port: &mut dyn Port,
+    ) -> ControlFlow<()> {
+        if end.is_final || self.calls[call_index].is_answered {
+            self.remove_call(call_index);
+        } else {
+            self.forward(call_index, port);
+        }
+        ControlFlow::Break(())
+    }
+
+    /// Whether a call's next attempt is its first, or within the budget for retries.
+    pub(super) fn is_within_retry_budget(&self, call_index: CallIndex) -> bool {
+        self.calls[call_index].attempts == 0 || self.retries.allows_retry(&self.settings, self.now)
+    }
+
+    /// Time for another attempt. Two ticks are kept back: what happens at the deadline itself is seen a tick later, and
+    /// the answer must still be in time.
+    pub(super) fn time_left(&self, call_index: CallIndex) -> Span {
+        let reserve = self.settings.tick.times(2.0);
+        (self.calls[call_index].call.guard - reserve).since(self.now)
+    }
+}
--- /dev/null
+++ b/src/node/events.rs
@@ -0,0 +1,141 @@
+//! What happens to calls and attempts, as the host of the node reports it.
+
+use super::{Node, QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
+use crate::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, News, Span, Time, TimerToken};
+use crate::port::Port;
+use crate::state::call::{AttemptEnd, CallIndex};
+use crate::state::host::HostIndex;
+
+/// A queue timer that fires so much early counts as due.
+const TIMER_TOLERANCE: Span = Span(1000);
+
+impl Node {
+    /// A client asks for a connection.
+    pub fn call_arrived(&mut self, now: Time, call: Call, port: &mut dyn Port) {
+        self.now = now;
+        self.retries.record_call(&self.settings, now);
+        self.traffic.new_clients += u32::from(!call.returning && !call.mid_flow);
+        let call_index = self.admit(call);
+        if self.exceeds_remaining_capacity(call_index) {
+            return self.answer(call_index, port);
+        }
+        // Calls that wait for a home do not wait for each other.
+        let is_first = self.waiting.calls.is_empty() || self.waits_for_home(call_index);
+        if is_first { self.forward(call_index, port) } else { self.enqueue(call_index, port) }
+    }
+
+    /// A connection was open at a host when the node started.
+    pub fn existing_connection(&mut self, now: Time, call: Call, host: HostId) {
+        self.now = now;
+        let Some(host) = self.host_index.get(&host).copied() else { return };
+        let call_index = self.admit(call);
+        self.calls[call_index].is_established = true;
+        self.occupy_slot(call_index, host);
+    }
+
+    /// An attempt has set up its connection after the time it took.
+    pub fn attempt_established(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: AttemptNumber,
+        took: Span,
+        port: &mut dyn Port,
+    ) {
+        self.now = now;
+        let Some((call_index, host)) = self.outstanding_attempt(call, attempt) else { return };
+        if std::mem::replace(&mut self.calls[call_index].is_established, true) {
+            return;
+        }
+        self.hosts[host].pending_setups -= 1;
+        self.record_setup_time(call_index, Some(took));
+        self.setup_limit.in_progress -= 1;
+        self.hosts[host].reject_backoff = Span::ZERO;
+        self.record_success(host);
+        let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
+        // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
+        // long, a message is late too.
+        if !self.settings.reports_message_times {
+            let excess = self.hosts[host].record_setup_excess(took.seconds() - allowed_time);
+            self.record_message_time(host, excess, port);
+        }
+    }
+
+    /// The call and host of an attempt, if that is the call's outstanding one.
+    fn outstanding_attempt(&self, call: CallId, attempt: AttemptNumber) -> Option<(CallIndex, HostIndex)> {
+        let call_index = *self.call_index.get(&call)?;
+        let call = self.calls.get(call_index).filter(|call| call.attempts == attempt.0 + 1)?;
+        call.outstanding.map(|slot| (call_index, slot.host))
+    }
+
+    /// An attempt has ended. `final_answer` says that the client has its answer by this end or before it.
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: AttemptNumber,
+        outcome: AttemptOutcome,
+        final_answer: bool,
+        port: &mut dyn Port,
+    ) {
+        self.now = now;
+        let Some((call_index, host)) = self.outstanding_attempt(call, attempt) else { return };
+        let was_established = self.calls[call_index].is_established;
+        let end = AttemptEnd { outcome, is_final: final_answer, host, was_established };
+        self.unwind(call_index, end, port);
+    }
+
+    /// The client left: nothing is owed to it, and an attempt that is still outstanding need not go on.
+    pub fn client_left(&mut self, now: Time, call: CallId, port: &mut dyn Port) {
+        self.now = now;
+        let Some(call_index) = self.call_index.get(&call).copied() else { return };
+        if self.calls[call_index].outstanding.is_none() {
+            return self.remove_call(call_index);
+        }
+        self.calls[call_index].is_answered = true;
+        if self.settings.can_cancel && !self.calls[call_index].is_established {
+            port.cancel(call, AttemptNumber(self.calls[call_index].attempts - 1));
+        }
+    }
+
+    /// A host reported on an outstanding attempt.
+    pub fn attempt_report(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: AttemptNumber,
+        news: News,
+        port: &mut dyn Port,
+    ) {
+        self.now = now;
+        let Some((call_index, host)) = self.outstanding_attempt(call, attempt) else { return };
+        match news {
+            News::Load(load) => {
+                self.count_load(call_index, host, -1.0);
+                self.calls[call_index].load = Some(load);
+                self.count_load(call_index, host, 1.0);
+            }
+            News::MessageTime(took) => self.record_message_time(host, took, port),
+        }
+    }
+
+    /// A timer that the node set has fired.
+    pub fn timer_fired(&mut self, now: Time, token: TimerToken, port: &mut dyn Port) {
+        self.now = now;
+        match token {
+            TICK_TIMER => self.tick(port),
+            QUEUE_TIMER => self.queue_timer_fired(port),
+            WATCH_TIMER => self.watch_timer_fired(port),
+            _ => {}
+        }
+    }
+
+    /// A timer that an earlier one has overtaken would start a second chain of timers, and chains that multiply stop the
+    /// node: only the one that is expected counts.
+    fn queue_timer_fired(&mut self, port: &mut dyn Port) {
+        if self.waiting.wakeup_at.is_some_and(|wakeup_at| self.now + TIMER_TOLERANCE >= wakeup_at) {
+            self.waiting.wakeup_at = None;
+            self.retry_waiting_calls(port);
+        }
+    }
+}
--- /dev/null
+++ b/src/node/tick.rs
@@ -0,0 +1,56 @@
+//! Housekeeping, once a second.
+
+use super::{Node, TICK_PERIOD, TICK_TIMER};
+use crate::port::Port;
+
+/// Smoothing of a host's load, from the paper named in docs/design.md.
+const LOAD_SMOOTHING: f64 = 0.06;
+/// Lowest smoothing of how alike groups are.
+const GROUP_SMOOTHING: f64 = 0.06;
+/// What a second leaves of an overload penalty: half in 5 s, the time between two moves.
+const PENALTY_DECAY: f64 = 0.87;
+/// The same where the node has no connections: from there it hears no news, good or bad.
+const UNSEEN_PENALTY_DECAY: f64 = 0.97;
+/// What a second leaves of the counts of recent attempts and breaks.
+const RECENT_DECAY: f64 = 0.8;
+/// Ticks between two generations of remembered loads.
+const LOAD_CACHE_PERIOD: u64 = 30;
+/// Ticks between two moves.
+const REBALANCE_PERIOD: u64 = 5;
+
+impl Node {
+    /// Updates all estimates, probes, and moves connections that are due to move.
+    pub(super) fn tick(&mut self, port: &mut dyn Port) {
+        let elapsed = self.now.since(self.last_tick).seconds().max(1e-3);
+        self.last_tick = self.now;
+        self.ticks += 1;
+        self.update_hosts(elapsed);
+        self.groups.tick((1.0 / self.ticks as f64).max(GROUP_SMOOTHING));
+        self.traffic.fade(RECENT_DECAY);
+        self.setup_limit.decay();
+        self.fill_budgets(elapsed);
+        self.update_remote_load(elapsed);
+        if self.ticks.is_multiple_of(LOAD_CACHE_PERIOD) {
+            self.load_cache.rotate();
+        }
+        self.probe_hosts_in_service(port);
+        self.probe_ejected_hosts(port);
+        self.poll_endpoints(port);
+        self.update_fleet_estimate();
+        self.grow_load_limits();
+        if self.ticks.is_multiple_of(REBALANCE_PERIOD) {
+            self.rebalance(port);
+        }
+        port.set_timer(self.now + TICK_PERIOD, TICK_TIMER);
+    }
+
+    fn update_hosts(&mut self, elapsed: f64) {
+        for host in &mut self.hosts {
+            host.update_work(self.now, self.loads.mean);
+            host.smooth_load(LOAD_SMOOTHING, elapsed);
+            host.broken_connections = 0;
+            let is_unseen = host.calls.is_empty();
+            host.overload_penalty *= if is_unseen { UNSEEN_PENALTY_DECAY } else { PENALTY_DECAY };
+        }
+    }
+}
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,6 +1,6 @@
 //! The interface between the decisions and what carries them out.
 //!
-//! Whoever hosts a node calls the methods of [`crate::rules::Node`] with what has happened; each gets the
+//! Whoever hosts a node calls the methods of [`crate::Node`] with what has happened; each gets the
 //! time and a [`Port`] on which the node says what to do, in order. One call gets one `reject`, one `release`
 //! or the completion that the host's own answer brings.
 
--- /dev/null
+++ b/src/state.rs
@@ -0,0 +1,17 @@
+//! What a node knows: calls, hosts, and estimates of traffic, load and sizes. Each module owns one kind of state and
+//! its arithmetic; what follows from it for a call is decided in [`crate::node`].
+
+pub(crate) mod call;
+pub(crate) mod concurrency_limit;
+pub(crate) mod endpoint_watch;
+pub(crate) mod fleet_estimate;
+pub(crate) mod groups;
+pub(crate) mod host;
+pub(crate) mod host_size;
+pub(crate) mod load_cache;
+pub(crate) mod load_stats;
+pub(crate) mod remote_connections;
+pub(crate) mod retry_counter;
+pub(crate) mod shared_draw;
+pub(crate) mod traffic_stats;
+pub(crate) mod waiting_queue;
--- /dev/null
+++ b/src/state/call.rs
@@ -0,0 +1,93 @@
+//! A call that has no final answer yet, or whose connection is open.
+
+use crate::domain::{AttemptOutcome, Call, Time};
+use crate::state::host::HostIndex;
+
+/// Index of a call in the node's table of in-flight calls.
+pub(crate) type CallIndex = usize;
+
+/// Where the outstanding attempt of a call is booked.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptSlot {
+    pub host: HostIndex,
+    /// Position in the host's list of calls.
+    pub position: usize,
+}
+
+/// An attempt that may have run.
+#[derive(Clone, Copy)]
+pub(crate) struct PossibleRun {
+    pub host: HostIndex,
+    pub sent_at: Time,
+}
+
+/// A call and its attempts so far.
+pub(crate) struct InFlightCall {
+    pub call: Call,
+    /// Attempts sent so far.
+    pub attempts: u16,
+    pub outstanding: Option<AttemptSlot>,
+    /// The host that placement chose last.
+    pub chosen_host: HostIndex,
+    /// The outstanding attempt has set up its connection.
+    pub is_established: bool,
+    pub is_answered: bool,
+    /// It is in the waiting queue.
+    pub is_waiting: bool,
+    /// The client returns, but its previous connection was at another node.
+    pub is_displaced: bool,
+    /// The client was asked to connect anew.
+    pub is_migrating: bool,
+    /// Load in seconds of work a second, where it is known.
+    pub load: Option<f64>,
+    /// The first attempt that may have run.
+    pub first_run: Option<PossibleRun>,
+    /// When the last attempt was sent.
+    pub sent_at: Time,
+    /// How many attempts were setting up at the host when the last one was sent.
+    pub setups_ahead: u32,
+    pub failed_hosts: Vec<HostIndex>,
+}
+
+impl InFlightCall {
+    /// A call without any attempt of this node.
+    pub fn new(call: Call, load: Option<f64>, now: Time) -> InFlightCall {
+        InFlightCall {
+            call,
+            attempts: 0,
+            outstanding: None,
+            chosen_host: 0,
+            is_established: false,
+            is_answered: false,
+            is_waiting: false,
+            is_displaced: false,
+            is_migrating: false,
+            load,
+            first_run: None,
+            sent_at: now,
+            setups_ahead: 0,
+            failed_hosts: Vec::new(),
+        }
+    }
+
+    /// Whether the connection is established and its client was not asked to leave.
+    pub fn is_open(&self) -> bool {
+        self.is_established && !self.is_migrating
+    }
+
+    /// Index of the call's traffic class.
+    pub fn class_index(&self) -> usize {
+        usize::from(self.call.traffic.0)
+    }
+}
+
+/// The end of an attempt, as the stages see it.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptEnd {
+    pub outcome: AttemptOutcome,
+    /// The call has its final answer, by this end or before it.
+    pub is_final: bool,
+    pub host: HostIndex,
+    /// The attempt had set up its connection.
+    pub was_established: bool,
+}
--- /dev/null
+++ b/src/state/load_cache.rs
@@ -0,0 +1,67 @@
+//! Loads that clients' connections had when they ended, for the clients' return.
+
+use rustc_hash::FxHashMap;
+
+use crate::domain::SubjectId;
+
+/// Two generations of loads: entries live for one to two periods of [`LoadCache::rotate`].
+#[derive(Default)]
+struct Generations([FxHashMap<SubjectId, f64>; 2]);
+
+impl Generations {
+    fn load(&self, subject: SubjectId) -> Option<f64> {
+        self.0.iter().find_map(|loads| loads.get(&subject).copied())
+    }
+
+    fn insert(&mut self, subject: SubjectId, load: f64) {
+        self.0[0].insert(subject, load);
+    }
+
+    fn rotate(&mut self) {
+        self.0.swap(0, 1);
+        self.0[0].clear();
+    }
+}
+
+/// Loads of connections that ended recently, at this node and at nodes that were lost.
+///
+/// The two are kept apart since a client whose load is known here left here, and load limits are not raised for it.
+/// What a lost node told says nothing of that.
+#[derive(Default)]
+pub(crate) struct LoadCache {
+    local: Generations,
+    from_lost_nodes: Generations,
+}
+
+impl LoadCache {
+    /// Load of the client's last connection at this node.
+    pub fn local_load(&self, subject: SubjectId) -> Option<f64> {
+        self.local.load(subject)
+    }
+
+    /// Load of the client's last connection at a node that was lost.
+    pub fn lost_node_load(&self, subject: SubjectId) -> Option<f64> {
+        self.from_lost_nodes.load(subject)
+    }
+
+    /// Records a connection of this node that ended.
+    pub fn insert_local(&mut self, subject: SubjectId, load: f64) {
+        self.local.insert(subject, load);
+    }
+
+    /// Records what a lost node told.
+    pub fn insert_from_lost_node(&mut self, subject: SubjectId, load: f64) {
+        self.from_lost_nodes.insert(subject, load);
+    }
+
+    /// All loads of this node's connections.
+    pub fn local_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
+        self.local.0.iter().flatten().map(|(subject, load)| (*subject, *load))
+    }
+
+    /// Starts a new generation and drops the older one.
+    pub fn rotate(&mut self) {
+        self.local.rotate();
+        self.from_lost_nodes.rotate();
+    }
+}
--- /dev/null
+++ b/src/state/load_stats.rs
@@ -0,0 +1,45 @@
+//! Mean load of connections, in all and by traffic class.
+
+use crate::state::host::Host;
+
+/// The mean of a class is taken over about twenty connections.
+const CLASS_SMOOTHING: f64 = 0.05;
+
+/// Loads that were reported for in-flight connections, in seconds of work a second.
+pub(crate) struct LoadStats {
+    reported_load: f64,
+    reported_count: u32,
+    /// Mean reported load; 0 before the first report.
+    pub mean: f64,
+    /// Mean load by traffic class; 0 before the first.
+    pub mean_by_class: Vec<f64>,
+}
+
+impl LoadStats {
+    /// Nothing is reported yet.
+    pub fn new(classes: usize) -> LoadStats {
+        LoadStats { reported_load: 0.0, reported_count: 0, mean: 0.0, mean_by_class: vec![0.0; classes] }
+    }
+
+    /// Adds (`sign` 1) or removes (-1) one connection's load at a host, if it was reported.
+    pub fn count(&mut self, host: &mut Host, load: Option<f64>, sign: f64) {
+        if let Some(load) = load {
+            host.reported_load += sign * load;
+            host.reported_count = host.reported_count.wrapping_add_signed(sign as i32);
+            self.reported_load += sign * load;
+            self.reported_count = self.reported_count.wrapping_add_signed(sign as i32);
+        }
+        if self.reported_count > 0 {
+            self.mean = (self.reported_load / f64::from(self.reported_count)).max(0.0);
+        }
+    }
+
+    /// Updates a class's mean by a connection that ended. The first one starts from the mean of all.
+    pub fn record_class(&mut self, class_index: usize, load: f64) {
+        let mean = &mut self.mean_by_class[class_index];
+        if *mean <= 0.0 {
+            *mean = self.mean;
+        }
+        *mean += CLASS_SMOOTHING * (load - *mean);
+    }
+}
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -4,9 +4,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+use glendeck::Node;
 use glendeck::domain::*;
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
 use test_case::test_case;
 
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use glendeck::Node;
 use glendeck::domain::*;
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
 
 const RECORDED: &str = include_str!("fixtures/decision-digests.txt");
@@ -254,7 +254,7 @@
             cell: Cell(self.rng.generate_range(0..4u16)),
             condition: Condition::Ready,
             weight: Weight(f64::from(self.rng.generate_range(1..5u32)) * 0.5),
-            kind: self.chance(0.5).then(|| Kind(number % 3)),
+            kind: self.chance(0.5).then_some(Kind(number % 3)),
             up_since: cold.then_some(started),
         };
         let behaviour = self.draw_behaviour();
@@ -626,7 +626,7 @@
             .hosts
             .iter()
             .map(|(line, _)| line.host)
-            .filter(|host| self.node.avoids(*host))
+            .filter(|host| self.node.is_ejected(*host))
             .map(|host| host.0)
             .collect();
         avoided.iter().for_each(|host| self.recorder.digest.add(*host));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use glendeck::Node;
 use glendeck::domain::*;
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use test_case::test_case;
 
 #[derive(Default)]
