--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -44,7 +44,7 @@
     pub retry_budget: Option<RetryBudget>,
     /// A listed start may be off by so much, either way.
     pub start_uncertainty: Span,
-    /// Price of a connection to another zone, beside what a connection earns.
+    /// Cost of an attempt that crosses zones, as a fraction of first attempts.
     pub cross_zone_price: f64,
     /// What the whole run weighs in how service is judged, beside the worst-served traffic class.
     pub whole_weight: f64,
