--- /dev/null
+++ b/tests/decision_digests/day/settings.rs
@@ -0,0 +1,44 @@
+//! Settings as drawn for a day.
+
+use glendeck::domain::*;
+use nanorand::{Rng, WyRand};
+
+pub(super) fn draw_settings(rng: &mut WyRand, nodes: u32) -> Settings {
+    let mut chance = |part: f64| f64::from(rng.generate::<f32>()) < part;
+    let scope = match (chance(0.4), chance(0.5)) {
+        (true, _) => Scope::All,
+        (false, true) => Scope::Zone,
+        (false, false) => Scope::Cell,
+    };
+    let effects = [
+        Idempotency::Idempotent,
+        Idempotency::Keyed { scope, window: Span::ms(if chance(0.5) { 2_000 } else { 8_000 }) },
+        Idempotency::NonIdempotent,
+    ];
+    let traffic = effects.iter().enumerate().map(|(at, idempotency)| TrafficClass {
+        idempotency: *idempotency,
+        setup_target: Span::ms(300 + 200 * at as u64),
+        message_target: Some(Span::ms(50 + 50 * at as u64)),
+        revenue: 1.0 + at as f64,
+    });
+    let traffic: Vec<TrafficClass> = traffic.collect();
+    Settings {
+        traffic,
+        zone: Zone(u16::from(chance(0.5))),
+        me: 0,
+        nodes,
+        tick: Span::ms(5),
+        max_attempts: if chance(0.5) { 3 } else { 5 },
+        can_probe: chance(0.8),
+        can_cancel: chance(0.7),
+        weights: if chance(0.3) { Weights::Live } else { Weights::Sizes },
+        reports_message_times: chance(0.5),
+        retry_after: chance(0.5).then_some(Span::ms(2_000)),
+        poll_interval: chance(0.7).then_some(Span::ms(4_000)),
+        slow_start: SlowStart { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
+        retry_budget: chance(0.6).then_some(RetryBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
+        start_uncertainty: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
+        cross_zone_price: if chance(0.5) { 0.05 } else { 0.0 },
+        whole_weight: if chance(0.5) { 0.5 } else { 1.0 },
+    }
+}
--- /dev/null
+++ b/tests/decision_digests/recorder.rs
@@ -0,0 +1,109 @@
+//! A port that digests every action with its time.
+
+use std::collections::BTreeSet;
+
+use glendeck::domain::*;
+use glendeck::port::Port;
+
+/// FNV-1a, 64 bits.
+pub struct Digest(u64);
+
+impl Digest {
+    pub fn new() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    pub fn value(&self) -> u64 {
+        self.0
+    }
+
+    pub fn add(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    pub fn add_float(&mut self, number: f64) {
+        self.add(number.to_bits());
+    }
+}
+
+/// What the recording port saw, and what follows from it.
+pub struct Recorder {
+    pub digest: Digest,
+    pub now: Time,
+    /// How often each kind of action was seen.
+    pub kinds: [u64; 10],
+    pub sent: Vec<(CallId, HostId, Span)>,
+    pub ended: BTreeSet<CallId>,
+    pub canceled: Vec<(CallId, u16)>,
+    pub migrated: Vec<CallId>,
+    pub probed: Vec<HostId>,
+    pub asked: Vec<bool>,
+    pub timers: Vec<(Time, TimerToken)>,
+}
+
+impl Recorder {
+    pub fn new(now: Time) -> Recorder {
+        Recorder {
+            digest: Digest::new(),
+            now,
+            kinds: [0; 10],
+            sent: Vec::new(),
+            ended: BTreeSet::new(),
+            canceled: Vec::new(),
+            migrated: Vec::new(),
+            probed: Vec::new(),
+            asked: Vec::new(),
+            timers: Vec::new(),
+        }
+    }
+
+    fn record(&mut self, kind: u64, numbers: &[u64]) {
+        self.kinds[kind as usize] += 1;
+        self.digest.add(kind);
+        self.digest.add(self.now.0);
+        for number in numbers {
+            self.digest.add(*number);
+        }
+    }
+}
+
+impl Port for Recorder {
+    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
+        self.record(1, &[call.0, host.0, within.0]);
+        self.sent.push((call, host, within));
+    }
+    fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
+        self.record(2, &[call.0, retry_after.map_or(u64::MAX, |wait| wait.0)]);
+        self.ended.insert(call);
+    }
+    fn fail(&mut self, call: CallId) {
+        self.record(3, &[call.0]);
+        self.ended.insert(call);
+    }
+    fn cancel(&mut self, call: CallId, attempt: AttemptNumber) {
+        self.record(4, &[call.0, u64::from(attempt.0)]);
+        self.canceled.push((call, attempt.0));
+    }
+    fn migrate(&mut self, call: CallId) {
+        self.record(5, &[call.0]);
+        self.migrated.push(call);
+    }
+    fn probe(&mut self, host: HostId) {
+        self.record(6, &[host.0]);
+        self.probed.push(host);
+    }
+    fn fetch_endpoints(&mut self) {
+        self.record(7, &[]);
+        self.asked.push(false);
+    }
+    fn watch_endpoints(&mut self) {
+        self.record(8, &[]);
+        self.asked.push(true);
+    }
+    fn set_timer(&mut self, time: Time, token: TimerToken) {
+        self.record(9, &[time.0, u64::from(token.0)]);
+        self.timers.push((time, token));
+    }
+}
