--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -395,8 +395,12 @@
             incarnation: glendeck_fleet::state::Incarnation(1 << 60),
             count: 77,
         };
-        let message =
-            ReplicaMessage::CallEnded { no: 1, id, work: glendeck_takeover::WorkId(0xfeed_beef), outcome };
+        let message = ReplicaMessage::CallEnded {
+            sequence: 1,
+            id,
+            work: glendeck_takeover::WorkId(0xfeed_beef),
+            outcome,
+        };
         let bare = postcard::to_stdvec(&Frame::Words(vec![message])).unwrap();
         let flipped = |bytes: &[u8], bit: usize| {
             let mut bytes = bytes.to_vec();
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -92,8 +92,8 @@
     pub fn metrics(&self, now: Timestamp) -> Value {
         let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
         json!({
-            "records_held": self.takeover.replica.held(), "in_hand": self.takeover.owner.in_hand(),
-            "keeps": self.hears, "remembers": self.takeover.replica.remembers(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
+            "records_held": self.takeover.replica().record_count(), "in_hand": self.takeover.owner().call_count(),
+            "keeps": self.hears, "remembers": self.takeover.replica().has_full_history(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
             "repeats_after_a_record": taken_over, "repeats_given_up": given_up, "met_elsewhere": raced,
         })
     }
@@ -144,7 +144,7 @@
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
         what(&mut work.takeover, now);
-        let actions = work.takeover.take_all();
+        let actions = work.takeover.take_actions();
         if self.is_deciding() {
             // Danger: what is told to decisions that are out of their place is lost.
             return self.work().map_or((), |work| work.pending.extend(actions));
@@ -154,7 +154,7 @@
 
     pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
-            self.tell_work(|takeover, now| takeover.heard(now, peer, message));
+            self.tell_work(|takeover, now| takeover.message_received(now, peer, message));
         }
     }
 
@@ -169,7 +169,7 @@
                 if let Some(left) = work.inherits.take() {
                     work.takeover.restore(now, left);
                     info!(
-                        records = work.takeover.replica.held(),
+                        records = work.takeover.replica().record_count(),
                         "takes over what the process before kept for others"
                     );
                 }
@@ -184,7 +184,8 @@
             (work.applied, work.hears) = (state.applied, hears);
             let voter_slots = state.voter_slots.iter().map(|voter_slot| voter_slot.name.clone()).collect();
             let terms = state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect();
-            work.takeover.agreed(now, View { voter_slots, version: state.voter_slots_changed, hears, terms });
+            let version = state.voter_slots_changed;
+            work.takeover.membership_changed(now, View { voter_slots, version, hears_leader: hears, terms });
         }
         self.tell_work(Takeover::tick);
     }
@@ -211,7 +212,7 @@
         let Some(membership) = &mut self.membership else { return };
         let Some(folder) = &membership.folder else { return };
         let Some(work) = &mut membership.work else { return };
-        let left = (membership.fleet.boot_count().0, work.takeover.leave(now));
+        let left = (membership.fleet.boot_count().0, work.takeover.hand_over(now));
         let (fresh, path) = (folder.join("work.new"), folder.join(LEFT));
         let write = || -> std::io::Result<()> {
             let mut file = std::fs::File::create(&fresh)?;
@@ -253,7 +254,7 @@
         if let Some(work) = self.work() {
             work.counts.looked += 1;
         }
-        self.tell_work(|takeover, now| takeover.returned(now, call.0, work, left.0 / 1_000_000));
+        self.tell_work(|takeover, now| takeover.call_repeated(now, call.0, work, left.0 / 1_000_000));
     }
 
     /// The attempt that was just opened waits until its intent is kept; its connection comes up meanwhile.
@@ -269,10 +270,10 @@
         };
         let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
-        let ran = kept.ran.map(|(host, at)| (host.0, self.timestamp_of(at)));
-        let attempt =
-            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.timestamp_of(latest.0) };
-        self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
+        let prior = kept.ran.map(|(host, at)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(at) });
+        let send_before = self.timestamp_of(latest.0);
+        let attempt = Attempt { work: kept.work, host, prior, remaining_ms: latest.1, send_before };
+        self.tell_work(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
     }
 
     fn timestamp_of(&self, time: Time) -> Timestamp {
@@ -283,7 +284,7 @@
     pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
         let Some(kept) = kept else { return };
         let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
-        self.tell_work(|takeover, now| takeover.ended(now, call.0, outcome));
+        self.tell_work(|takeover, now| takeover.call_ended(now, call.0, outcome));
     }
 
     fn do_for_work(&mut self, action: Action) {
@@ -361,7 +362,7 @@
 
     fn place_again(&mut self, call: CallId, before: Option<PriorAttempt>) {
         let (began, now) = (self.membership.as_ref().map_or(self.now, |of| of.began), self.now);
-        let before = before.map(|before| (HostId(before.host), began + Span(before.at.0)));
+        let before = before.map(|before| (HostId(before.host), began + Span(before.sent_at.0)));
         if let Some(work) = self.work().filter(|_| before.is_some()) {
             work.counts.taken_over += 1;
         }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -6,7 +6,7 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::warm_state::{
-    Hint, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
+    Hint, HintValue, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
 };
 use nanorand::Rng;
 use serde_json::{Value, json};
@@ -38,7 +38,7 @@
     }
 
     pub fn metrics(&self) -> Value {
-        let (nodes, known) = self.estates.held();
+        let (nodes, known) = (self.estates.node_count(), self.estates.hint_count());
         json!({"nodes": nodes, "known": known, "lost_expected": self.expected})
     }
 }
@@ -76,7 +76,7 @@
             // Danger: a fleet that was started together would say it in step.
             of.next = now + EVERY.times(0.9 + 0.2 * f64::from(membership.chance.generate::<f32>()));
             of.parting = parting;
-            acts = of.estates.tell(timestamp, hints, parting, work.view(), &linked);
+            acts = of.estates.publish(timestamp, hints, parting, work.view(), &linked);
         }
         acts.extend(of.estates.tick(timestamp, &linked));
         self.carry_out_warm_state(acts);
@@ -86,7 +86,7 @@
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
-        let acts = of.estates.heard(timestamp, peer, said, work.view());
+        let acts = of.estates.message_received(timestamp, peer, said, work.view());
         self.carry_out_warm_state(acts);
     }
 
@@ -94,16 +94,16 @@
         for act in acts {
             match act {
                 WarmStateAction::Send(to, said) => self.send_peer(&to, &Frame::WarmState(said)),
-                WarmStateAction::Adopt(of, hints) => self.adopt_warm_state(&of, hints),
+                WarmStateAction::Adopt { node, hints } => self.adopt_warm_state(&node, hints),
             }
         }
     }
 
-    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<(Hint, u32)>) {
+    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<HintValue>) {
         info!(%of, known = hints.len(), "has gone: its clients are expected");
         let mut back = Back::default();
-        for (known, value) in hints {
-            match known {
+        for HintValue { hint, value } in hints {
+            match hint {
                 Hint::Home { group, host } => back.homes.push((GroupId(group), HostId(host))),
                 Hint::Load { subject } => back.loads.push((SubjectId(subject), f64::from(value) / 1e6)),
             }
--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -27,8 +27,8 @@
 
 fn node(at: usize) -> Takeover {
     let mut node = Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RECALL_MS, LONGEST_MS);
-    let view = View { voter_slots: (0..REPLICAS).map(name).collect(), hears: true, ..View::default() };
-    node.agreed(timestamp(0), view);
+    let view = View { voter_slots: (0..REPLICAS).map(name).collect(), hears_leader: true, ..View::default() };
+    node.membership_changed(timestamp(0), view);
     node
 }
 
@@ -43,7 +43,7 @@
     loop {
         let mut said = Vec::new();
         for (from, node) in fleet.iter_mut().enumerate() {
-            for action in node.take_all() {
+            for action in node.take_actions() {
                 if let Action::Send(to, message) = action {
                     said.push((from, to, message));
                 }
@@ -55,22 +55,28 @@
         messages += said.len() as u64;
         for (from, to, message) in said {
             let to = (0..fleet.len()).find(|at| name(*at) == to).unwrap();
-            fleet[to].heard(now, &name(from), message);
+            fleet[to].message_received(now, &name(from), message);
         }
     }
 }
 
 fn attempt(work: u64) -> Attempt {
-    Attempt { work: WorkId(work), host: work % 50, ran: None, left_ms: 1_500, latest: timestamp(90_000) }
+    Attempt {
+        work: WorkId(work),
+        host: work % 50,
+        prior: None,
+        remaining_ms: 1_500,
+        send_before: timestamp(90_000),
+    }
 }
 
 fn begin(fleet: &mut [Takeover], work: u64, now: Timestamp) {
-    fleet[REPLICAS].intend(now, work, attempt(work));
+    fleet[REPLICAS].replicate_intent(now, work, attempt(work));
     carry(fleet, now);
 }
 
 fn end(fleet: &mut [Takeover], work: u64, now: Timestamp) {
-    fleet[REPLICAS].ended(now, work, Outcome::Answered);
+    fleet[REPLICAS].call_ended(now, work, Outcome::Answered);
     carry(fleet, now);
 }
 
@@ -103,7 +109,7 @@
     bencher.bench_local(|| {
         call += 1;
         let work = WorkId(call % 1_000);
-        fleet[REPLICAS].returned(timestamp(20_010), call, work, 1_400);
+        fleet[REPLICAS].call_repeated(timestamp(20_010), call, work, 1_400);
         carry(&mut fleet, timestamp(20_010));
         end(&mut fleet, call, timestamp(20_010));
     });
@@ -116,21 +122,21 @@
     let mut fleet = fleet();
     let mut messages: Vec<ReplicaMessage> = Vec::new();
     for work in 0..records {
-        fleet[REPLICAS].intend(timestamp(20_000), work, attempt(work));
+        fleet[REPLICAS].replicate_intent(timestamp(20_000), work, attempt(work));
         let keeps = |action| match action {
             Action::Send(to, message @ ReplicaMessage::StoreIntent(_)) if to == name(0) => Some(message),
             _ => None,
         };
-        messages.extend(fleet[REPLICAS].take_all().into_iter().filter_map(keeps));
+        messages.extend(fleet[REPLICAS].take_actions().into_iter().filter_map(keeps));
     }
     let owner = name(REPLICAS);
     bencher.bench_local(|| {
         let mut replica = node(0);
         for message in &messages {
-            replica.heard(timestamp(20_000), &owner, message.clone());
-            black_box(replica.take_all());
+            replica.message_received(timestamp(20_000), &owner, message.clone());
+            black_box(replica.take_actions());
         }
-        assert_eq!(replica.replica.held() as u64, records);
+        assert_eq!(replica.replica().record_count() as u64, records);
         replica
     });
 }
--- /dev/null
+++ b/crates/takeover/src/message.rs
@@ -0,0 +1,134 @@
+//! Messages between the owner of a call and the replicas of its record.
+//!
+//! They are encoded by `postcard`, which is positional: the order of fields and of variants is part of the wire format.
+
+use serde::{Deserialize, Serialize};
+
+use crate::id::{RecordId, WorkId};
+
+/// How a call ended, as far as its record is concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Outcome {
+    /// No attempt of the call ran and none is out: the record can go.
+    NeverRan,
+    /// The call has its final answer, and an attempt of it ran or may have run.
+    Answered,
+}
+
+/// The first attempt of a work that may have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FirstAttempt {
+    /// The host that it was sent to, by a number that means the same at all nodes.
+    pub host: u64,
+    /// How long ago it was sent, in ms, or [`UNKNOWN_AGE_MS`](crate::UNKNOWN_AGE_MS).
+    pub age_ms: u64,
+}
+
+/// A record that a repeat has seen and goes on from.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SupersededRecord {
+    /// The record.
+    pub id: RecordId,
+    /// The sequence number that it had when it was seen: a record that has gone on since was not seen.
+    pub sequence: u32,
+}
+
+/// A request to store the intent of an attempt, before the attempt is sent.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Intent {
+    /// The call's record.
+    pub id: RecordId,
+    /// What the call concerns.
+    pub work: WorkId,
+    /// The owner's term, by which replicas fence off a node that was declared lost.
+    pub term: u64,
+    /// The version of the owner's view.
+    pub version: u32,
+    /// Whether the call is a repeat.
+    pub is_repeat: bool,
+    /// The records that a repeat goes on from.
+    pub supersedes: Vec<SupersededRecord>,
+    /// The work's first attempt that may have run; this one, if there was none before.
+    pub first: FirstAttempt,
+    /// Counts the call's intents and queries: a reply to another one says nothing of this one.
+    pub sequence: u32,
+    /// Time until the call's deadline, in ms.
+    pub remaining_ms: u64,
+}
+
+/// A record as a replica shows it to a repeat.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RecordView {
+    /// The record.
+    pub id: RecordId,
+    /// The owner's term when the last intent was stored.
+    pub term: u64,
+    /// The work's first attempt that may have run.
+    pub first: FirstAttempt,
+    /// The sequence number of the last intent.
+    pub sequence: u32,
+    /// How long ago the last intent was stored, in ms.
+    pub age_ms: u64,
+    /// Time in ms until the call's deadline is over and its owner sends nothing more.
+    pub open_ms: u64,
+    /// Whether the call has its final answer.
+    pub is_answered: bool,
+}
+
+/// A replica's reply to an [`Intent`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum IntentVerdict {
+    /// The intent is stored.
+    Accepted,
+    /// The replica holds records of the work that the intent does not supersede.
+    Conflict,
+    /// The replica stores nothing for this intent now.
+    Unavailable,
+}
+
+/// What owners and replicas send each other.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ReplicaMessage {
+    /// Owner to replica: store this intent.
+    StoreIntent(Intent),
+    /// Replica to owner: the reply to [`ReplicaMessage::StoreIntent`].
+    IntentReply {
+        /// The record of the intent.
+        id: RecordId,
+        /// The intent's sequence number.
+        sequence: u32,
+        /// Whether it is stored.
+        verdict: IntentVerdict,
+    },
+    /// Owner to replica: show what is stored of a work.
+    Query {
+        /// The record of the call that asks; it is left out of the reply.
+        id: RecordId,
+        /// The query's sequence number.
+        sequence: u32,
+        /// The work that is asked about.
+        work: WorkId,
+        /// The version of the owner's view.
+        version: u32,
+    },
+    /// Replica to owner: the reply to [`ReplicaMessage::Query`].
+    QueryReply {
+        /// The record of the call that asked.
+        id: RecordId,
+        /// The query's sequence number.
+        sequence: u32,
+        /// The work's records; `None` if the replica may have forgotten some.
+        records: Option<Vec<RecordView>>,
+    },
+    /// Owner to replica: the call is over.
+    CallEnded {
+        /// The last sequence number of the call: a late message says nothing of a later intent.
+        sequence: u32,
+        /// The call's record.
+        id: RecordId,
+        /// What the call concerned.
+        work: WorkId,
+        /// How it ended.
+        outcome: Outcome,
+    },
+}
--- /dev/null
+++ b/crates/takeover/src/owner/query_round.rs
@@ -0,0 +1,190 @@
+//! A query for the records of a work: who was asked, what they showed, and what follows from it.
+
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
+
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+
+use crate::action::{Action, PriorAttempt};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::id::RecordId;
+use crate::message::{RecordView, ReplicaMessage, SupersededRecord};
+use crate::timing::{QUIET_PERIOD_MS, RESEND_MS, UNKNOWN_AGE_MS, timestamp_before};
+use crate::view::View;
+
+use super::quorum::majority;
+
+/// What the replies so far mean for the repeated call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum QueryDecision {
+    /// Replies that may change the result are outstanding.
+    Pending,
+    /// It cannot be told what came of the work.
+    Unknown,
+    /// A record of the work is not over yet.
+    InFlight,
+    /// All records are over: the call may be placed.
+    Over(WorkHistory),
+}
+
+/// What has been before a repeated call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct WorkHistory {
+    /// All records of the work, in the order of their ids.
+    pub(super) records: Vec<SupersededRecord>,
+    /// The first attempt that may have run.
+    pub(super) first: Option<PriorAttempt>,
+}
+
+/// A query that waits for its replicas, or for the time to ask anew.
+#[derive(Clone, Debug)]
+pub(super) struct QueryRound {
+    sequence: u32,
+    started_at: Timestamp,
+    sent_at: Timestamp,
+    replicas: Vec<UnitName>,
+    replies: BTreeMap<UnitName, Option<Vec<RecordView>>>,
+    /// If set, a record was not over, and the query is to be repeated then.
+    retry_at: Option<Timestamp>,
+}
+
+impl QueryRound {
+    pub(super) fn new(now: Timestamp, sequence: u32, replicas: Vec<UnitName>) -> QueryRound {
+        QueryRound {
+            sequence,
+            started_at: now,
+            sent_at: now,
+            replicas,
+            replies: BTreeMap::new(),
+            retry_at: None,
+        }
+    }
+
+    /// Whether a reply with this number is one to this query.
+    pub(super) fn awaits(&self, sequence: u32) -> bool {
+        self.sequence == sequence && self.retry_at.is_none()
+    }
+
+    pub(super) fn sequence(&self) -> u32 {
+        self.sequence
+    }
+
+    /// The query for each replica that has not replied.
+    pub(super) fn requests(&self, query: &ReplicaMessage) -> Vec<Action> {
+        let silent = self.replicas.iter().filter(|replica| !self.replies.contains_key(*replica));
+        silent.map(|replica| Action::Send(replica.clone(), query.clone())).collect()
+    }
+
+    /// Whether the query is to be sent again to those who have not replied; notes that it is.
+    pub(super) fn take_resend_due(&mut self, now: Timestamp) -> bool {
+        let is_due = self.retry_at.is_none() && now.ms_since(self.sent_at) >= RESEND_MS;
+        if is_due {
+            self.sent_at = now;
+        }
+        is_due
+    }
+
+    pub(super) fn is_retry_due(&self, now: Timestamp) -> bool {
+        self.retry_at.is_some_and(|retry_at| now >= retry_at)
+    }
+
+    pub(super) fn schedule_retry(&mut self, retry_at: Timestamp) {
+        self.retry_at = Some(retry_at);
+    }
+
+    pub(super) fn record_reply(&mut self, from: &UnitName, records: Option<Vec<RecordView>>) {
+        if self.replicas.contains(from) {
+            self.replies.insert(from.clone(), records);
+        }
+    }
+
+    pub(super) fn decision(&self, now: Timestamp, view: &View) -> QueryDecision {
+        let needed = majority(&self.replicas);
+        let informed = self.replies.values().flatten().count();
+        let uninformed = self.replies.len() - informed;
+        if informed < needed {
+            // Without a majority left that could tell, waiting would only hold the call up.
+            let is_out_of_reach = self.replicas.len() - uninformed < needed;
+            return if is_out_of_reach { QueryDecision::Unknown } else { QueryDecision::Pending };
+        }
+        let records = self.merged_records();
+        if !records.values().all(|record| is_over(record, view)) {
+            return QueryDecision::InFlight;
+        }
+        if !has_known_first_attempt(&records) {
+            return QueryDecision::Unknown;
+        }
+        QueryDecision::Over(self.history(now, records))
+    }
+
+    fn merged_records(&self) -> BTreeMap<RecordId, RecordView> {
+        let mut records: BTreeMap<RecordId, RecordView> = BTreeMap::new();
+        for shown in self.replies.values().flatten().flatten() {
+            records
+                .entry(shown.id.clone())
+                .and_modify(|known| merge(known, shown))
+                .or_insert_with(|| shown.clone());
+        }
+        records
+    }
+
+    fn history(&self, now: Timestamp, records: BTreeMap<RecordId, RecordView>) -> WorkHistory {
+        let oldest = records.values().max_by_key(|record| record.first.age_ms);
+        let first = oldest.map(|record| {
+            // The replica computed the age after it was asked, so the attempt can only have been sent later than this.
+            let earliest = timestamp_before(self.started_at, record.first.age_ms);
+            PriorAttempt {
+                host: record.first.host,
+                sent_at: if is_injected(InjectedFault::WindowFromRepeat) { now } else { earliest },
+            }
+        });
+        let superseded = |record: RecordView| SupersededRecord { id: record.id, sequence: record.sequence };
+        WorkHistory { records: records.into_values().map(superseded).collect(), first }
+    }
+}
+
+/// Combines what two replicas show of one record.
+///
+/// A replica that was stopped, or behind a stalled link, has stored an intent late and takes the record for young. Of any
+/// majority one has stored the last intent in time, and shows the greater age.
+fn merge(known: &mut RecordView, other: &RecordView) {
+    if other.first.host == known.first.host {
+        known.first.age_ms = known.first.age_ms.max(other.first.age_ms);
+    } else if other.sequence > known.sequence {
+        known.first = other.first;
+    }
+    match other.sequence.cmp(&known.sequence) {
+        Ordering::Greater => {
+            known.sequence = other.sequence;
+            known.term = other.term;
+            known.age_ms = other.age_ms;
+        }
+        Ordering::Equal => known.age_ms = known.age_ms.max(other.age_ms),
+        Ordering::Less => {}
+    }
+    known.is_answered |= other.is_answered;
+    known.open_ms = known.open_ms.min(other.open_ms);
+}
+
+/// Whether nothing more can be sent for a record: it is answered, its time is over, or its node was declared lost and what
+/// it had sent is out.
+fn is_over(record: &RecordView, view: &View) -> bool {
+    let is_owner_lost = view.term_of(&record.id.owner) > record.term && record.age_ms >= QUIET_PERIOD_MS;
+    record.is_answered
+        || record.open_ms == 0
+        || is_owner_lost
+        || is_injected(InjectedFault::OpenRecordTakenOver)
+}
+
+/// Whether all records agree on the host of the first attempt, and know when it was sent.
+///
+/// A record that its node took back may still stand at one replica. It and another would name two hosts, only one of which
+/// ran the work, and nobody can tell which. Where the time is not known, no host can be expected to recognise the repeat.
+fn has_known_first_attempt(records: &BTreeMap<RecordId, RecordView>) -> bool {
+    let mut hosts = records.values().map(|record| record.first.host);
+    let first_host = hosts.next();
+    let is_one_host = hosts.all(|host| Some(host) == first_host);
+    let is_age_known = records.values().all(|record| record.first.age_ms < UNKNOWN_AGE_MS);
+    is_one_host && is_age_known
+}
--- /dev/null
+++ b/crates/takeover/src/replica/record.rs
@@ -0,0 +1,150 @@
+//! One stored record and its conversions.
+
+use glendeck_fleet::Timestamp;
+
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::handover::RecordHandover;
+use crate::id::{RecordId, WorkId};
+use crate::message::{FirstAttempt, Intent, IntentVerdict, RecordView};
+use crate::timing::{QUIET_PERIOD_MS, UNKNOWN_AGE_MS, timestamp_before};
+
+/// The first attempt of a work that may have run, by the replica's clock.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FirstAttemptTime {
+    host: u64,
+    /// The latest time at which it may have been sent, where that is known.
+    sent_at: Option<Timestamp>,
+}
+
+impl FirstAttemptTime {
+    /// Converts an age as of now into a time.
+    fn new(now: Timestamp, first: FirstAttempt) -> FirstAttemptTime {
+        let is_known = first.age_ms < UNKNOWN_AGE_MS;
+        let sent_at = is_known.then(|| timestamp_before(now, first.age_ms));
+        FirstAttemptTime { host: first.host, sent_at }
+    }
+
+    fn age(self, now: Timestamp) -> FirstAttempt {
+        let age_ms = self.sent_at.map_or(UNKNOWN_AGE_MS, |sent_at| now.ms_since(sent_at));
+        FirstAttempt { host: self.host, age_ms }
+    }
+
+    /// Combines it with what a later intent says.
+    ///
+    /// An age is as of when the intent was sent, which may itself be long ago: of two times for the same host the earlier
+    /// one holds, and an unknown time is earlier than all others.
+    fn updated(self, later: FirstAttemptTime) -> FirstAttemptTime {
+        if self.host != later.host {
+            return later;
+        }
+        FirstAttemptTime { host: self.host, sent_at: self.sent_at.min(later.sent_at) }
+    }
+}
+
+/// What a replica stores of one call.
+#[derive(Clone, Debug)]
+pub(super) struct Record {
+    pub(super) id: RecordId,
+    term: u64,
+    pub(super) is_repeat: bool,
+    first: FirstAttemptTime,
+    /// When the first intent was stored.
+    pub(super) created_at: Timestamp,
+    /// When the last intent was stored.
+    updated_at: Timestamp,
+    /// The sequence number of the last intent.
+    pub(super) sequence: u32,
+    /// The call's deadline.
+    deadline: Timestamp,
+    /// When the call had its final answer.
+    pub(super) answered_at: Option<Timestamp>,
+    /// Another call goes on from this record: its own call may begin nothing more.
+    pub(super) is_superseded: bool,
+}
+
+impl Record {
+    pub(super) fn new(now: Timestamp, intent: Intent) -> Record {
+        Record {
+            id: intent.id,
+            term: intent.term,
+            is_repeat: intent.is_repeat,
+            first: FirstAttemptTime::new(now, intent.first),
+            created_at: now,
+            updated_at: now,
+            sequence: intent.sequence,
+            deadline: now.plus_ms(intent.remaining_ms),
+            answered_at: None,
+            is_superseded: false,
+        }
+    }
+
+    /// Stores a further intent of the same call.
+    pub(super) fn update(&mut self, now: Timestamp, intent: &Intent) -> IntentVerdict {
+        if self.is_superseded && !is_injected(InjectedFault::NoFencing) {
+            return IntentVerdict::Conflict;
+        }
+        // An intent that comes twice or late says nothing new.
+        if intent.sequence > self.sequence {
+            self.term = intent.term;
+            self.sequence = intent.sequence;
+            self.updated_at = now;
+            self.first = self.first.updated(FirstAttemptTime::new(now, intent.first));
+        }
+        IntentVerdict::Accepted
+    }
+
+    /// Whether an intent goes on from this record as it is now.
+    pub(super) fn is_superseded_by(&self, intent: &Intent) -> bool {
+        intent.supersedes.iter().any(|seen| seen.id == self.id && seen.sequence >= self.sequence)
+    }
+
+    pub(super) fn to_view(&self, now: Timestamp) -> RecordView {
+        RecordView {
+            id: self.id.clone(),
+            term: self.term,
+            first: self.first.age(now),
+            sequence: self.sequence,
+            age_ms: now.ms_since(self.updated_at),
+            open_ms: self.open_ms(now),
+            is_answered: self.answered_at.is_some(),
+        }
+    }
+
+    /// Time until the record is over; 0 only if it is, though the rest may be less than a millisecond.
+    fn open_ms(&self, now: Timestamp) -> u64 {
+        let end = self.deadline.plus_ms(QUIET_PERIOD_MS);
+        if now >= end { 0 } else { end.ms_since(now).max(1) }
+    }
+
+    pub(super) fn to_handover(&self, now: Timestamp, work: WorkId) -> RecordHandover {
+        RecordHandover {
+            work,
+            id: self.id.clone(),
+            term: self.term,
+            is_repeat: self.is_repeat,
+            first_host: self.first.host,
+            sequence: self.sequence,
+            remaining_ms: self.deadline.ms_since(now),
+            is_answered: self.answered_at.is_some(),
+            is_superseded: self.is_superseded,
+        }
+    }
+
+    /// The record as a successor takes it over.
+    ///
+    /// Nobody knows how long it took from one process to the next, so the time of the first attempt is unknown from here on.
+    pub(super) fn from_handover(now: Timestamp, record: RecordHandover) -> Record {
+        Record {
+            id: record.id,
+            term: record.term,
+            is_repeat: record.is_repeat,
+            first: FirstAttemptTime { host: record.first_host, sent_at: None },
+            created_at: now,
+            updated_at: now,
+            sequence: record.sequence,
+            deadline: now.plus_ms(record.remaining_ms),
+            answered_at: record.is_answered.then_some(now),
+            is_superseded: record.is_superseded,
+        }
+    }
+}
--- /dev/null
+++ b/crates/takeover/src/warm_state/message.rs
@@ -0,0 +1,102 @@
+//! Hints, and the messages that carry them.
+//!
+//! They are encoded by `postcard`, which is positional: the order of fields and of variants is part of the wire format.
+
+use std::collections::BTreeMap;
+
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
+use serde::{Deserialize, Serialize};
+
+/// The subject of a hint, by any numbers that mean the same at all nodes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub enum Hint {
+    /// A host has connections of a group.
+    Home {
+        /// The group.
+        group: u64,
+        /// The host.
+        host: u64,
+    },
+    /// The load of a client's connection is known.
+    Load {
+        /// What the connection concerns.
+        subject: u64,
+    },
+}
+
+/// The value of each hint: a load in millionths of work a second, or 1 for a home.
+pub type Hints = BTreeMap<Hint, u32>;
+
+/// A hint with its value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HintValue {
+    /// What is known.
+    pub hint: Hint,
+    /// Its value, as in [`Hints`].
+    pub value: u32,
+}
+
+/// A change of one hint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HintChange {
+    /// What is known, or was.
+    pub hint: Hint,
+    /// Its new value, as in [`Hints`]; `None` if it is known no more.
+    pub value: Option<u32>,
+}
+
+/// What a node sends its replicas: the changes of its hints, or all of them.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HintUpdate {
+    /// The process that sends it.
+    pub incarnation: Incarnation,
+    /// Counts the changes of the process's hints.
+    pub sequence: u32,
+    /// The sequence number that the changes are based on; `None` if they are all hints there are.
+    pub base: Option<u32>,
+    /// What has changed.
+    pub changes: Vec<HintChange>,
+    /// Whether the node sends its clients away for a planned end.
+    pub is_draining: bool,
+}
+
+/// What nodes send each other about hints.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum WarmStateMessage {
+    /// Node to replica: its hints.
+    Update(HintUpdate),
+    /// Replica to node: an update is missing, send all hints.
+    OutOfSync {
+        /// The process whose update is missing.
+        incarnation: Incarnation,
+    },
+    /// Replica to all nodes: a node is gone.
+    NodeGone {
+        /// The node that is gone.
+        node: UnitName,
+        /// The process of it that is gone.
+        incarnation: Incarnation,
+        /// Its hints.
+        hints: Vec<HintValue>,
+    },
+}
+
+/// What the node has to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum WarmStateAction {
+    /// Send this message to this node.
+    Send(UnitName, WarmStateMessage),
+    /// The clients of a node that is gone come to this one and others: use its hints.
+    Adopt {
+        /// The node that is gone.
+        node: UnitName,
+        /// Its hints.
+        hints: Vec<HintValue>,
+    },
+}
+
+/// The hints in their order, as a message carries them.
+pub(super) fn hint_values(hints: &Hints) -> Vec<HintValue> {
+    hints.iter().map(|(hint, value)| HintValue { hint: *hint, value: *value }).collect()
+}
--- /dev/null
+++ b/crates/takeover/src/warm_state/notices.rs
@@ -0,0 +1,85 @@
+//! Notices that a node is gone: those still to be sent, and those received.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+
+use crate::fault_injection::{InjectedFault, is_injected};
+
+use super::hint_store::{HintStore, ProcessId};
+use super::message::{WarmStateAction, WarmStateMessage, hint_values};
+use super::placement::EXPIRY_MS;
+
+/// A notice that is sent later than this is of no use any more: the clients have come back before.
+const USEFUL_MS: u64 = 2_000;
+
+/// Without this limit, a replica would send the hints of all nodes to all nodes in one turn when many are lost at once.
+const MAX_NOTICES_PER_TICK: usize = 64;
+
+/// A second notice of the same process within this is the other replica's: that one is at most 2 s in its queue, and as much
+/// later as its link fell silent. If this were longer, nobody would be told of a node that is lost soon after a false alarm.
+const DUPLICATE_MS: u64 = 4_000;
+
+/// A notice that is still to be sent.
+#[derive(Clone, Debug)]
+struct PendingNotice {
+    queued_at: Timestamp,
+    to: UnitName,
+    node: UnitName,
+}
+
+/// Notices to send and notices received.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Notices {
+    pending: VecDeque<PendingNotice>,
+    /// When each process was last announced. The process is part of the key, as a late notice of one process may come after
+    /// the end of the next one.
+    received: BTreeMap<ProcessId, Timestamp>,
+}
+
+impl Notices {
+    /// Notes a notice, and returns whether it is not the repetition of a recent one.
+    pub(super) fn receive(&mut self, now: Timestamp, process: ProcessId) -> bool {
+        let last = self.received.get(&process);
+        let is_duplicate = last.is_some_and(|received_at| now.ms_since(*received_at) < DUPLICATE_MS);
+        if is_duplicate && !is_injected(InjectedFault::DuplicateNoticeAccepted) {
+            return false;
+        }
+        self.received.insert(process, now);
+        true
+    }
+
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        self.received.retain(|_, received_at| now.ms_since(*received_at) < EXPIRY_MS);
+    }
+
+    /// Queues a notice that `node` is gone for all other nodes.
+    pub(super) fn enqueue(&mut self, now: Timestamp, node: &UnitName, linked: &BTreeSet<UnitName>) {
+        for to in linked.iter().filter(|to| *to != node) {
+            self.pending.push_back(PendingNotice { queued_at: now, to: to.clone(), node: node.clone() });
+        }
+    }
+
+    /// The notices to send now.
+    pub(super) fn take_due(
+        &mut self,
+        now: Timestamp,
+        store: &HintStore,
+        linked: &BTreeSet<UnitName>,
+    ) -> Vec<WarmStateAction> {
+        let mut actions = Vec::new();
+        for _ in 0..MAX_NOTICES_PER_TICK {
+            let Some(PendingNotice { queued_at, to, node }) = self.pending.pop_front() else { break };
+            let Some(stored) = store.get(&node) else { continue };
+            let is_back = linked.contains(&node) && !stored.is_draining;
+            if is_back || now.ms_since(queued_at) >= USEFUL_MS {
+                continue;
+            }
+            let hints = hint_values(&stored.hints);
+            let notice = WarmStateMessage::NodeGone { node, incarnation: stored.incarnation, hints };
+            actions.push(WarmStateAction::Send(to, notice));
+        }
+        actions
+    }
+}
--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -74,7 +74,7 @@
         View {
             voter_slots: REPLICAS.map(name).to_vec(),
             version: 0,
-            hears: true,
+            hears_leader: true,
             terms: [(name(A), self.heard[at])].into(),
         }
     }
@@ -82,7 +82,7 @@
     fn act(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at] else { return };
         let now = Timestamp::ms(self.now);
-        for action in takeover.take_all() {
+        for action in takeover.take_actions() {
             match action {
                 Action::Send(to, message) => {
                     let to = NAMES.iter().position(|name| *name == to.0).unwrap();
@@ -95,7 +95,7 @@
                 Action::Admit(_, None) => self.intend(at),
                 Action::InFlightElsewhere(_) => {
                     if let Some(takeover) = &mut self.nodes[at] {
-                        takeover.returned(now, CALL, WorkId(1), LONGEST);
+                        takeover.call_repeated(now, CALL, WorkId(1), LONGEST);
                     }
                     self.act(at);
                 }
@@ -108,10 +108,15 @@
 
     fn intend(&mut self, at: usize) {
         let now = self.timestamp();
-        let attempt =
-            Attempt { work: WorkId(1), host: 7, ran: None, left_ms: LONGEST, latest: now.plus_ms(LONGEST) };
+        let attempt = Attempt {
+            work: WorkId(1),
+            host: 7,
+            prior: None,
+            remaining_ms: LONGEST,
+            send_before: now.plus_ms(LONGEST),
+        };
         if let Some(takeover) = &mut self.nodes[at] {
-            takeover.intend(now, CALL, attempt);
+            takeover.replicate_intent(now, CALL, attempt);
         }
         self.act(at);
     }
@@ -122,7 +127,7 @@
         let now = self.timestamp();
         let outcome = if ran { Outcome::Answered } else { Outcome::NeverRan };
         if let Some(takeover) = &mut self.nodes[at] {
-            takeover.ended(now, CALL, outcome);
+            takeover.call_ended(now, CALL, outcome);
         }
         self.act(at);
     }
@@ -201,7 +206,7 @@
         for at in 0..4 {
             let view = spot.view(at);
             // Their seats were given at the beginning.
-            spot.nodes[at].as_mut().unwrap().agreed(start, view);
+            spot.nodes[at].as_mut().unwrap().membership_changed(start, view);
         }
         spot.intend(A);
         vec![spot]
@@ -252,7 +257,7 @@
             Event::Arrives(at) => {
                 let (from, to, message) = spot.net.remove(at);
                 if let Some(takeover) = &mut spot.nodes[to] {
-                    takeover.heard(now, &name(from), message);
+                    takeover.message_received(now, &name(from), message);
                 }
                 spot.act(to);
             }
@@ -284,14 +289,14 @@
                 spot.came_again = true;
                 spot.in_hand.insert(B, false);
                 if let Some(takeover) = &mut spot.nodes[B] {
-                    takeover.returned(now, CALL, WorkId(1), LONGEST);
+                    takeover.call_repeated(now, CALL, WorkId(1), LONGEST);
                 }
                 spot.act(B);
             }
             Event::Forgets(at) => {
                 let incarnation = Incarnation(100 + at as u64);
                 let mut fresh = Takeover::new(now, name(at), incarnation, at as u64, RECALL, LONGEST);
-                fresh.agreed(now, spot.view(at));
+                fresh.membership_changed(now, spot.view(at));
                 spot.nodes[at] = Some(fresh);
                 spot.forgot += 1;
             }
@@ -300,7 +305,7 @@
                 spot.heard[at] = spot.term;
                 let view = spot.view(at);
                 if let Some(takeover) = &mut spot.nodes[at] {
-                    takeover.agreed(now, view);
+                    takeover.membership_changed(now, view);
                 }
             }
         }
@@ -343,10 +348,10 @@
     assert!(!breach && states > 500, "{states} states, breach {breach}");
 }
 
-#[test_case(InjectedFault::SentBeforeKept, SOUND)]
-#[test_case(InjectedFault::OneIsEnough, SOUND)]
-#[test_case(InjectedFault::RaceKept, SOUND)]
-#[test_case(InjectedFault::ForgetfulAnswers, Core { forgets: 2, ..SOUND })]
+#[test_case(InjectedFault::SendBeforeReplicated, SOUND)]
+#[test_case(InjectedFault::SingleReplicaSuffices, SOUND)]
+#[test_case(InjectedFault::ConflictAccepted, SOUND)]
+#[test_case(InjectedFault::AnswersWithoutHistory, Core { forgets: 2, ..SOUND })]
 fn without_its_guards_it_runs_twice(fault: InjectedFault, core: Core) {
     let breach = states(Core { fault: Some(fault), ..core }).1;
     inject(None);
--- a/crates/takeover/tests/schedules.rs
+++ b/crates/takeover/tests/schedules.rs
@@ -72,15 +72,15 @@
 }
 
 /// Each injected fault is caught on a drawn day.
-#[test_case(InjectedFault::SentBeforeKept; "a leg that goes before its intent is kept")]
-#[test_case(InjectedFault::OneIsEnough; "one keeper's word is enough")]
-#[test_case(InjectedFault::LateSend; "what was kept long ago lets a leg go")]
-#[test_case(InjectedFault::NotFenced; "intents of older terms are taken")]
-#[test_case(InjectedFault::DroppedEarly; "a record dropped with its answer")]
-#[test_case(InjectedFault::ForgetfulAnswers; "a keeper that began just now answers for repeats")]
-#[test_case(InjectedFault::RaceKept; "two that come at once are both taken")]
-#[test_case(InjectedFault::OpenTaken; "a record taken over while it is open")]
-#[test_case(InjectedFault::WindowAnew; "a window that counts from the repeat")]
+#[test_case(InjectedFault::SendBeforeReplicated; "a leg that goes before its intent is kept")]
+#[test_case(InjectedFault::SingleReplicaSuffices; "one keeper's word is enough")]
+#[test_case(InjectedFault::SendAfterWindow; "what was kept long ago lets a leg go")]
+#[test_case(InjectedFault::NoFencing; "intents of older terms are taken")]
+#[test_case(InjectedFault::RecordDroppedOnAnswer; "a record dropped with its answer")]
+#[test_case(InjectedFault::AnswersWithoutHistory; "a keeper that began just now answers for repeats")]
+#[test_case(InjectedFault::ConflictAccepted; "two that come at once are both taken")]
+#[test_case(InjectedFault::OpenRecordTakenOver; "a record taken over while it is open")]
+#[test_case(InjectedFault::WindowFromRepeat; "a window that counts from the repeat")]
 fn is_injected(fault: InjectedFault) {
     let caught = std::sync::atomic::AtomicBool::new(false);
     let found = in_parallel(0, 6_000, |seed| {
--- a/crates/takeover/tests/warm_state.rs
+++ b/crates/takeover/tests/warm_state.rs
@@ -77,7 +77,7 @@
 }
 
 fn view() -> View {
-    View { voter_slots: (0..SEATS).map(name).collect(), hears: true, ..View::default() }
+    View { voter_slots: (0..SEATS).map(name).collect(), hears_leader: true, ..View::default() }
 }
 
 /// Of which process it is, and the so-manieth that it said.
@@ -205,7 +205,7 @@
                 {
                     let timestamp = self.timestamp();
                     let Some(warm_states) = &mut self.nodes[to].warm_states else { continue };
-                    let acts = warm_states.heard(timestamp, &name(from), said, &view());
+                    let acts = warm_states.message_received(timestamp, &name(from), said, &view());
                     self.act(to, acts);
                 }
                 Some(Event::Fault(fault)) => self.strike(fault),
@@ -244,7 +244,7 @@
                 let node = &mut self.nodes[at];
                 node.next_tell = self.now + 1_000;
                 if let Some(warm_states) = &mut node.warm_states {
-                    acts = warm_states.tell(timestamp, node.hints.clone(), node.parting, &view(), &linked);
+                    acts = warm_states.publish(timestamp, node.hints.clone(), node.parting, &view(), &linked);
                 }
             }
             if let Some(warm_states) = &mut self.nodes[at].warm_states {
@@ -281,9 +281,9 @@
         for act in acts {
             match act {
                 WarmStateAction::Send(to, said) => self.send(at, number(&to), said),
-                WarmStateAction::Adopt(of, hints) => {
-                    let of = number(&of);
-                    let hints: Hints = hints.into_iter().collect();
+                WarmStateAction::Adopt { node, hints } => {
+                    let of = number(&node);
+                    let hints: Hints = hints.into_iter().map(|known| (known.hint, known.value)).collect();
                     let Some((incarnation, said)) = mark(hints.keys().copied()) else {
                         self.break_rule(format!("n{at} is told of n{of} what nobody said"));
                         continue;
@@ -331,7 +331,7 @@
         for at in 0..SEATS {
             for of in 0..NODES {
                 let Some(warm_states) = &self.nodes[at].warm_states else { continue };
-                let kept = warm_states.kept(&name(of)).cloned();
+                let kept = warm_states.stored_hints(&name(of)).cloned();
                 if let Some(hints) = &kept {
                     self.check_whole(at, of, hints);
                 }
@@ -403,7 +403,8 @@
     (1..NODES).for_each(|at| world.strike(Fault::Kill(at)));
     world.start(0);
     world.run(90_000);
-    let held = world.nodes[0].warm_states.as_ref().map(WarmStateExchange::held);
+    let held =
+        world.nodes[0].warm_states.as_ref().map(|exchange| (exchange.node_count(), exchange.hint_count()));
     if held != Some((0, 0)) {
         world.break_rule(format!("n0 still keeps {held:?}"));
     }
@@ -438,12 +439,12 @@
     assert!(heard > 1_000);
 }
 
-#[test_case(InjectedFault::AnySince; "changes taken in whatever they changed from")]
+#[test_case(InjectedFault::AnyBaseAccepted; "changes taken in whatever they changed from")]
 #[test_case(InjectedFault::IncarnationsMixed; "two processes taken for one")]
-#[test_case(InjectedFault::NeverWhole; "a keeper that missed something is not told all")]
-#[test_case(InjectedFault::LateCounts; "a late word undoes a later one")]
-#[test_case(InjectedFault::ToldTwice; "both keepers' words count")]
-#[test_case(InjectedFault::KeptForever; "what is kept never goes")]
+#[test_case(InjectedFault::NeverResynchronized; "a keeper that missed something is not told all")]
+#[test_case(InjectedFault::StaleUpdateAccepted; "a late word undoes a later one")]
+#[test_case(InjectedFault::DuplicateNoticeAccepted; "both keepers' words count")]
+#[test_case(InjectedFault::HintsNeverExpire; "what is kept never goes")]
 fn is_injected(fault: InjectedFault) {
     inject(Some(fault));
     let caught = (0..400).find_map(|seed| play(seed).broken.map(|why| (seed, why)));
--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -1,121 +1,135 @@
-//! The bytes that nodes send each other of work in hand, and what a process leaves to its next one, as recorded in
-//! `tests/fixtures/frames.txt`. `postcard` is positional: the order of fields and of variants is part of the form.
+//! The bytes that nodes send each other about in-flight calls, and those that a process hands over to the next one, as
+//! recorded in `tests/fixtures/frames.txt`. `postcard` is positional: the order of fields and of variants is part of the form.
 
 use std::fmt::Write as _;
 
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::warm_state::{Hint, WarmStateMessage};
+use glendeck_takeover::warm_state::{Hint, HintChange, HintUpdate, HintValue, WarmStateMessage};
 use glendeck_takeover::{
-    Intent, IntentVerdict, Outcome, RecordId, RecordView, ReplicaHandover, ReplicaMessage, Takeover, View,
-    WorkId,
+    FirstAttempt, Intent, IntentVerdict, Outcome, RecordId, RecordView, ReplicaHandover, ReplicaMessage,
+    SupersededRecord, Takeover, View, WorkId,
 };
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
 const START: Timestamp = Timestamp(86_400_000_000_000);
 
+const FIRST_ATTEMPT: FirstAttempt = FirstAttempt { host: 81, age_ms: 120 };
+
 fn id(count: u64) -> RecordId {
     RecordId { owner: UnitName::from("a"), incarnation: Incarnation(77), count }
 }
 
-fn intent(repeat: bool) -> Intent {
+fn intent(is_repeat: bool) -> Intent {
     Intent {
         id: id(3),
         work: WorkId(0x1234_5678_9abc),
         term: 2,
         version: 1,
-        repeat,
-        over: if repeat { vec![(id(1), 4)] } else { vec![] },
-        first: (81, 120),
-        no: 1,
-        left_ms: 900,
+        is_repeat,
+        supersedes: if is_repeat { vec![SupersededRecord { id: id(1), sequence: 4 }] } else { vec![] },
+        first: FIRST_ATTEMPT,
+        sequence: 1,
+        remaining_ms: 900,
     }
 }
 
 fn messages() -> Vec<(&'static str, ReplicaMessage)> {
-    let shown =
-        RecordView { id: id(3), term: 2, first: (81, 120), no: 1, age_ms: 45, open_ms: 800, answered: true };
-    let judged = |verdict| ReplicaMessage::IntentReply { id: id(3), no: 1, verdict };
+    let record = RecordView {
+        id: id(3),
+        term: 2,
+        first: FIRST_ATTEMPT,
+        sequence: 1,
+        age_ms: 45,
+        open_ms: 800,
+        is_answered: true,
+    };
+    let reply = |verdict| ReplicaMessage::IntentReply { id: id(3), sequence: 1, verdict };
     vec![
         ("keep", ReplicaMessage::StoreIntent(intent(false))),
         ("keep_repeat", ReplicaMessage::StoreIntent(intent(true))),
-        ("judged_kept", judged(IntentVerdict::Accepted)),
-        ("judged_others", judged(IntentVerdict::Conflict)),
-        ("judged_not_now", judged(IntentVerdict::Unavailable)),
-        ("look", ReplicaMessage::Query { id: id(4), no: 0, work: WorkId(5), version: 1 }),
-        ("shown", ReplicaMessage::QueryReply { id: id(4), no: 0, records: Some(vec![shown]) }),
-        ("shown_nothing", ReplicaMessage::QueryReply { id: id(4), no: 0, records: None }),
+        ("judged_kept", reply(IntentVerdict::Accepted)),
+        ("judged_others", reply(IntentVerdict::Conflict)),
+        ("judged_not_now", reply(IntentVerdict::Unavailable)),
+        ("look", ReplicaMessage::Query { id: id(4), sequence: 0, work: WorkId(5), version: 1 }),
+        ("shown", ReplicaMessage::QueryReply { id: id(4), sequence: 0, records: Some(vec![record]) }),
+        ("shown_nothing", ReplicaMessage::QueryReply { id: id(4), sequence: 0, records: None }),
         (
             "ended_never_ran",
-            ReplicaMessage::CallEnded { no: 1, id: id(3), work: WorkId(5), outcome: Outcome::NeverRan },
+            ReplicaMessage::CallEnded { sequence: 1, id: id(3), work: WorkId(5), outcome: Outcome::NeverRan },
         ),
         (
             "ended_answered",
-            ReplicaMessage::CallEnded { no: 1, id: id(3), work: WorkId(5), outcome: Outcome::Answered },
+            ReplicaMessage::CallEnded { sequence: 1, id: id(3), work: WorkId(5), outcome: Outcome::Answered },
         ),
     ]
 }
 
-fn warm_states() -> Vec<(&'static str, WarmStateMessage)> {
+fn warm_state_messages() -> Vec<(&'static str, WarmStateMessage)> {
     let home = Hint::Home { group: 4, host: 5 };
     let load = Hint::Load { subject: 6 };
     vec![
         (
             "tell",
-            WarmStateMessage::Update {
+            WarmStateMessage::Update(HintUpdate {
                 incarnation: Incarnation(77),
-                no: 2,
-                since: Some(1),
-                changes: vec![(home, Some(1)), (load, None)],
-                parting: true,
-            },
+                sequence: 2,
+                base: Some(1),
+                changes: vec![
+                    HintChange { hint: home, value: Some(1) },
+                    HintChange { hint: load, value: None },
+                ],
+                is_draining: true,
+            }),
         ),
         ("behind", WarmStateMessage::OutOfSync { incarnation: Incarnation(77) }),
         (
             "gone",
             WarmStateMessage::NodeGone {
-                of: UnitName::from("a"),
+                node: UnitName::from("a"),
                 incarnation: Incarnation(77),
-                hints: vec![(home, 1), (load, 250_000)],
+                hints: vec![HintValue { hint: home, value: 1 }, HintValue { hint: load, value: 250_000 }],
             },
         ),
     ]
 }
 
-/// What a replica leaves that keeps two records, one of them answered.
-fn left() -> ReplicaHandover {
+/// The handover of a replica that stores two records, one of them answered.
+fn handover() -> ReplicaHandover {
     let me = UnitName::from("k");
     let mut takeover = Takeover::new(START, me.clone(), Incarnation(9), 1, 30_000, 3_000);
     let voter_slots = ["k", "l", "m"].map(UnitName::from).to_vec();
-    takeover.agreed(START, View { voter_slots, version: 0, hears: true, ..View::default() });
+    takeover
+        .membership_changed(START, View { voter_slots, version: 0, hears_leader: true, ..View::default() });
     let owner = UnitName::from("a");
     let later = START.plus_ms(100);
     let second = Intent { id: id(4), work: WorkId(7), term: 0, version: 0, ..intent(false) };
     let first = Intent { term: 0, version: 0, ..intent(false) };
-    takeover.heard(later, &owner, ReplicaMessage::StoreIntent(first));
-    takeover.heard(later, &owner, ReplicaMessage::StoreIntent(second));
-    let ended = ReplicaMessage::CallEnded { no: 1, id: id(4), work: WorkId(7), outcome: Outcome::Answered };
-    takeover.heard(START.plus_ms(150), &owner, ended);
-    takeover.leave(START.plus_ms(200))
+    takeover.message_received(later, &owner, ReplicaMessage::StoreIntent(first));
+    takeover.message_received(later, &owner, ReplicaMessage::StoreIntent(second));
+    let ended =
+        ReplicaMessage::CallEnded { sequence: 1, id: id(4), work: WorkId(7), outcome: Outcome::Answered };
+    takeover.message_received(START.plus_ms(150), &owner, ended);
+    takeover.hand_over(START.plus_ms(200))
 }
 
-fn line(text: &mut String, name: &str, value: &impl serde::Serialize) {
+fn write_frame(text: &mut String, name: &str, value: &impl serde::Serialize) {
     let bytes = postcard::to_stdvec(value).expect("plain values are encoded");
     let digits = bytes.iter().fold(String::new(), |digits, byte| digits + &format!("{byte:02x}"));
-    writeln!(text, "{name} {digits}").expect("a string takes all");
+    writeln!(text, "{name} {digits}").expect("writing to a string does not fail");
 }
 
 fn frames() -> String {
     let mut text = String::new();
     for (name, message) in messages() {
-        line(&mut text, &format!("word_{name}"), &message);
+        write_frame(&mut text, &format!("word_{name}"), &message);
     }
-    for (name, said) in warm_states() {
-        line(&mut text, &format!("estate_{name}"), &said);
+    for (name, message) in warm_state_messages() {
+        write_frame(&mut text, &format!("estate_{name}"), &message);
     }
-    line(&mut text, "left", &(3u64, left()));
+    write_frame(&mut text, "left", &(3u64, handover()));
     text
 }
 
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -191,7 +191,7 @@
     guard: u64,
     attempts: u32,
     before: Option<PriorAttempt>,
-    ran: Option<(u64, Timestamp)>,
+    ran: Option<PriorAttempt>,
     /// The host of the attempt that is to go or is out; whether it is out.
     out: Option<(u64, bool)>,
 }
@@ -372,7 +372,11 @@
     }
 
     pub fn held(&self) -> usize {
-        self.nodes.iter().filter_map(|node| node.takeover.as_ref()).map(|of| of.replica.held()).sum()
+        self.nodes
+            .iter()
+            .filter_map(|node| node.takeover.as_ref())
+            .map(|of| of.replica().record_count())
+            .sum()
     }
 
     /// What a node's own clock shows. Clocks are apart by hours, and none goes right.
@@ -448,12 +452,12 @@
             let node = &mut self.nodes[at];
             let Some(takeover) = &mut node.takeover else { continue };
             let mut view = takeover.view().clone();
-            view.hears = hears;
+            view.hears_leader = hears;
             if reaches {
                 view.voter_slots = (0..SEATS).map(name).collect();
                 view.terms = terms.clone();
             }
-            takeover.agreed(timestamp, view);
+            takeover.membership_changed(timestamp, view);
             takeover.tick(timestamp);
             self.act(at);
         }
@@ -489,7 +493,7 @@
             Event::ReplicaMessage(to, _, from, message) => {
                 let timestamp = self.timestamp(to);
                 if let Some(takeover) = &mut self.nodes[to].takeover {
-                    takeover.heard(timestamp, &name(from), message);
+                    takeover.message_received(timestamp, &name(from), message);
                 }
                 self.act(to);
             }
@@ -506,7 +510,7 @@
                     && let Some((host, true)) = held.out
                 {
                     held.out = None;
-                    held.ran.get_or_insert((host, moment_back(timestamp, LEG)));
+                    held.ran.get_or_insert(PriorAttempt { host, sent_at: moment_back(timestamp, LEG) });
                     self.place(at, call);
                 }
             }
@@ -547,7 +551,7 @@
                     let ran = held.out.is_some() || held.ran.is_some() || held.before.is_some();
                     self.answer(at, call, if ran { Heard::Released } else { Heard::Busy });
                 }
-                let left = self.nodes[at].takeover.as_mut().map(|takeover| takeover.leave(timestamp));
+                let left = self.nodes[at].takeover.as_mut().map(|takeover| takeover.hand_over(timestamp));
                 self.nodes[at].left = left;
                 self.strike(Fault::Kill(at));
             }
@@ -595,7 +599,7 @@
         let of = WorkId(held.work as u64);
         if held.time > 0 {
             if let Some(takeover) = &mut self.nodes[node].takeover {
-                takeover.returned(timestamp, call, of, GUARD);
+                takeover.call_repeated(timestamp, call, of, GUARD);
             }
             self.act(node);
         } else {
@@ -680,7 +684,7 @@
         let outcome = if ran { Outcome::Answered } else { Outcome::NeverRan };
         let timestamp = self.timestamp(at);
         if let Some(takeover) = &mut self.nodes[at].takeover {
-            takeover.ended(timestamp, call, outcome);
+            takeover.call_ended(timestamp, call, outcome);
         }
         self.act(at);
     }
@@ -689,11 +693,11 @@
     fn place(&mut self, at: usize, call: u64) {
         let Some(held) = self.nodes[at].calls.get(&call) else { return };
         let (work, guard, attempts) = (held.work, held.guard, held.attempts);
-        let first = held.before.map(|before| (before.host, before.at)).or(held.ran);
+        let first = held.before.or(held.ran);
         let (own_ran, idempotency) = (held.ran, self.works[work].idempotency);
         let assured = if first.is_none() { Heard::Busy } else { Heard::Released };
         // A thirtieth is kept back: two clocks have part in it, and each may be slow by a 65th.
-        let recalled = |(_, sent): (u64, Timestamp)| self.timestamp(at).ms_since(sent) + 100 < WINDOW;
+        let recalled = |first: PriorAttempt| self.timestamp(at).ms_since(first.sent_at) + 100 < WINDOW;
         let may = match (idempotency, first) {
             (_, None) => true,
             (Idempotency::NonIdempotent, Some(_)) => false,
@@ -702,26 +706,31 @@
         if !may || attempts >= 3 || self.now + 60 >= guard {
             return self.answer(at, call, assured);
         }
-        let cell = first.map(|(host, _)| host % 2);
+        let cell = first.map(|first| first.host % 2);
         let drawn = self.roll(HOSTS / 2) * 2;
         let host = drawn + cell.unwrap_or(self.now % 2);
         let until = self.then(at, guard - 60);
-        let latest = first.map_or(until, |(_, sent)| until.min(sent.plus_ms(WINDOW - 100)));
-        let attempt =
-            Attempt { work: WorkId(work as u64), host, ran: own_ran, left_ms: guard - self.now, latest };
+        let latest = first.map_or(until, |first| until.min(first.sent_at.plus_ms(WINDOW - 100)));
+        let attempt = Attempt {
+            work: WorkId(work as u64),
+            host,
+            prior: own_ran,
+            remaining_ms: guard - self.now,
+            send_before: latest,
+        };
         let timestamp = self.timestamp(at);
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = Some((host, false));
         }
         if let Some(takeover) = &mut self.nodes[at].takeover {
-            takeover.intend(timestamp, call, attempt);
+            takeover.replicate_intent(timestamp, call, attempt);
         }
         self.act(at);
     }
 
     fn act(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at].takeover else { return };
-        for action in takeover.take_all() {
+        for action in takeover.take_actions() {
             match action {
                 Action::Send(to, message) => self.send(at, to.0[1..].parse().unwrap(), message),
                 Action::Proceed(call) => self.go(at, call),
@@ -739,7 +748,7 @@
                     let (work, left) = (held.work, held.guard.saturating_sub(self.now));
                     let timestamp = self.timestamp(at);
                     if let Some(takeover) = &mut self.nodes[at].takeover {
-                        takeover.returned(timestamp, call, WorkId(work as u64), left);
+                        takeover.call_repeated(timestamp, call, WorkId(work as u64), left);
                     }
                     self.act(at);
                 }
@@ -870,7 +879,9 @@
         match said {
             WarmStateMessage::Up => return self.answer(at, call, Heard::Up),
             WarmStateMessage::Busy => {}
-            WarmStateMessage::Error => drop(held.ran.get_or_insert((host, moment_back(timestamp, 100)))),
+            WarmStateMessage::Error => {
+                held.ran.get_or_insert(PriorAttempt { host, sent_at: moment_back(timestamp, 100) });
+            }
         }
         if let Some(held) = self.nodes[at].calls.get_mut(&call) {
             held.out = None;
