--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -411,7 +411,7 @@
     /// An operator's question or order; the answer comes as an action within a second.
     pub fn ask(&mut self, now: Timestamp, id: RequestId, command: Command) {
         self.now = now;
-        if let Some(answer) = self.state.answer(&id) {
+        if let Some(answer) = self.state.result_of(&id) {
             let answer = RequestResult::Answered(answer.clone());
             return self.actions.push(Action::Reply(id, answer));
         }
@@ -781,13 +781,13 @@
             LogStep::Entry(entry) => {
                 let answer = self.state.apply(entry);
                 let asked = entry.id.as_ref().filter(|id| self.questions.contains_key(id)).cloned();
-                if let (Some(id), Some(answer)) = (asked, answer) {
+                if let Some(id) = asked {
                     self.questions.remove(&id);
                     self.actions.push(Action::Reply(id, RequestResult::Answered(answer)));
                 }
             }
             LogStep::Reconfigure(voter_slots) => {
-                self.state.reseat(voter_slots.clone());
+                self.state.start_epoch(voter_slots.clone());
             }
         }
         let reseated = matches!(fact, LogStep::Reconfigure(_));
--- a/crates/fleet/src/hosts.rs
+++ b/crates/fleet/src/hosts.rs
@@ -5,13 +5,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 
 use crate::Timestamp;
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::group::{Action, Fleet};
-use crate::policy::{HostSettings, Place, UnitName, scopes};
-use crate::state::{Cause, Command, CommandResult, Lease, State, done, refused};
+use crate::policy::{Place, UnitName};
+use crate::state::Command;
+pub use crate::state::{EndpointState, HoldState, Host, HostHold, HostUpdate, ListedHost};
 
 /// A host that was out counts as back after the list has shown it ready for so long; as long as a node that was lost.
 const READY_MS: u64 = 5_000;
@@ -22,165 +23,6 @@
 /// The leader looks through its list so often, and proposes the same again after this.
 const LOOKS_MS: u64 = 1_000;
 
-/// What the list says of a host.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum EndpointState {
-    Ready,
-    Draining,
-    Gone,
-}
-
-/// How far a host that is held out has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HoldState {
-    /// Nodes open nothing new there, and what stands is eased off.
-    Out,
-    /// Every node has said that it holds nothing there. Whether that is still so is the leader's to say, [`Fleet::may_stop`]:
-    /// an entry that waited for a majority may be decided long after it was so.
-    Empty,
-    /// Nodes use it again; it counts as out until all have heard so.
-    Returning,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostHold {
-    #[serde(rename = "permit")]
-    pub lease: Lease,
-    pub cause: Cause,
-    pub hold: HoldState,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Host {
-    pub place: Place,
-    pub listed: EndpointState,
-    pub held: Option<HostHold>,
-}
-
-impl Host {
-    pub fn is_out(&self) -> bool {
-        let listed_out = self.listed != EndpointState::Ready && !is_injected(InjectedFault::ListNotCounted);
-        listed_out || self.held.is_some()
-    }
-
-    /// Nodes are to keep away from it.
-    pub fn is_wanted_out(&self) -> bool {
-        self.held.is_some_and(|held| held.hold != HoldState::Returning)
-    }
-}
-
-/// A line of the leader's list; forgotten where nothing is said of it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostLine {
-    pub host: UnitName,
-    pub said: Option<(Place, EndpointState)>,
-}
-
-impl State {
-    /// Whether one more host may go out, or which limit stands against it.
-    fn host_room(&self, name: &UnitName, host: &Host) -> Result<(), String> {
-        let settings = self.policy.as_ref().and_then(|policy| policy.hosts.as_ref());
-        let Some(settings) = settings else { return Err("the charter has no section for hosts".into()) };
-        if host.held.is_some() {
-            return Err(format!("{name} is out already"));
-        }
-        let places = self.hosts.iter().map(|(name, host)| (name, &host.place));
-        for (scope, limit, hosts) in scopes(&settings.limits, &host.place, places) {
-            // Its own draining in the list is no reason against it.
-            let others = hosts.iter().filter(|other| **other != name);
-            let out = others.filter(|other| self.hosts.get(**other).is_some_and(Host::is_out)).count() as u32;
-            let (of, room) = (hosts.len() as u32, limit.room(hosts.len() as u32));
-            if out + 1 > room {
-                return Err(format!("{out} of {of} hosts in {scope} are out, at most {room} may be"));
-            }
-        }
-        Ok(())
-    }
-
-    fn hold_host(&mut self, name: &UnitName, cause: Cause) -> Lease {
-        let lease = Lease(self.next_lease);
-        self.next_lease += 1;
-        if let Some(host) = self.hosts.get_mut(name) {
-            host.held = Some(HostHold { lease, cause, hold: HoldState::Out });
-        }
-        lease
-    }
-
-    pub(crate) fn drain_host(&mut self, name: &UnitName) -> CommandResult {
-        let Some(host) = self.hosts.get(name) else { return refused(format!("no unit or host {name}")) };
-        match self.host_room(name, host) {
-            Ok(()) => {
-                let lease = self.hold_host(name, Cause::Drain);
-                done(format!("{name} is eased off, permit {}", lease.0))
-            }
-            Err(why) => refused(why),
-        }
-    }
-
-    /// Beyond the limits; the caller has seen to it that nothing else is.
-    pub(crate) fn hold_host_beyond(&mut self, name: &UnitName) -> Result<Lease, String> {
-        match self.hosts.get(name) {
-            Some(host) if host.held.is_none() => Ok(self.hold_host(name, Cause::Override)),
-            Some(_) => Err(format!("{name} is out already")),
-            None => Err(format!("no unit or host {name}")),
-        }
-    }
-
-    pub(crate) fn activate_host(&mut self, name: &UnitName) -> CommandResult {
-        let Some(host) = self.hosts.get_mut(name) else { return refused(format!("no unit or host {name}")) };
-        match &mut host.held {
-            Some(held) if held.hold != HoldState::Returning => {
-                held.hold = HoldState::Returning;
-                if is_injected(InjectedFault::HostBackAtOnce) {
-                    host.held = None;
-                }
-                done(format!("{name} is used again"))
-            }
-            _ => done(format!("{name} is not held out")),
-        }
-    }
-
-    pub(crate) fn take_lines(&mut self, lines: &[HostLine]) -> CommandResult {
-        for HostLine { host, said } in lines {
-            match said {
-                Some((place, listed)) => {
-                    let fresh = Host { place: place.clone(), listed: *listed, held: None };
-                    let known = self.hosts.entry(host.clone()).or_insert(fresh);
-                    (known.place, known.listed) = (place.clone(), *listed);
-                }
-                None => drop(self.hosts.remove(host)),
-            }
-        }
-        done("noted")
-    }
-
-    pub(crate) fn emptied(&mut self, name: &UnitName, lease: Lease) -> CommandResult {
-        let held = self.hosts.get_mut(name).and_then(|host| host.held.as_mut());
-        match held.filter(|held| held.lease == lease && held.hold == HoldState::Out) {
-            Some(held) => {
-                held.hold = HoldState::Empty;
-                done(format!("{name} may stop"))
-            }
-            None => refused("it stands otherwise by now"),
-        }
-    }
-
-    pub(crate) fn host_back(&mut self, name: &UnitName, lease: Lease) -> CommandResult {
-        let Some(host) = self.hosts.get_mut(name) else { return refused(format!("no host {name}")) };
-        match host.held {
-            Some(held) if held.lease == lease && held.hold == HoldState::Returning => {
-                host.held = None;
-                done(format!("{name} is back"))
-            }
-            _ => refused("it stands otherwise by now"),
-        }
-    }
-
-    fn host_settings(&self) -> Option<&HostSettings> {
-        self.policy.as_ref()?.hosts.as_ref()
-    }
-}
-
 /// The list as this node has it.
 #[derive(Default)]
 pub struct Listing {
@@ -320,15 +162,15 @@
                 // Danger: one that flaps between ready and draining would look back each time.
                 (_, EndpointState::Ready) if stood < READY_MS => continue,
                 (Some(known), listed) if known.listed == *listed && known.place == *place => continue,
-                _ => Some((place.clone(), *listed)),
+                _ => Some(ListedHost { place: place.clone(), endpoint_state: *listed }),
             };
-            lines.push(HostLine { host: name.clone(), said });
+            lines.push(HostUpdate { host: name.clone(), listed: said });
             if lines.len() == IN_ONE_ENTRY {
                 break;
             }
         }
         if !lines.is_empty() {
-            self.propose_own(Command::UpdateHosts { lines });
+            self.propose_own(Command::UpdateHosts { updates: lines });
         }
     }
 
--- a/crates/fleet/src/leader_state.rs
+++ b/crates/fleet/src/leader_state.rs
@@ -10,7 +10,9 @@
 use crate::hosts::HostWatch;
 use crate::message::{Echo, Heartbeat, Message, VoterStatus};
 use crate::policy::UnitName;
-use crate::state::{BootCount, CallCounts, Cause, Command, Incarnation, Release, UnitState, VoterSlot};
+use crate::state::{
+    BootCount, CallCounts, Cause, Command, Incarnation, Release, UnitState, VoterReplacement, VoterSlot,
+};
 use crate::{Timestamp, state::ReleaseState};
 
 /// Nobody of the group has heard it for so long: five heartbeats.
@@ -267,7 +269,7 @@
             (voter_slot.number, voter_slot.incarnation) = (next, heard.heartbeat.incarnation);
             next += 1;
         }
-        let replaced = self.state.replacing().and_then(|(old, new)| {
+        let replaced = self.state.pending_replacement().and_then(|VoterReplacement { old, new }| {
             let at = voter_slots.iter().position(|voter_slot| voter_slot.name == *old)?;
             let heard = self.fresh(new).filter(|heard| {
                 matches!(heard.heartbeat.voter_status, VoterStatus::Fresh | VoterStatus::StateLost)
@@ -380,13 +382,13 @@
         if let Some(why) = self.gate(&release) {
             return self.suggest(&format!("halt {}", release.number), Command::Halt { why });
         }
-        let next = release.turns().find(|name| {
+        let next = release.remaining_units().find(|name| {
             self.state
                 .units
                 .get(*name)
                 .is_some_and(|unit| unit.unit_state == UnitState::Serving && !unit.lost)
         });
-        if release.turns().next().is_none() {
+        if release.remaining_units().next().is_none() {
             let wave = (release.number, release.wave);
             let since = match self.leader_state.clear {
                 Some((of, since)) if of == wave => since,
@@ -407,7 +409,7 @@
     /// Why the release has to halt, if it has to.
     fn gate(&self, release: &Release) -> Option<String> {
         let gates = &release.plan.gates;
-        let lost = self.state.lost();
+        let lost = self.state.unplanned_losses();
         if lost > gates.most_lost as usize {
             return Some(format!("{lost} units are lost unplanned, at most {} may be", gates.most_lost));
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -143,7 +143,8 @@
             None => {}
             Some(Act::Exit) => {
                 self.member.parted = Some(self.now);
-                let wanted = self.state.release.as_ref().map(|release| release.wanted(&self.name).to_owned());
+                let wanted =
+                    self.state.release.as_ref().map(|release| release.target_version(&self.name).to_owned());
                 self.actions.push(Action::Exit { version: wanted.unwrap_or_default() });
             }
             Some(Act::Drain) => {
--- /dev/null
+++ b/crates/fleet/src/state/apply/mod.rs
@@ -0,0 +1,93 @@
+//! What each command does to the state.
+
+mod hosts;
+mod overrides;
+mod releases;
+mod units;
+mod voters;
+
+use super::{Command, CommandResult, Entry, Lease, Refusal, RequestId, State, Unit, UnitState};
+use crate::policy::FleetPolicy;
+
+/// Results kept for requests that are repeated: more than operators and scripts send in the minutes in which they retry.
+const RESULTS_KEPT: usize = 128;
+
+/// What came of a command: a text for operators, or why nothing was done.
+type Outcome = Result<String, Refusal>;
+
+impl State {
+    /// Applies one entry and returns its result.
+    pub fn apply(&mut self, entry: &Entry) -> CommandResult {
+        self.applied += 1;
+        if let Some(known) = entry.id.as_ref().and_then(|id| self.result_of(id)) {
+            return known.clone();
+        }
+        let result = CommandResult::from(self.execute(&entry.command));
+        if let Some(id) = &entry.id {
+            self.remember_result(id, &entry.command, &result);
+        }
+        result
+    }
+
+    /// A refusal is not kept, since there may be room when the request is repeated; but a release that was refused once
+    /// must not start by a late repetition.
+    fn remember_result(&mut self, id: &RequestId, command: &Command, result: &CommandResult) {
+        let is_done = matches!(result, CommandResult::Done(_));
+        if !is_done && !matches!(command, Command::StartRelease { .. }) {
+            return;
+        }
+        self.results.push_back((id.clone(), result.clone()));
+        if self.results.len() > RESULTS_KEPT {
+            self.results.pop_front();
+        }
+    }
+
+    fn execute(&mut self, command: &Command) -> Outcome {
+        match command {
+            Command::Bootstrap(policy) => self.bootstrap(policy),
+            Command::Confirm => Ok("confirmed".into()),
+            Command::Drain { unit } if !self.units.contains_key(unit) => self.drain_host(unit),
+            Command::Drain { unit } => self.drain_unit(unit),
+            Command::Override { unit, reason } => self.drain_beyond_limits(unit, reason),
+            Command::Activate { unit } if !self.units.contains_key(unit) => self.activate_host(unit),
+            Command::Activate { unit } => self.activate_unit(unit),
+            Command::ConfirmDead { unit } => self.confirm_dead(unit),
+            Command::UpdateHosts { updates } => self.update_hosts(updates),
+            Command::MarkHostEmpty { host, lease } => self.mark_host_empty(host, *lease),
+            Command::MarkHostReturned { host, lease } => self.mark_host_returned(host, *lease),
+            Command::StartRelease { plan } => self.start_release(plan),
+            Command::Halt { why } => self.halt_release(why),
+            Command::Resume => self.resume_release(),
+            Command::RollBack => self.roll_back(),
+            Command::GrantTurn { release, unit } => self.grant_turn(*release, unit),
+            Command::BeginDrain { unit, lease, nonce, call_counts } => {
+                self.begin_drain(unit, *lease, *nonce, *call_counts)
+            }
+            Command::MarkServing { unit, lease, version } => self.mark_serving(unit, *lease, version),
+            Command::MarkLost { unit } => self.mark_lost(unit),
+            Command::AdvanceWave { release, wave } => self.advance_wave(*release, *wave),
+            Command::ReplaceVoter { old, new } => self.replace_voter(old, new),
+            // Whoever reads the log takes it out, as the end of its epoch: see `State::start_epoch`.
+            Command::Reconfigure { .. } => Err(Refusal::NotAnEntry),
+            Command::LeaderStarted { voters } => self.record_voters(voters),
+        }
+    }
+
+    fn bootstrap(&mut self, policy: &FleetPolicy) -> Outcome {
+        if self.policy.is_some() {
+            return Err(Refusal::AlreadyFounded);
+        }
+        // A unit that nobody has seen yet must not count as serving: another would be let out in its place.
+        let unseen =
+            Unit { unit_state: UnitState::Serving, lost: true, term: 0, dead: false, version: String::new() };
+        self.units = policy.units.keys().map(|name| (name.clone(), unseen.clone())).collect();
+        self.policy = Some(policy.clone());
+        Ok("founded".into())
+    }
+
+    fn new_lease(&mut self) -> Lease {
+        let lease = Lease(self.next_lease);
+        self.next_lease += 1;
+        lease
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/state/voter.rs
@@ -0,0 +1,40 @@
+//! Voters: the nodes that keep the log, each in a numbered slot.
+
+use serde::{Deserialize, Serialize};
+
+use super::ids::Incarnation;
+use crate::policy::UnitName;
+
+/// A voter's place in one epoch of the log. Its number is never given twice.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VoterSlot {
+    /// The voter's id in the consensus protocol.
+    pub number: u64,
+    /// The node that holds it.
+    pub name: UnitName,
+    /// The process that it was given to after a disk had failed; 0 for the slots that the fleet was founded with.
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
+}
+
+/// One node is to take another's voter slot for good.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(UnitName, UnitName)", into = "(UnitName, UnitName)")]
+pub struct VoterReplacement {
+    /// The voter that leaves.
+    pub old: UnitName,
+    /// The node that becomes a voter.
+    pub new: UnitName,
+}
+
+impl From<(UnitName, UnitName)> for VoterReplacement {
+    fn from((old, new): (UnitName, UnitName)) -> VoterReplacement {
+        VoterReplacement { old, new }
+    }
+}
+
+impl From<VoterReplacement> for (UnitName, UnitName) {
+    fn from(replacement: VoterReplacement) -> (UnitName, UnitName) {
+        (replacement.old, replacement.new)
+    }
+}
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -334,7 +334,7 @@
         }
     }
     let state = world.newest().ok_or("no state")?;
-    let left: Vec<_> = state.out().collect();
+    let left: Vec<_> = state.units_out().collect();
     let release = state
         .release
         .as_ref()
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 use glendeck_fleet::consensus::Voter;
-use glendeck_fleet::hosts::{EndpointState, HostLine};
+use glendeck_fleet::hosts::{EndpointState, HostUpdate, ListedHost};
 use glendeck_fleet::message::{
     DurableMark, Echo, Envelope, Heartbeat, HeartbeatReply, Hello, LogPosition, LogStep, LogUpdate, Message,
     VERSION, VoterStatus,
@@ -58,6 +58,10 @@
     Place { zone: "z1".into(), cell: "3".into(), kind: "large".into() }
 }
 
+fn listed(endpoint_state: EndpointState) -> Option<ListedHost> {
+    Some(ListedHost { place: place(), endpoint_state })
+}
+
 fn commands() -> Vec<(&'static str, Command)> {
     vec![
         ("found", Command::Bootstrap(Box::new(policy()))),
@@ -85,11 +89,11 @@
         (
             "hosts",
             Command::UpdateHosts {
-                lines: vec![
-                    HostLine { host: unit("h1"), said: Some((place(), EndpointState::Ready)) },
-                    HostLine { host: unit("h2"), said: Some((place(), EndpointState::Draining)) },
-                    HostLine { host: unit("h3"), said: Some((place(), EndpointState::Gone)) },
-                    HostLine { host: unit("h4"), said: None },
+                updates: vec![
+                    HostUpdate { host: unit("h1"), listed: listed(EndpointState::Ready) },
+                    HostUpdate { host: unit("h2"), listed: listed(EndpointState::Draining) },
+                    HostUpdate { host: unit("h3"), listed: listed(EndpointState::Gone) },
+                    HostUpdate { host: unit("h4"), listed: None },
                 ],
             },
         ),
