--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -117,7 +117,7 @@
             watch_s: 3,
             unit_limit_s: 60,
             act: Act::Exit,
-            on_halt: OnHalt::HoldState,
+            on_halt: OnHalt::Hold,
             gates: Default::default(),
         };
         let mut state = State::before_founding(&policy.voters);
--- a/crates/fleet/tests/schedules.rs
+++ b/crates/fleet/tests/schedules.rs
@@ -70,7 +70,7 @@
 fn draw_crossings(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
     let act = if world.roll(2) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::HoldState } else { OnHalt::Return };
+    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
     let mut plan = plan("v2", act, on_halt);
     plan.gates.most_lost = world.roll(3) as u32 * 100;
     world.order(8_000, 0, "start", Command::StartRelease { plan });
@@ -107,7 +107,7 @@
 /// What two voters of three have agreed is forgotten by one of them while the other is away.
 fn draw_forgetting(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
-    world.order(7_000, 0, "start", Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::HoldState) });
+    world.order(7_000, 0, "start", Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::Hold) });
     let mut when = FIRST * 1_000;
     while when + 20_000 < LAST * 1_000 {
         let forgetful = world.roll(voters as u64) as usize;
@@ -164,7 +164,7 @@
 fn draw_mixed(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
     let acts = if world.roll(4) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::HoldState } else { OnHalt::Return };
+    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
     if world.roll(6) == 0 {
         world.serves_badly("v2");
     }
@@ -390,7 +390,7 @@
 fn begin_unheard(seed: u64, act: Act) -> Option<(World, usize, usize)> {
     let mut world = World::new(seed, policy(5, 3));
     world.run_until(10_000);
-    let mut plan = plan("v2", act, OnHalt::HoldState);
+    let mut plan = plan("v2", act, OnHalt::Hold);
     plan.units = vec![name(3), name(4)];
     world.order_now(0, "start", Command::StartRelease { plan });
     let asks = |world: &World| {
@@ -440,7 +440,7 @@
             let leader = world.leader()?;
             let unit = (0..5).find(|at| *at != leader)?;
             world.around(unit, false, true, LinkState::Stalled);
-            let mut plan = plan("v2", Act::Exit, OnHalt::HoldState);
+            let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
             plan.units = vec![name(unit)];
             world.order_now(leader, "start", Command::StartRelease { plan });
             world.run_to(3_000, |world| {
@@ -568,7 +568,7 @@
 }
 
 fn release(world: &mut World, at: usize, version: &str) {
-    world.order_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::HoldState) });
+    world.order_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::Hold) });
 }
 
 #[test_case(1, 1, 60_000)]
@@ -641,6 +641,33 @@
     assert_eq!(traces[0], traces[1]);
 }
 
+/// Seed, nodes, voters, and the recorded digest of all that the processes did. A change of behaviour on purpose changes
+/// these; a change of the code's shape must not.
+const RECORDED_TRACES: [(u64, usize, usize, u64); 8] = [
+    (3, 5, 3, 0x8892_66fb_4a28_d54d),
+    (4, 1, 1, 0x253f_c20e_7b6b_546d),
+    (7, 12, 5, 0x3dd4_6bc0_4161_b050),
+    (11, 5, 3, 0xbecb_e914_70ff_2dca),
+    (15, 6, 5, 0x7f80_c72f_a3a5_5652),
+    (21, 5, 3, 0x697f_7f51_9442_0356),
+    (25, 7, 3, 0x5920_8914_ec00_a2ee),
+    (32, 9, 5, 0x96d9_6637_62e4_c01f),
+];
+
+#[test]
+fn recorded_schedules_give_the_recorded_actions() {
+    let recorded: Vec<String> = RECORDED_TRACES.iter().map(|(.., trace)| format!("{trace:#018x}")).collect();
+    let traces: Vec<String> = RECORDED_TRACES
+        .iter()
+        .map(|(seed, nodes, voters, _)| {
+            let mut world = draw(*seed, *nodes, *voters);
+            let _ = play(&mut world, *nodes);
+            format!("{:#018x}", world.trace)
+        })
+        .collect();
+    assert_eq!(traces, recorded);
+}
+
 #[test]
 fn a_build_that_serves_badly_halts_its_release_and_goes_back() {
     let (mut world, leader) = settled(5, 3);
@@ -670,7 +697,7 @@
     world.order_now(
         (leader + 2) % 5,
         "other",
-        Command::StartRelease { plan: plan("v3", Act::Exit, OnHalt::HoldState) },
+        Command::StartRelease { plan: plan("v3", Act::Exit, OnHalt::Hold) },
     );
     world.order_now((leader + 3) % 5, "back", Command::RollBack);
     world.run_until(world.now_ms() + 1_500);
@@ -754,7 +781,7 @@
 #[test]
 fn a_unit_that_never_returns_halts_the_release() {
     let (mut world, leader) = settled(5, 3);
-    let mut plan = plan("v2", Act::Exit, OnHalt::HoldState);
+    let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
     (plan.units, plan.unit_limit_s) = (vec![name(3), name(4)], 30);
     world.order_now(leader, "v2", Command::StartRelease { plan });
     assert!(world.run_to(5_000, |world| world.is_out(3)));
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -324,3 +324,13 @@
     }
     assert_eq!(SHOWN.lines().count(), now.lines().count(), "as played now:\n{now}");
 }
+
+#[test]
+fn plan_files_keep_their_keys() {
+    for (act, on_halt) in [("exit", "hold"), ("drain", "return")] {
+        let text = format!(r#"{{"version": "v2", "act": "{act}", "on_halt": "{on_halt}"}}"#);
+        let plan: Plan = serde_json::from_str(&text).expect("the documented keys are read");
+        let written = serde_json::to_value(&plan).expect("a plan is plain");
+        assert_eq!((&written["act"], &written["on_halt"]), (&act.into(), &on_halt.into()));
+    }
+}
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -515,6 +515,7 @@
         let Some(fleet) = self.procs[at].fleet.as_mut() else { return };
         let actions = fleet.take_actions();
         for action in actions {
+            self.trace_action(at, &action);
             match action {
                 Action::Send(to, envelope) => self.send(at, &to, *envelope),
                 Action::Persist(batch, writes) => {
@@ -547,6 +548,24 @@
         self.check_empty(at);
     }
 
+    /// Takes an action into the digest of all that the processes did: what goes out by its bytes, the rest by value.
+    /// Log texts are left out, as they may change without a change of behaviour.
+    fn trace_action(&mut self, at: usize, action: &Action) {
+        let bytes = match action {
+            Action::Send(to, envelope) => [to.0.as_bytes(), &envelope.encode()].concat(),
+            Action::Persist(batch, writes) => postcard::to_stdvec(&(batch, writes)).unwrap(),
+            Action::StartDrain { lease, cause } => postcard::to_stdvec(&(lease, cause)).unwrap(),
+            Action::AvoidHosts { hosts, every_ms } => postcard::to_stdvec(&(hosts, every_ms)).unwrap(),
+            Action::Exit { version } => version.clone().into_bytes(),
+            Action::Reply(id, RequestResult::Answered(result)) => postcard::to_stdvec(&(id, result)).unwrap(),
+            Action::Reply(id, RequestResult::Unknown) => postcard::to_stdvec(id).unwrap(),
+            Action::Resume => vec![],
+            Action::Log(_) => return,
+        };
+        let header = [self.trace, self.now, at as u64].map(u64::to_le_bytes).concat();
+        self.trace = fnv(&[header, bytes].concat());
+    }
+
     fn send(&mut self, from: usize, to: &UnitName, envelope: Envelope) {
         let Some(to) = to.0[1..].parse::<usize>().ok().filter(|to| *to < self.procs.len()) else { return };
         self.sent += 1;
