--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -13,7 +13,10 @@
 use crate::clients::ACCEPT_AGAIN;
 use crate::connection::{self, Connection, Got};
 use crate::http::{Incoming, Method, Refusal, Request};
-use crate::service::{ConnectionId, Phase, Service, SocketRole, TimerEvent};
+use crate::lifecycle::Phase;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// Callers at once. A scraper or two, an operator, and as many that are slow; their descriptors are kept back
 /// from the clients, so there are not more.
@@ -91,7 +94,7 @@
 
 impl Service {
     pub fn is_admin_socket(&self, number: u64) -> bool {
-        number == crate::service::ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
+        number == crate::reactor::ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
     }
 
     pub fn accept_callers(&mut self) {
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -7,14 +7,16 @@
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
 
+use crate::call::{CallStage, InFlightCall};
 use crate::connection::{Connection, Got, MUCH, Peer};
+use crate::lifecycle::Phase;
 use crate::metrics::Outcome;
 use crate::protocol::{self, Answer, ClientMessage, OpenRequest};
 use crate::reactor::Flags;
-use crate::service::{
-    CallStage, ConnectionId, InFlightCall, Phase, Service, SocketEntry, SocketRole, TimerEvent,
-};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::takeover::Kept;
+use crate::timers::TimerEvent;
 
 /// Kept back of a client's time: the answer's way to it, and what a busy core adds.
 const MARGIN: Span = Span::ms(20);
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -9,7 +9,9 @@
 use crate::config::host_id;
 use crate::connection::{Connection, Got};
 use crate::http::{self, Arriving};
-use crate::service::{ConnectionId, Service, SocketRole, TimerEvent};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum EndpointListError {
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -21,8 +21,12 @@
 
 use crate::config::{FleetSettings, host_id};
 use crate::endpoint_list::{self, EndpointListUpdate};
+use crate::lifecycle::Phase;
 use crate::peers::{Frame, Peers};
-use crate::service::{ConnectionId, Phase, STORE, Service, TimerEvent};
+use crate::reactor::STORE;
+use crate::service::Service;
+use crate::socket::ConnectionId;
+use crate::timers::TimerEvent;
 
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -24,14 +24,16 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
+use crate::call::{Attempt, AttemptEnd, CallStage, InFlightCall};
 use crate::config::NodeConfig;
 use crate::connection::{Connection, Got};
 use crate::endpoint_list::EndpointListUpdate;
 use crate::hosts::SEND_AWAY;
+use crate::lifecycle::Phase;
 use crate::protocol::{ClientId, LONGEST, first_line};
-use crate::service::{
-    Attempt, AttemptEnd, CallStage, ConnectionId, InFlightCall, Phase, Service, SocketRole, TimerEvent,
-};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// What the next process says first, and what stands before the message; another version says another number.
 const SUCCESSOR_HELLO: &str = "HEIR 1";
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -10,13 +10,14 @@
 use rustix::io::Errno;
 use tracing::{debug, warn};
 
+use crate::call::{Attempt, AttemptEnd, CallStage, InFlightCall};
 use crate::connection::{Connection, Got, MUCH};
 use crate::endpoint_list::EndpointListUpdate;
 use crate::metrics::Outcome;
 use crate::protocol::{self, HostMessage};
-use crate::service::{
-    Attempt, AttemptEnd, CallStage, ConnectionId, InFlightCall, Service, SocketEntry, SocketRole, TimerEvent,
-};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketEntry, SocketRole};
+use crate::timers::TimerEvent;
 
 /// How long a host may bring nothing back on a connection that asked it something. A host that is well
 /// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after 0.2,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,7 @@
 //! One node: the decisions on real sockets. A library so that the rig can put a bad disk under it; the program is `main`.
 
 mod admin;
+mod call;
 mod clients;
 mod config;
 mod connection;
@@ -9,12 +10,14 @@
 mod handover;
 mod hosts;
 mod http;
+mod lifecycle;
 mod metrics;
 mod peers;
 mod protocol;
 mod reactor;
 mod service;
 mod slots;
+mod socket;
 mod takeover;
 mod timers;
 mod warm_state;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -3,7 +3,8 @@
 use glendeck::domain::ClassId;
 use serde_json::{Map, Value, json};
 
-use crate::service::{CallStage, Service};
+use crate::call::CallStage;
+use crate::service::Service;
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -15,7 +15,9 @@
 use tracing::{debug, warn};
 
 use crate::connection::{Connection, Got};
-use crate::service::{ConnectionId, PEERS, Service, SocketRole};
+use crate::reactor::PEERS;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
 
 /// One letter at most: a whole state of 300 units takes some 60 KiB, a log to be taken anew a few hundred.
 const LONGEST_FRAME: usize = 8 << 20;
--- a/crates/node/src/reactor.rs
+++ b/crates/node/src/reactor.rs
@@ -55,3 +55,13 @@
         self.events.get(at).map(|event| (event.data.u64(), event.flags))
     }
 }
+
+// Numbers of what is watched beside the sockets of the table.
+
+pub const LISTENER: u64 = u64::MAX;
+pub const SIGNALS: u64 = u64::MAX - 1;
+pub const RELOADS: u64 = u64::MAX - 2;
+pub const ADMIN: u64 = u64::MAX - 3;
+pub const SUCCESSORS: u64 = u64::MAX - 4;
+pub const PEERS: u64 = u64::MAX - 5;
+pub const STORE: u64 = u64::MAX - 6;
--- a/crates/node/src/service.rs
+++ b/crates/node/src/service/mod.rs
@@ -2,14 +2,10 @@
 
 use std::collections::VecDeque;
 use std::io::Read;
-use std::ops::Range;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use glendeck::domain::{
-    AttemptNumber, AttemptOutcome, Call, CallId, HostId, NodeSnapshot, Span, Time, TimerToken,
-};
+use glendeck::domain::{AttemptNumber, AttemptOutcome, CallId, HostId, NodeSnapshot, Span, Time, TimerToken};
 use glendeck::port::Port;
 use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
@@ -18,6 +14,7 @@
 use tracing::{error, info, warn};
 
 use crate::admin::{AdminServer, CALLERS};
+use crate::call::{AttemptEnd, CallStage, InFlightCall};
 use crate::clients::{ACCEPT_AGAIN, FIRST_LINE};
 use crate::config::{self, NodeConfig};
 use crate::connection::{self, Connection, Got, MUCH};
@@ -25,12 +22,17 @@
 use crate::fleet::{FleetError, Membership};
 use crate::handover::{Handover, Inherited};
 use crate::hosts::HostTable;
+use crate::lifecycle::Phase;
 use crate::metrics::{Metrics, Outcome};
-use crate::protocol::{Answer, ClientId, HostMessage, LONGEST};
-use crate::reactor::{Flags, Reactor};
+use crate::protocol::{Answer, ClientId, LONGEST};
+use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOADS, Reactor, SIGNALS, STORE, SUCCESSORS};
 use crate::slots::Slots;
-use crate::takeover::Kept;
-use crate::timers::Timers;
+use crate::socket::{ConnectionId, SocketEntry, SocketRole};
+use crate::timers::{TimerEvent, Timers};
+
+mod clock;
+
+use clock::Clock;
 
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
@@ -44,200 +46,6 @@
     Signals(#[from] std::io::Error),
 }
 
-/// From start to exit.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// It listens, but knows no host yet.
-    Starting,
-    Serving,
-    /// Operators want it empty: it takes what the front still sends and sends clients away, but stays.
-    Draining {
-        since: Time,
-    },
-    /// The next process takes the clients; it serves those that it has, and waits for its end.
-    Replaced,
-    /// It was told to end: clients are sent away until then.
-    Leaving {
-        until: Time,
-    },
-    /// All has been answered: what was said still goes out.
-    Flushing,
-    Left,
-}
-
-/// Number of a socket in its slot.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId(pub u64);
-
-/// Whom a socket leads to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SocketRole {
-    Client(Option<CallId>),
-    Host(CallId),
-    Probe(HostId),
-    /// A question for the list, and when its answer is given up.
-    EndpointListClient(Time),
-    Closing,
-    /// Someone at the operators' door.
-    Admin,
-    /// The process of this node after, or before this one.
-    Successor,
-    Predecessor,
-    /// Another node of the fleet.
-    Peer,
-}
-
-pub struct SocketEntry {
-    pub connection: Connection,
-    pub role: SocketRole,
-    /// When it came, or last said PING.
-    pub quiet_since: Time,
-    /// Since when it is of no use to a call: it has opened none yet, or has had its last words.
-    pub idle_since: Time,
-    /// It was not accepted at once: what it said first may have lain there since.
-    pub queued_since: Option<Time>,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallStage {
-    /// The decisions have it; an attempt may be out.
-    Waiting,
-    /// It was open before the start and goes to the host where it was.
-    Returning,
-    Open,
-    /// The client has ended its side; the host may still have something to say.
-    HalfClosed,
-}
-
-pub struct Attempt {
-    pub no: AttemptNumber,
-    pub host: HostId,
-    pub connection: ConnectionId,
-    pub sent: Time,
-    pub limit: Time,
-    /// Its intent is kept, or nobody has to keep it.
-    pub may_go: bool,
-    /// The client's line was handed to the socket.
-    pub line_out: bool,
-    /// Its last byte has gone.
-    pub line_gone: bool,
-}
-
-/// A call in hand.
-pub struct InFlightCall {
-    pub id: ClientId,
-    pub client: Option<ConnectionId>,
-    pub line: Vec<u8>,
-    pub wait_at: Range<usize>,
-    pub call: Call,
-    pub stage: CallStage,
-    pub at: Option<HostId>,
-    pub attempt: Option<Attempt>,
-    pub attempts: u16,
-    /// Since when the host owes a line.
-    pub asked: Option<Time>,
-    pub silence_set: bool,
-    /// The host's last word, if it ended the connection with one.
-    pub last: Option<HostMessage>,
-    /// What its client was told, if it never opened.
-    pub outcome: Option<Outcome>,
-    /// What others keep of it, if they do.
-    pub kept: Option<Kept>,
-}
-
-impl InFlightCall {
-    pub fn new(
-        id: ClientId,
-        client: ConnectionId,
-        line: Vec<u8>,
-        wait_at: Range<usize>,
-        call: Call,
-        stage: CallStage,
-        at: Option<HostId>,
-    ) -> InFlightCall {
-        InFlightCall {
-            id,
-            client: Some(client),
-            line,
-            wait_at,
-            call,
-            stage,
-            at,
-            attempt: None,
-            attempts: 0,
-            asked: None,
-            silence_set: false,
-            last: None,
-            outcome: None,
-            kept: None,
-        }
-    }
-}
-
-/// The end of an attempt that the decisions have not been told yet.
-pub struct AttemptEnd {
-    pub call: CallId,
-    pub attempt: AttemptNumber,
-    pub outcome: AttemptOutcome,
-    /// It answers the call, or the call has had its answer.
-    pub last: bool,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TimerEvent {
-    Wake(TimerToken),
-    Connect(CallId, AttemptNumber),
-    Attempt(CallId, AttemptNumber),
-    Again(CallId),
-    Silence(CallId),
-    Linger(CallId),
-    Move(CallId),
-    /// The drain of this number has sent all it could wait for; one client of it goes.
-    Drain(u32),
-    DrainMove(u32, CallId),
-    DrainEnd(u32),
-    Caller(ConnectionId),
-    Probe(ConnectionId),
-    ListLimit(ConnectionId),
-    FirstLine(ConnectionId),
-    Shut(ConnectionId),
-    Accept,
-    /// The list is not waited for any longer.
-    TakeOver,
-    /// The line to the next process was full.
-    HandOn,
-    /// Replaced and told to end, with nothing left to do.
-    LeaveEarly,
-    /// The front has stopped sending.
-    StopAccepting,
-    /// The fleet's next tenth of a second.
-    Fleet,
-    /// One connection goes from a host that the fleet wants out.
-    Ease,
-    Exit,
-    /// What was said last has had its time to go out.
-    Left,
-}
-
-/// Wall time at the start and steady time since: hosts tell their start in wall time, and what is due here
-/// must not jump with it.
-struct Clock {
-    began: Instant,
-    at: Time,
-}
-
-impl Clock {
-    fn start(ahead_s: i64) -> Clock {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ahead = i128::from(ahead_s) * 1_000_000_000;
-        Clock { began: Instant::now(), at: Time((since.as_nanos() as i128 + ahead).max(0) as u64) }
-    }
-
-    fn now(&self) -> Time {
-        self.at + Span(self.began.elapsed().as_nanos() as u64)
-    }
-}
-
 pub struct Service {
     pub phase: Phase,
     pub config: NodeConfig,
@@ -289,14 +97,6 @@
     Ok(shows)
 }
 
-pub const LISTENER: u64 = u64::MAX;
-const SIGNALS: u64 = u64::MAX - 1;
-const RELOADS: u64 = u64::MAX - 2;
-pub const ADMIN: u64 = u64::MAX - 3;
-pub const SUCCESSORS: u64 = u64::MAX - 4;
-pub const PEERS: u64 = u64::MAX - 5;
-pub const STORE: u64 = u64::MAX - 6;
-
 /// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the next
 /// process, one to accept with or to read the configuration from, and one for the list. Danger: a list that was lost while
 /// idle clients held every descriptor could not be asked for again.
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -15,9 +15,10 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
+use crate::call::InFlightCall;
 use crate::peers::{Frame, seal, unseal};
 use crate::protocol::{Answer, OpenRequest, hashed};
-use crate::service::{InFlightCall, Service};
+use crate::service::Service;
 
 /// In the node's folder, beside the store: what the process before kept.
 const LEFT: &str = "work";
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -3,7 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use glendeck::domain::{Span, Time};
+use glendeck::domain::{AttemptNumber, CallId, Span, Time, TimerToken};
+
+use crate::socket::ConnectionId;
 
 /// What falls due at the same time comes in the order in which it was set. Nothing is taken out early: what
 /// an entry names has ended by then or says itself that it is not due, and numbers are never used twice.
@@ -34,3 +36,39 @@
         self.heap.peek().map(|first| first.0.0.since(now))
     }
 }
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TimerEvent {
+    Wake(TimerToken),
+    Connect(CallId, AttemptNumber),
+    Attempt(CallId, AttemptNumber),
+    Again(CallId),
+    Silence(CallId),
+    Linger(CallId),
+    Move(CallId),
+    /// The drain of this number has sent all it could wait for; one client of it goes.
+    Drain(u32),
+    DrainMove(u32, CallId),
+    DrainEnd(u32),
+    Caller(ConnectionId),
+    Probe(ConnectionId),
+    ListLimit(ConnectionId),
+    FirstLine(ConnectionId),
+    Shut(ConnectionId),
+    Accept,
+    /// The list is not waited for any longer.
+    TakeOver,
+    /// The line to the next process was full.
+    HandOn,
+    /// Replaced and told to end, with nothing left to do.
+    LeaveEarly,
+    /// The front has stopped sending.
+    StopAccepting,
+    /// The fleet's next tenth of a second.
+    Fleet,
+    /// One connection goes from a host that the fleet wants out.
+    Ease,
+    Exit,
+    /// What was said last has had its time to go out.
+    Left,
+}
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -12,8 +12,9 @@
 use serde_json::{Value, json};
 use tracing::{debug, info};
 
+use crate::lifecycle::Phase;
 use crate::peers::Frame;
-use crate::service::{Phase, Service};
+use crate::service::Service;
 
 /// Connections live for tens of seconds: what is a second old is nearly all true.
 const EVERY: Span = Span::ms(1_000);
