--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -1,11 +1,9 @@
 //! Calls in flight and their attempts.
 
-use std::ops::Range;
-
 use glendeck::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, Time};
 
 use crate::metrics::Outcome;
-use crate::protocol::{ClientId, HostMessage};
+use crate::protocol::{ClientId, HostMessage, OpenLine};
 use crate::socket::ConnectionId;
 use crate::takeover::Kept;
 
@@ -38,8 +36,7 @@
 pub struct InFlightCall {
     pub id: ClientId,
     pub client: Option<ConnectionId>,
-    pub line: Vec<u8>,
-    pub wait_at: Range<usize>,
+    pub line: OpenLine,
     pub call: Call,
     pub stage: CallStage,
     pub at: Option<HostId>,
@@ -60,8 +57,7 @@
     pub fn new(
         id: ClientId,
         client: ConnectionId,
-        line: Vec<u8>,
-        wait_at: Range<usize>,
+        line: OpenLine,
         call: Call,
         stage: CallStage,
         at: Option<HostId>,
@@ -70,7 +66,6 @@
             id,
             client: Some(client),
             line,
-            wait_at,
             call,
             stage,
             at,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -181,8 +181,8 @@
     fn first_lines(&mut self, id: ConnectionId, said_at: Time) {
         let yes = self.takes_clients();
         while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = protocol::first_line(&seat.connection.inbox) else {
-                if seat.connection.inbox.len() >= protocol::LONGEST {
+            let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
+                if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                     debug!("a client's line is too long");
                     self.answer_conn(id, Answer::Error);
                 }
@@ -195,15 +195,15 @@
                 debug!("a client did not wait for its answer");
                 return self.answer_conn(id, Answer::Error);
             }
-            match protocol::first(&said, &self.config.names) {
+            match ClientMessage::parse(said, &self.config.names) {
                 Ok(ClientMessage::Ping) => {
                     let pong = if yes { Answer::Pong } else { Answer::Error };
-                    protocol::encode_answer(&pong, &mut seat.connection.outbox);
+                    pong.encode(&mut seat.connection.outbox);
                     self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLine(id));
                     seat.quiet_since = self.now;
                     self.pump(id);
                 }
-                Ok(ClientMessage::Open(opening)) => return self.take_call(id, said, said_at, opening),
+                Ok(ClientMessage::Open(opening)) => return self.take_call(id, said_at, opening),
                 Err(fault) => {
                     debug!(%fault, "a client's first line");
                     return self.answer_conn(id, Answer::Error);
@@ -212,7 +212,7 @@
         }
     }
 
-    fn take_call(&mut self, id: ConnectionId, said: Vec<u8>, said_at: Time, opening: OpenRequest) {
+    fn take_call(&mut self, id: ConnectionId, said_at: Time, opening: OpenRequest) {
         // Danger: two connections of one id are one call to the hosts, and the owner's would be disturbed.
         if self.ids.contains(&opening.id) {
             debug!("a client's id is open already");
@@ -229,6 +229,7 @@
         self.ids.insert(opening.id);
         let work = self.work_of(&opening);
         let looks = work.is_some() && self.is_repeat(&opening);
+        let returning = opening.is_returning();
         let OpenRequest {
             id: client,
             traffic,
@@ -236,10 +237,9 @@
             subject,
             group,
             wait,
-            wait_at,
             load,
-            returning,
-            at,
+            previous_host: at,
+            line,
             ..
         } = opening;
         let most = if at.is_some() { wait.min(RETURN) } else { wait };
@@ -249,7 +249,7 @@
         let call =
             Call { id: CallId(0), traffic, tenant, subject, group, guard, load, returning, mid_flow, before };
         let stage = if at.is_some() { CallStage::Returning } else { CallStage::Waiting };
-        let held = InFlightCall::new(client, id, said, wait_at, call, stage, at);
+        let held = InFlightCall::new(client, id, line, call, stage, at);
         let number = CallId(self.calls.insert(held));
         let Some(held) = self.calls.get_mut(number.0) else { return };
         held.call.id = number;
@@ -295,7 +295,7 @@
 
     pub fn answer_conn(&mut self, id: ConnectionId, answer: Answer) {
         let mut words = Vec::new();
-        protocol::encode_answer(&answer, &mut words);
+        answer.encode(&mut words);
         self.last_words(id, &words);
     }
 
@@ -415,8 +415,8 @@
             self.give_up_call(call);
             return self.settle();
         };
-        let length = protocol::whole_lines(&seat.connection.inbox);
-        if seat.connection.inbox.len() - length >= protocol::LONGEST {
+        let length = protocol::complete_lines_length(&seat.connection.inbox);
+        if seat.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
             debug!("a client's line is too long");
             return self.client_left(id, Some(call), true);
         }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -309,7 +309,7 @@
 
 /// A host's number, the same at every node.
 pub fn host_id(name: &str) -> HostId {
-    HostId(crate::protocol::numbered(name))
+    HostId(crate::hash::hash_name(name))
 }
 
 #[cfg(test)]
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -130,7 +130,7 @@
         cell: Cell(entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
         condition,
         weight: Weight(number("weight", 1.0).ok_or(EndpointListError::Bad("weight"))?),
-        kind: text("type").map(|kind| Kind(crate::protocol::numbered(kind))),
+        kind: text("type").map(|kind| Kind(crate::hash::hash_name(kind))),
         up_since: Some(Time((since * 1e6) as u64)).filter(|up| up.0 > 0),
     };
     Ok((listed, address))
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -30,7 +30,7 @@
 use crate::endpoint_list::EndpointListUpdate;
 use crate::hosts::SEND_AWAY;
 use crate::lifecycle::Phase;
-use crate::protocol::{ClientId, LONGEST, first_line};
+use crate::protocol::{ClientId, MAX_LINE_LENGTH, OpenLine, first_line_length};
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
@@ -368,8 +368,8 @@
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
         while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = first_line(&seat.connection.inbox) else {
-                return if seat.connection.inbox.len() > LONGEST {
+            let Some(length) = first_line_length(&seat.connection.inbox) else {
+                return if seat.connection.inbox.len() > MAX_LINE_LENGTH {
                     self.successor_gone(id)
                 };
             };
@@ -611,7 +611,7 @@
 
     fn predecessor_lines(&mut self, id: ConnectionId) {
         while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = first_line(&seat.connection.inbox) else {
+            let Some(length) = first_line_length(&seat.connection.inbox) else {
                 return if seat.connection.inbox.len() > LONGEST_MESSAGE {
                     self.predecessor_gone(id)
                 };
@@ -682,7 +682,7 @@
             self.close_connection(client);
             return None;
         };
-        let mut held = InFlightCall::new(id, client, Vec::new(), 0..0, call, CallStage::Open, None);
+        let mut held = InFlightCall::new(id, client, OpenLine::default(), call, CallStage::Open, None);
         let no = AttemptNumber(0);
         let (sent, limit, line_out, line_gone) = (self.now, self.now, true, true);
         (held.attempts, held.attempt) = (
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -14,7 +14,7 @@
 use crate::connection::{Connection, Got, MUCH};
 use crate::endpoint_list::EndpointListUpdate;
 use crate::metrics::Outcome;
-use crate::protocol::{self, HostMessage};
+use crate::protocol::{self, Answer, HostMessage};
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::timers::TimerEvent;
@@ -221,7 +221,7 @@
         let Some(attempt) = &mut held.attempt else { return };
         attempt.line_out = true;
         let left = attempt.limit.since(self.now);
-        protocol::encode_open(&held.line, &held.wait_at, left, &mut seat.connection.outbox);
+        held.line.encode(left, &mut seat.connection.outbox);
     }
 
     /// Notes when the last byte of the line has gone: before that the host never ran it, after that it may have.
@@ -269,10 +269,7 @@
             if outcome.never_ran() && held.call.guard > self.now + AGAIN {
                 self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
             } else {
-                self.answer_call(
-                    id,
-                    if outcome.never_ran() { protocol::Answer::Busy(None) } else { protocol::Answer::Error },
-                );
+                self.answer_call(id, if outcome.never_ran() { Answer::Busy(None) } else { Answer::Error });
             }
             return self.close_connection(attempt.connection);
         }
@@ -306,7 +303,7 @@
             if held.call.guard > self.now + AGAIN {
                 self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
             } else {
-                self.answer_call(id, protocol::Answer::Busy(None));
+                self.answer_call(id, Answer::Busy(None));
             }
         }
     }
@@ -360,8 +357,8 @@
                 self.relay_to_client(id, call);
                 return;
             }
-            let Some(length) = protocol::first_line(&seat.connection.inbox) else {
-                if seat.connection.inbox.len() >= protocol::LONGEST {
+            let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
+                if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                     warn!("a host sent a line that is too long");
                     self.end_attempt(call, AttemptOutcome::Error, None);
                     self.settle();
@@ -370,7 +367,7 @@
             };
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
             let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
-            match protocol::word(&said) {
+            match HostMessage::parse(&said) {
                 HostMessage::Up => self.attempt_open(id, call, &said),
                 HostMessage::Load(load) => self.tell_load(call, load),
                 HostMessage::Bye => self.end_attempt(call, AttemptOutcome::Completed, Some(&said)),
@@ -434,8 +431,8 @@
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(client) = held.client else { return };
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let length = protocol::whole_lines(&seat.connection.inbox);
-        if seat.connection.inbox.len() - length >= protocol::LONGEST {
+        let length = protocol::complete_lines_length(&seat.connection.inbox);
+        if seat.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
             warn!("a host sent a line that is too long");
             self.host_ended(call, true);
             return self.settle();
@@ -449,7 +446,7 @@
         }
         let mut load = None;
         for line in said[..length].split_inclusive(|byte| *byte == b'\n') {
-            match protocol::word(line) {
+            match HostMessage::parse(line) {
                 HostMessage::Load(now) => load = Some(now),
                 word @ (HostMessage::Bye | HostMessage::Move) => held.last = Some(word),
                 _ => {}
@@ -535,7 +532,7 @@
         };
         let Some(client) = held.client.take() else { return };
         let mut words = Vec::new();
-        protocol::encode_answer(&protocol::Answer::Move, &mut words);
+        Answer::Move.encode(&mut words);
         self.last_words(client, &words);
         self.close_attempt(id, outcome, false);
     }
@@ -582,13 +579,13 @@
             Got::Bytes(n) => {
                 let Some(seat) = self.sockets.get_mut(id.0) else { return };
                 seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
-                let Some(length) = protocol::first_line(&seat.connection.inbox) else {
-                    if seat.connection.inbox.len() >= protocol::LONGEST {
+                let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
+                    if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                         self.probe_over(id, host, AttemptOutcome::Error);
                     }
                     return;
                 };
-                let well = protocol::word(&seat.connection.inbox[..length]) == HostMessage::Pong;
+                let well = HostMessage::parse(&seat.connection.inbox[..length]) == HostMessage::Pong;
                 self.probe_over(
                     id,
                     host,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,6 +8,7 @@
 mod endpoint_list;
 mod fleet;
 mod handover;
+mod hash;
 mod hosts;
 mod http;
 mod lifecycle;
--- /dev/null
+++ b/crates/node/src/protocol/host.rs
@@ -0,0 +1,59 @@
+//! What hosts say.
+
+/// One line from a host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum HostMessage {
+    /// The connection is open.
+    Up,
+    /// The connection has ended as it should.
+    Bye,
+    /// The host ends the connection and its client connects anew.
+    Move,
+    /// The call failed.
+    Error,
+    /// The host has no room and ran nothing.
+    Busy,
+    /// The answer to a probe.
+    Pong,
+    /// The connection's load in seconds of work per second.
+    Load(f64),
+    /// Anything else, which belongs to the client.
+    Other,
+}
+
+/// More than a million cores is no load, and sums of such would not be finite. In microseconds of work per second.
+const MAX_LOAD_MICROSECONDS: f64 = 1e12;
+
+impl HostMessage {
+    /// Reads one line, with or without its end.
+    pub fn parse(line: &[u8]) -> HostMessage {
+        let line = without_end(line);
+        let (verb, arguments) = match line.iter().position(|byte| *byte == b' ') {
+            Some(space) => (&line[..space], &line[space + 1..]),
+            None => (line, &[][..]),
+        };
+        match verb {
+            b"UP" => HostMessage::Up,
+            b"BYE" => HostMessage::Bye,
+            b"MOVE" => HostMessage::Move,
+            b"ERR" => HostMessage::Error,
+            b"BUSY" => HostMessage::Busy,
+            b"PONG" => HostMessage::Pong,
+            b"LOAD" => parse_load(arguments).map_or(HostMessage::Other, HostMessage::Load),
+            _ => HostMessage::Other,
+        }
+    }
+}
+
+fn without_end(line: &[u8]) -> &[u8] {
+    match line.strip_suffix(b"\n") {
+        Some(line) => line.strip_suffix(b"\r").unwrap_or(line),
+        None => line,
+    }
+}
+
+fn parse_load(arguments: &[u8]) -> Option<f64> {
+    let text = std::str::from_utf8(arguments).ok()?;
+    let microseconds = super::parse_amount(text.trim(), "load").ok()?;
+    (microseconds <= MAX_LOAD_MICROSECONDS).then_some(microseconds / 1e6)
+}
--- a/crates/node/src/protocol/tests.rs
+++ b/crates/node/src/protocol/tests.rs
@@ -7,6 +7,7 @@
 use test_case::test_case;
 
 use super::{Answer, ClientMessage, HostMessage, Names};
+use crate::hash::hash_name;
 
 /// One line for each parsed or written message, recorded before the parser was last restructured.
 const TRACE: &str = include_str!("../../tests/fixtures/protocol-trace.txt");
@@ -38,7 +39,7 @@
 #[test_case("OPEN 9b1f 7f3a c=chat,,d=2000\r\n", false; "an empty field")]
 #[test_case("PING \r\n", false; "more than PING")]
 fn only_well_formed_open_lines_are_accepted(line: &str, accepted: bool) {
-    let message = super::first(line.as_bytes(), &names(true));
+    let message = ClientMessage::parse(line.as_bytes().to_vec(), &names(true));
     assert_eq!(matches!(message, Ok(ClientMessage::Open(_))), accepted, "{message:?}");
 }
 
@@ -131,12 +132,12 @@
 const WAITS: [Span; 4] = [Span(1), Span(1_999_999), Span(1_500_000_000), Span(60_000_000_000)];
 
 fn first_line_record(line: &str, names: &Names) -> String {
-    let request = match super::first(line.as_bytes(), names) {
+    let request = match ClientMessage::parse(line.as_bytes().to_vec(), names) {
         Ok(ClientMessage::Ping) => return "ping".to_owned(),
         Ok(ClientMessage::Open(request)) => request,
         Err(error) => return format!("error: {error}"),
     };
-    let Range { start, end } = request.wait_at;
+    let Range { start, end } = request.line.wait_range;
     let mut record = format!(
         "open id={:x} class={} tenant={} subject={:x?} group={:x?} wait_ns={} wait_at={start}..{end} load={:?} \
          returning={} repeat={} again={} at={:x?} written",
@@ -147,14 +148,14 @@
         request.group.map(|group| group.0),
         request.wait.0,
         request.load,
-        request.returning,
-        request.repeat,
-        request.again,
-        request.at.map(|host| host.0),
+        request.is_returning(),
+        request.is_repeat,
+        request.is_reconnect,
+        request.previous_host.map(|host| host.0),
     );
     for wait in WAITS {
         let mut written = Vec::new();
-        super::encode_open(line.as_bytes(), &request.wait_at, wait, &mut written);
+        request.line.encode(wait, &mut written);
         write!(record, " {:?}", String::from_utf8_lossy(&written)).unwrap();
     }
     record
@@ -173,9 +174,9 @@
     }
 }
 
-fn answer_record(answer: &Answer) -> String {
+fn answer_record(answer: Answer) -> String {
     let mut written = Vec::new();
-    super::encode_answer(answer, &mut written);
+    answer.encode(&mut written);
     format!("{:?}", String::from_utf8_lossy(&written))
 }
 
@@ -188,7 +189,7 @@
         }
     }
     for line in HOST_LINES {
-        let record = host_message_record(super::word(line.as_bytes()));
+        let record = host_message_record(HostMessage::parse(line.as_bytes()));
         writeln!(trace, "host {line:?} -> {record}").unwrap();
     }
     for (name, answer) in [
@@ -197,18 +198,18 @@
         ("busy", Answer::Busy(None)),
         ("move", Answer::Move),
     ] {
-        writeln!(trace, "answer {name} -> {}", answer_record(&answer)).unwrap();
+        writeln!(trace, "answer {name} -> {}", answer_record(answer)).unwrap();
     }
     for wait in WAITS {
-        writeln!(trace, "answer busy {} -> {}", wait.0, answer_record(&Answer::Busy(Some(wait)))).unwrap();
+        writeln!(trace, "answer busy {} -> {}", wait.0, answer_record(Answer::Busy(Some(wait)))).unwrap();
     }
     for bytes in ["", "\n", "UP", "UP\r\n", "UP\r\nBYE", "UP\r\nBYE\r\n"] {
-        let first = super::first_line(bytes.as_bytes());
-        let whole = super::whole_lines(bytes.as_bytes());
+        let first = super::first_line_length(bytes.as_bytes());
+        let whole = super::complete_lines_length(bytes.as_bytes());
         writeln!(trace, "frame {bytes:?} -> first={first:?} whole={whole}").unwrap();
     }
     for name in ["", "s-1", "team"] {
-        writeln!(trace, "name {name:?} -> {:016x}", super::numbered(name)).unwrap();
+        writeln!(trace, "name {name:?} -> {:016x}", hash_name(name)).unwrap();
     }
     writeln!(trace, "probe -> {:?}", String::from_utf8_lossy(super::PROBE)).unwrap();
     trace
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -24,7 +24,7 @@
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::{Metrics, Outcome};
-use crate::protocol::{Answer, ClientId, LONGEST};
+use crate::protocol::{Answer, ClientId, MAX_LINE_LENGTH};
 use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOADS, Reactor, SIGNALS, STORE, SUCCESSORS};
 use crate::slots::Slots;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
@@ -352,7 +352,7 @@
             return self.predecessor_readable(id);
         }
         // A connection that has not opened needs room for one line.
-        let most = if role == SocketRole::Client(None) { LONGEST } else { MUCH };
+        let most = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { MUCH };
         let got = match seat.connection.read(&mut self.scratch[..most]) {
             Ok(got) => got,
             Err(_) => return self.lost(id),
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -16,8 +16,9 @@
 use tracing::{debug, info, warn};
 
 use crate::call::InFlightCall;
+use crate::hash::hash_bytes;
 use crate::peers::{Frame, seal, unseal};
-use crate::protocol::{Answer, OpenRequest, hashed};
+use crate::protocol::{Answer, OpenRequest};
 use crate::service::Service;
 
 /// In the node's folder, beside the store: what the process before kept.
@@ -116,7 +117,7 @@
 /// What names the same work at every node.
 fn name(traffic: &str, tenant: &str, subject: u64) -> WorkId {
     let parts = [traffic.as_bytes(), b"\0", tenant.as_bytes(), b"\0", &subject.to_le_bytes()];
-    WorkId(hashed(parts.into_iter().flatten().copied()))
+    WorkId(hash_bytes(parts.into_iter().flatten().copied()))
 }
 
 impl Service {
@@ -129,7 +130,7 @@
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
         let lasting = self.config.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
-        if !lasting || opening.at.is_some() {
+        if !lasting || opening.previous_host.is_some() {
             return None;
         }
         let tenant = self.config.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
@@ -138,7 +139,7 @@
 
     /// A repeat, as far as can be told: where clients do not mark theirs, any call but one whose connection was up.
     pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
-        if self.config.marks_repeats { opening.repeat } else { !opening.again }
+        if self.config.marks_repeats { opening.is_repeat } else { !opening.is_reconnect }
     }
 
     fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Timestamp)) {
