--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -106,7 +106,7 @@
                     if let Some(id) = self.add_connection(Connection::new(fd, false), SocketRole::Admin) {
                         let (incoming, answered) = (Incoming::default(), false);
                         self.door.callers.push_back(Caller { id, incoming, answered });
-                        self.timers.set(self.now + CALL_LIMIT, TimerEvent::Caller(id));
+                        self.timers.set(self.now + CALL_LIMIT, TimerEvent::AdminTimeout(id));
                     }
                 }
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
@@ -115,7 +115,7 @@
                     // Danger: while accepting fails the socket stays ready, and the loop would spin.
                     warn!(%fault, "cannot accept at the operators' door");
                     self.watch_admin(false);
-                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
+                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
                 }
             }
         }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -57,7 +57,7 @@
 impl Service {
     /// Whether all that had come was taken.
     pub fn accept(&mut self) -> bool {
-        // Danger: when the last of a queue was taken no event tells so, and whoever comes next would be held to have waited
+        // Danger: when the last of a queue was taken no event tells so, and whoever comes next would be in_flight to have waited
         // since. While connections wait this is called again within that pause.
         if self.queued_since.is_some() && self.now.since(self.queued_at) > ACCEPT_AGAIN.times(2.0) {
             self.queued_since = None;
@@ -72,8 +72,8 @@
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(fd) => {
                     let id = self.take_client(fd, Vec::new());
-                    if let Some(seat) = id.and_then(|id| self.sockets.get_mut(id.0)) {
-                        seat.queued_since = self.queued_since;
+                    if let Some(socket) = id.and_then(|id| self.sockets.get_mut(id.0)) {
+                        socket.queued_since = self.queued_since;
                     }
                 }
                 Err(Errno::AGAIN) => {
@@ -97,7 +97,7 @@
         let mut connection = Connection::new(fd, false);
         connection.inbox = inbox;
         let id = self.add_connection(connection, SocketRole::Client(None))?;
-        self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLine(id));
+        self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLineTimeout(id));
         self.note_idle(id);
         Some(id)
     }
@@ -107,8 +107,12 @@
     pub fn end_idle(&mut self, id: ConnectionId) {
         self.readable(id, Flags::IN);
         let leaves = self.phase == Phase::Flushing;
-        let quiet = |seat: &SocketEntry| leaves || self.now.since(seat.quiet_since) >= FIRST_LINE;
-        if self.sockets.get(id.0).is_some_and(|seat| seat.role == SocketRole::Client(None) && quiet(seat)) {
+        let quiet = |socket: &SocketEntry| leaves || self.now.since(socket.quiet_since) >= FIRST_LINE;
+        if self
+            .sockets
+            .get(id.0)
+            .is_some_and(|socket| socket.role == SocketRole::Client(None) && quiet(socket))
+        {
             self.last_words(id, b"");
         }
     }
@@ -124,9 +128,10 @@
                     return false;
                 }
                 // Danger: a line that lies there unread is a call by now, and an answer that has not gone is owed.
-                let of_use = |seat: &SocketEntry| {
-                    let asks = seat.role == SocketRole::Client(None) && seat.connection.peer() == Peer::Spoke;
-                    asks || seat.connection.unsent() > 0
+                let of_use = |socket: &SocketEntry| {
+                    let asks =
+                        socket.role == SocketRole::Client(None) && socket.connection.peer() == Peer::Spoke;
+                    asks || socket.connection.unsent() > 0
                 };
                 if !self.sockets.get(id.0).is_some_and(of_use) {
                     self.close_connection(id);
@@ -144,22 +149,23 @@
             idle.retain(|(since, id)| self.is_idle(*since, *id));
             self.idle = idle;
         }
-        if let Some(seat) = self.sockets.get_mut(id.0) {
-            seat.idle_since = self.now;
+        if let Some(socket) = self.sockets.get_mut(id.0) {
+            socket.idle_since = self.now;
             self.idle.push_back((self.now, id));
         }
     }
 
     fn is_idle(&self, since: Time, id: ConnectionId) -> bool {
-        let idle = |seat: &SocketEntry| matches!(seat.role, SocketRole::Client(None) | SocketRole::Closing);
-        self.sockets.get(id.0).is_some_and(|seat| idle(seat) && seat.idle_since == since)
+        let idle =
+            |socket: &SocketEntry| matches!(socket.role, SocketRole::Client(None) | SocketRole::Closing);
+        self.sockets.get(id.0).is_some_and(|socket| idle(socket) && socket.idle_since == since)
     }
 
     /// Danger: the listening socket stays ready while nothing can be accepted, and the loop would spin.
     fn accept_later(&mut self) {
         self.queued_since.get_or_insert(self.now);
         self.listen_for(false);
-        self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
+        self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
     }
 
     pub fn client_came(&mut self, id: ConnectionId, call: Option<CallId>, got: Got) {
@@ -168,10 +174,10 @@
             Got::End => return self.client_left(id, call, false),
             Got::Bytes(n) => n,
         };
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        seat.connection.inbox.extend_from_slice(&self.scratch[..bytes]);
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        socket.connection.inbox.extend_from_slice(&self.scratch[..bytes]);
         // Danger: what was accepted late is not fresh: its client has waited all the while.
-        let queued = seat.queued_since.take().filter(|_| self.now.since(seat.idle_since) < IDLE);
+        let queued = socket.queued_since.take().filter(|_| self.now.since(socket.idle_since) < IDLE);
         match call {
             None => self.first_lines(id, queued.unwrap_or(self.now)),
             Some(call) => self.relay_to_host(id, call),
@@ -180,27 +186,27 @@
 
     fn first_lines(&mut self, id: ConnectionId, said_at: Time) {
         let yes = self.takes_clients();
-        while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
-                if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
+        while let Some(socket) = self.sockets.get_mut(id.0) {
+            let Some(length) = protocol::first_line_length(&socket.connection.inbox) else {
+                if socket.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                     debug!("a client's line is too long");
                     self.answer_conn(id, Answer::Error);
                 }
                 return;
             };
-            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
+            let said: Vec<u8> = socket.connection.inbox.drain(..length).collect();
             // Danger: a client waits after its line; one that sends hundreds at once, or goes on before a
             // host has it, would have hosts work for what they then turn away.
-            if !seat.connection.inbox.is_empty() {
+            if !socket.connection.inbox.is_empty() {
                 debug!("a client did not wait for its answer");
                 return self.answer_conn(id, Answer::Error);
             }
             match ClientMessage::parse(said, &self.config.names) {
                 Ok(ClientMessage::Ping) => {
                     let pong = if yes { Answer::Pong } else { Answer::Error };
-                    pong.encode(&mut seat.connection.outbox);
-                    self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLine(id));
-                    seat.quiet_since = self.now;
+                    pong.encode(&mut socket.connection.outbox);
+                    self.timers.set(self.now + FIRST_LINE, TimerEvent::FirstLineTimeout(id));
+                    socket.quiet_since = self.now;
                     self.pump(id);
                 }
                 Ok(ClientMessage::Open(opening)) => return self.take_call(id, said_at, opening),
@@ -249,14 +255,14 @@
         let call =
             Call { id: CallId(0), traffic, tenant, subject, group, guard, load, returning, mid_flow, before };
         let stage = if at.is_some() { CallStage::Returning } else { CallStage::Waiting };
-        let held = InFlightCall::new(client, id, line, call, stage, at);
-        let number = CallId(self.calls.insert(held));
-        let Some(held) = self.calls.get_mut(number.0) else { return };
-        held.call.id = number;
-        held.kept = work.map(|work| Kept { work, looks, ran: None });
-        let call = held.call;
-        if let Some(seat) = self.sockets.get_mut(id.0) {
-            seat.role = SocketRole::Client(Some(number));
+        let in_flight = InFlightCall::new(client, id, line, call, stage, at);
+        let number = CallId(self.calls.insert(in_flight));
+        let Some(in_flight) = self.calls.get_mut(number.0) else { return };
+        in_flight.call.id = number;
+        in_flight.kept = work.map(|work| Kept { work, looks, ran: None });
+        let call = in_flight.call;
+        if let Some(socket) = self.sockets.get_mut(id.0) {
+            socket.role = SocketRole::Client(Some(number));
         }
         let about = subject.map_or(0, |subject| subject.0);
         debug!(call = number.0, id = %format_args!("{:016x}", client.0), about = %format_args!("{about:x}"), group = group.map_or(0, |group| group.0), traffic = traffic.0, returning, at = ?at.map(|at| at.0), "call");
@@ -283,12 +289,12 @@
 
     /// The call's one answer, when no host gave it.
     pub fn answer_call(&mut self, id: CallId, answer: Answer) {
-        if let Some(held) = self.calls.get_mut(id.0) {
+        if let Some(in_flight) = self.calls.get_mut(id.0) {
             let busy = matches!(answer, Answer::Busy(_));
-            held.outcome = Some(if busy { Outcome::Busy } else { Outcome::Failure });
+            in_flight.outcome = Some(if busy { Outcome::Busy } else { Outcome::Failure });
         }
-        let Some(held) = self.forget_call(id) else { return };
-        if let Some(client) = held.client {
+        let Some(in_flight) = self.forget_call(id) else { return };
+        if let Some(client) = in_flight.client {
             self.answer_conn(client, answer);
         }
     }
@@ -302,15 +308,15 @@
     /// Danger: closing with input unread resets the connection and can eat the answer. What is to be said is
     /// flushed, sending ended, and what still comes read for a while before the close.
     pub fn last_words(&mut self, id: ConnectionId, words: &[u8]) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        seat.role = SocketRole::Closing;
-        seat.connection.outbox.extend_from_slice(words);
-        seat.connection.inbox = Vec::new();
-        seat.connection.paused = false;
-        seat.connection.finish = true;
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        socket.role = SocketRole::Closing;
+        socket.connection.outbox.extend_from_slice(words);
+        socket.connection.inbox = Vec::new();
+        socket.connection.paused = false;
+        socket.connection.finish = true;
         // Danger: clients that were turned away for want of descriptors hold just these.
         let tight = self.descriptors() + 2 * RESERVE > self.config.descriptors;
-        self.timers.set(self.now + if tight { LINGER_TIGHT } else { LINGER }, TimerEvent::Shut(id));
+        self.timers.set(self.now + if tight { LINGER_TIGHT } else { LINGER }, TimerEvent::ClosingTimeout(id));
         self.note_idle(id);
         self.pump(id);
     }
@@ -320,7 +326,7 @@
         if self
             .sockets
             .get(id.0)
-            .is_some_and(|seat| seat.connection.is_over() || seat.connection.discarded > DISCARD)
+            .is_some_and(|socket| socket.connection.is_over() || socket.connection.discarded > DISCARD)
         {
             self.close_connection(id);
         }
@@ -329,27 +335,27 @@
     /// The client has ended its side, or reset it.
     pub fn client_left(&mut self, id: ConnectionId, call: Option<CallId>, broke: bool) {
         let Some(call) = call else { return self.close_connection(id) };
-        let Some(held) = self.calls.get_mut(call.0) else { return self.close_connection(id) };
-        match held.stage {
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return self.close_connection(id) };
+        match in_flight.stage {
             CallStage::Waiting | CallStage::Returning => {
-                held.client = None;
+                in_flight.client = None;
                 self.close_connection(id);
                 self.give_up_call(call);
             }
             CallStage::Open if !broke => {
-                held.stage = CallStage::HalfClosed;
-                if let Some(host) = held.attempt.as_ref().map(|attempt| attempt.connection) {
-                    if let Some(seat) = self.sockets.get_mut(host.0) {
-                        seat.connection.finish = true;
+                in_flight.stage = CallStage::HalfClosed;
+                if let Some(host) = in_flight.attempt.as_ref().map(|attempt| attempt.connection) {
+                    if let Some(socket) = self.sockets.get_mut(host.0) {
+                        socket.connection.finish = true;
                     }
                     self.pump(host);
                 }
                 self.watch_connection(id);
-                self.timers.set(self.now + LINGER, TimerEvent::Linger(call));
+                self.timers.set(self.now + LINGER, TimerEvent::HalfClosedTimeout(call));
             }
             CallStage::HalfClosed if !broke => {}
             CallStage::Open | CallStage::HalfClosed => {
-                held.client = None;
+                in_flight.client = None;
                 self.close_connection(id);
                 self.close_attempt(call, AttemptOutcome::Canceled, true);
             }
@@ -361,14 +367,14 @@
     /// end may lie in the socket behind its line, unread while the node was slow or the client unaccepted, and
     /// while its call waited; hosts would work for nobody. One that spoke on did not wait for its answer.
     pub fn client_waits(&mut self, call: CallId) -> bool {
-        let Some(held) = self.calls.get_mut(call.0) else { return false };
-        let Some(client) = held.client else { return false };
-        let peer = self.sockets.get(client.0).map_or(Peer::Gone, |seat| seat.connection.peer());
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return false };
+        let Some(client) = in_flight.client else { return false };
+        let peer = self.sockets.get(client.0).map_or(Peer::Gone, |socket| socket.connection.peer());
         if peer == Peer::Waits {
             return true;
         }
         debug!(call = call.0, ?peer, "its client does not wait");
-        held.client = None;
+        in_flight.client = None;
         match peer {
             Peer::Spoke => self.answer_conn(client, Answer::Error),
             _ => self.close_connection(client),
@@ -377,9 +383,9 @@
     }
 
     fn give_up_call(&mut self, call: CallId) {
-        let Some(held) = self.calls.get(call.0) else { return };
-        if held.stage == CallStage::Returning {
-            let connection = held.attempt.as_ref().map(|attempt| attempt.connection);
+        let Some(in_flight) = self.calls.get(call.0) else { return };
+        if in_flight.stage == CallStage::Returning {
+            let connection = in_flight.attempt.as_ref().map(|attempt| attempt.connection);
             self.forget_call(call);
             if let Some(connection) = connection {
                 self.attempts_out -= 1;
@@ -389,15 +395,15 @@
         }
         let now = self.now;
         self.tell(|node, port| node.client_left(now, call, port));
-        if self.calls.get(call.0).is_some_and(|held| held.attempt.is_none()) {
+        if self.calls.get(call.0).is_some_and(|in_flight| in_flight.attempt.is_none()) {
             self.forget_call(call);
         }
     }
 
     /// The host did not end its side after the client had: the connection is over all the same.
     pub fn linger_over(&mut self, call: CallId) {
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        if let Some(client) = held.client.take() {
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        if let Some(client) = in_flight.client.take() {
             self.last_words(client, b"");
         }
         self.close_attempt(call, AttemptOutcome::Canceled, true);
@@ -405,27 +411,27 @@
     }
 
     pub fn relay_to_host(&mut self, id: ConnectionId, call: CallId) {
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let open = matches!(held.stage, CallStage::Open | CallStage::HalfClosed);
-        let Some(host) = held.attempt.as_ref().map(|attempt| attempt.connection).filter(|_| open) else {
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let open = in_flight.stage.is_established();
+        let Some(host) = in_flight.attempt.as_ref().map(|attempt| attempt.connection).filter(|_| open) else {
             debug!(call = call.0, "a client did not wait for its host");
-            held.client = None;
+            in_flight.client = None;
             self.answer_conn(id, Answer::Error);
             self.give_up_call(call);
             return self.settle();
         };
-        let length = protocol::complete_lines_length(&seat.connection.inbox);
-        if seat.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
+        let length = protocol::complete_lines_length(&socket.connection.inbox);
+        if socket.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
             debug!("a client's line is too long");
             return self.client_left(id, Some(call), true);
         }
         let mut full = false;
         if length > 0 {
             if let Some(to) = self.sockets.get_mut(host.0) {
-                let Some(held) = self.calls.get_mut(call.0) else { return };
-                if let Some(at) = Self::note_asked(held, self.now) {
-                    self.timers.set(at, TimerEvent::Silence(call));
+                let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+                if let Some(at) = Self::note_asked(in_flight, self.now) {
+                    self.timers.set(at, TimerEvent::HostSilence(call));
                 }
                 let mut said = Vec::new();
                 std::mem::swap(&mut said, &mut to.connection.outbox);
@@ -440,8 +446,8 @@
             self.pump(host);
             full = self.sockets.get(host.0).is_some_and(|to| to.connection.unsent() > MUCH);
         }
-        if let Some(seat) = self.sockets.get_mut(id.0) {
-            seat.connection.paused = full;
+        if let Some(socket) = self.sockets.get_mut(id.0) {
+            socket.connection.paused = full;
         }
         self.watch_connection(id);
     }
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -179,7 +179,7 @@
         self.list.arriving = Arriving::default();
         match Connection::connect(self.config.discovery) {
             Ok(connection) => {
-                let id = self.add_connection(connection, SocketRole::EndpointListClient(self.now))?;
+                let id = self.add_connection(connection, SocketRole::EndpointList(self.now))?;
                 self.put_question(id, wait);
                 Some(id)
             }
@@ -197,16 +197,16 @@
         };
         let limit = self.now + wait + if wait > Span::ZERO { AFTER_WAIT } else { PATIENCE };
         let authority = self.config.discovery.to_string();
-        if let Some(seat) = self.sockets.get_mut(id.0) {
-            seat.role = SocketRole::EndpointListClient(limit);
-            http::encode_get(&path, &authority, &mut seat.connection.outbox);
+        if let Some(socket) = self.sockets.get_mut(id.0) {
+            socket.role = SocketRole::EndpointList(limit);
+            http::encode_get(&path, &authority, &mut socket.connection.outbox);
         }
-        self.timers.set(limit, TimerEvent::ListLimit(id));
+        self.timers.set(limit, TimerEvent::EndpointListTimeout(id));
         self.pump(id);
     }
 
     pub fn list_limit(&mut self, id: ConnectionId) {
-        if let Some(SocketRole::EndpointListClient(limit)) = self.role(id)
+        if let Some(SocketRole::EndpointList(limit)) = self.role(id)
             && self.now >= limit
         {
             warn!("discovery does not answer");
@@ -233,15 +233,15 @@
     pub fn list_came(&mut self, id: ConnectionId, got: Got) {
         let ended = match got {
             Got::Bytes(n) => {
-                let Some(seat) = self.sockets.get_mut(id.0) else { return };
-                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(socket) = self.sockets.get_mut(id.0) else { return };
+                socket.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 false
             }
             Got::NothingYet => return,
             Got::End => true,
         };
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let reply = match self.list.arriving.read(&mut seat.connection.inbox, ended) {
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let reply = match self.list.arriving.read(&mut socket.connection.inbox, ended) {
             Ok(Some(reply)) if reply.status == 200 => reply,
             Ok(None) => return,
             other => {
@@ -264,7 +264,7 @@
         };
         // The next call goes out before anything is done with the news, so that the watch goes on.
         // Danger: a service that began anew counts from the start again; its whole list is the newest there is, and a
-        // node that held on to its own version would never hear again. Changes to an older list are none.
+        // node that in_flight on to its own version would never hear again. Changes to an older list are none.
         self.list.anew = false;
         let whole = told.update == ListUpdate::Complete;
         let mine = self.list.index.filter(|mine| !whole && told.index < *mine);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -294,7 +294,7 @@
         let first = every.times(f64::from(membership.chance.generate::<f32>()));
         let begins = !membership.kept_from.is_empty() && !std::mem::replace(&mut membership.easing, true);
         if begins {
-            self.timers.set(self.now + first, TimerEvent::Ease);
+            self.timers.set(self.now + first, TimerEvent::MigrateFromDraining);
         }
         let (now, lines) = (self.now, self.hosts.keep_from(ids));
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &lines, port));
@@ -306,7 +306,7 @@
             membership.easing = false;
             return;
         }
-        self.timers.set(self.now + membership.ease_every, TimerEvent::Ease);
+        self.timers.set(self.now + membership.ease_every, TimerEvent::MigrateFromDraining);
         if let Some(call) = self.hosts.next_eased() {
             self.move_client(call, AttemptOutcome::Canceled);
         }
@@ -327,7 +327,7 @@
         if self.phase == Phase::Left {
             return;
         }
-        self.timers.set(self.now + TICK, TimerEvent::Fleet);
+        self.timers.set(self.now + TICK, TimerEvent::FleetTick);
         self.tend_links();
         self.try_store();
         self.look();
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -472,7 +472,9 @@
                 (None, None) => return,
             };
             match sent {
-                Err(Errno::AGAIN) => return self.timers.set(self.now + FULL_LINE, TimerEvent::HandOn),
+                Err(Errno::AGAIN) => {
+                    return self.timers.set(self.now + FULL_LINE, TimerEvent::ContinueHandover);
+                }
                 Err(fault) => {
                     warn!(%fault, "connections cannot go over: their clients move");
                     self.handover.calls.clear();
@@ -494,18 +496,18 @@
         else {
             return Ok(());
         };
-        if held.last.is_some() || !ours.connection.is_sound() || !theirs.connection.is_sound() {
+        if held.final_message.is_some() || !ours.connection.is_sound() || !theirs.connection.is_sound() {
             return Ok(());
         }
         let of = &held.call;
         let said = json!({
-            "id": held.id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
+            "id": held.client_id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
             "subject": of.subject.map(|subject| subject.0), "group": of.group.map(|group| group.0),
-            "load": of.load, "host": attempt.host.0, "asked": held.asked.map(|asked| self.now.since(asked).0),
+            "load": of.load, "host": attempt.host.0, "asked": held.awaiting_host_since.map(|asked| self.now.since(asked).0),
             "client_in": hex(&ours.connection.inbox), "client_out": hex(ours.connection.to_go()),
             "host_in": hex(&theirs.connection.inbox), "host_out": hex(theirs.connection.to_go()),
         });
-        let (host, connection, no) = (attempt.host, attempt.connection, attempt.no);
+        let (host, connection, no) = (attempt.host, attempt.connection, attempt.number);
         let line = format!("CALL {said}\n");
         let rest =
             self.send_sockets(id, &line, &[ours.connection.fd.as_fd(), theirs.connection.fd.as_fd()])?;
@@ -515,7 +517,12 @@
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended.push_back(AttemptEnd { call, attempt: no, outcome: AttemptOutcome::Canceled, last: true });
+        self.ended.push_back(AttemptEnd {
+            call,
+            attempt: no,
+            outcome: AttemptOutcome::Canceled,
+            is_final: true,
+        });
         self.say_on(id, &rest);
         self.notify_successor(host);
         self.settle();
@@ -570,7 +577,7 @@
         self.handover.predecessor =
             self.add_connection(Connection::new(line.into(), false), SocketRole::Predecessor);
         info!("following the process before");
-        self.timers.set(self.now + LIST_PATIENCE, TimerEvent::TakeOver);
+        self.timers.set(self.now + LIST_PATIENCE, TimerEvent::EndpointListOverdue);
     }
 
     /// This process can serve. Danger: were the one before told earlier, nobody would take clients meanwhile.
@@ -684,12 +691,20 @@
         };
         let mut held = InFlightCall::new(id, client, OpenLine::default(), call, CallStage::Open, None);
         let no = AttemptNumber(0);
-        let (sent, limit, line_out, line_gone) = (self.now, self.now, true, true);
-        (held.attempts, held.attempt) = (
+        (held.attempt_count, held.attempt) = (
             1,
-            Some(Attempt { no, host: at, connection: host, sent, limit, may_go: true, line_out, line_gone }),
+            Some(Attempt {
+                number: no,
+                host: at,
+                connection: host,
+                opened_at: self.now,
+                deadline: self.now,
+                may_send: true,
+                is_line_queued: true,
+                is_line_sent: true,
+            }),
         );
-        (held.asked, held.silence_set) = (asked, asked.is_some());
+        (held.awaiting_host_since, held.has_silence_timer) = (asked, asked.is_some());
         let number = CallId(self.calls.insert(held));
         self.calls.get_mut(number.0)?.call.id = number;
         self.ids.insert(id);
@@ -705,10 +720,10 @@
         let (now, call) = (self.now, Call { id: number, ..call });
         self.tell(|node, _| node.existing_connection(now, call, at));
         if asked.is_some() {
-            self.timers.set(now, TimerEvent::Silence(number));
+            self.timers.set(now, TimerEvent::HostSilence(number));
         }
         if self.hosts.is_leaving(at) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Move(number));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(number));
         }
         self.pump(client);
         self.pump(host);
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -145,15 +145,15 @@
 impl Service {
     /// Opens the connection of an attempt; what becomes of it is told later.
     pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) {
-        let Some(held) = self.calls.get_mut(id.0) else { return };
-        let no = AttemptNumber(held.attempts);
-        held.attempts += 1;
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+        let no = AttemptNumber(in_flight.attempt_count);
+        in_flight.attempt_count += 1;
         if !self.client_waits(id) {
             return self.ended.push_back(AttemptEnd {
                 call: id,
                 attempt: no,
                 outcome: AttemptOutcome::NeverSent,
-                last: true,
+                is_final: true,
             });
         }
         let limit = self.now + within;
@@ -166,29 +166,29 @@
                 // Danger: a want of descriptors here would make every host look bad.
                 let ours = matches!(fault, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM);
                 let outcome = if ours { AttemptOutcome::NeverSent } else { AttemptOutcome::Unreachable };
-                return self.ended.push_back(AttemptEnd { call: id, attempt: no, outcome, last: false });
+                return self.ended.push_back(AttemptEnd { call: id, attempt: no, outcome, is_final: false });
             }
         };
         self.attempts_out += 1;
-        if let Some(held) = self.calls.get_mut(id.0) {
-            let (sent, may_go) = (self.now, held.kept.is_none());
-            held.attempt = Some(Attempt {
-                no,
+        if let Some(in_flight) = self.calls.get_mut(id.0) {
+            let (opened_at, may_send) = (self.now, in_flight.kept.is_none());
+            in_flight.attempt = Some(Attempt {
+                number: no,
                 host,
                 connection,
-                limit,
-                sent,
-                may_go,
-                line_out: false,
-                line_gone: false,
+                opened_at,
+                deadline: limit,
+                may_send,
+                is_line_queued: false,
+                is_line_sent: false,
             });
         }
         self.ask_to_keep(id);
         debug!(call = id.0, attempt = no.0, host = host.0, within_ms = within.0 / 1_000_000, "leg");
-        self.timers.set(limit, TimerEvent::Attempt(id, no));
+        self.timers.set(limit, TimerEvent::AttemptTimeout(id, no));
         // A connection that is not up by the limit for that never will be.
         if self.config.connect_limit < within {
-            self.timers.set(self.now + self.config.connect_limit, TimerEvent::Connect(id, no));
+            self.timers.set(self.now + self.config.connect_limit, TimerEvent::ConnectTimeout(id, no));
         }
         self.attempt_connected(connection);
     }
@@ -196,16 +196,16 @@
     /// Writes the client's line once the connection is up, with the time that is left.
     pub fn attempt_connected(&mut self, id: ConnectionId) {
         let Some(SocketRole::Host(call)) = self.role(id) else { return };
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        if let Some(attempt) = &mut held.attempt
-            && !seat.connection.connecting
-            && attempt.may_go
-            && !attempt.line_out
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        if let Some(attempt) = &mut in_flight.attempt
+            && !socket.connection.connecting
+            && attempt.may_send
+            && !attempt.is_line_queued
         {
             // Danger: a connection that comes up late, or an intent that is kept late, would send something new to a host
             // that has begun to drain since the attempt was decided on. One that was open there before belongs there.
-            let closed = held.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
+            let closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if closed || !self.client_waits(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
                 return self.settle();
@@ -216,76 +216,88 @@
     }
 
     fn send_line(&mut self, id: ConnectionId, call: CallId) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(attempt) = &mut held.attempt else { return };
-        attempt.line_out = true;
-        let left = attempt.limit.since(self.now);
-        held.line.encode(left, &mut seat.connection.outbox);
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        let Some(attempt) = &mut in_flight.attempt else { return };
+        attempt.is_line_queued = true;
+        let left = attempt.deadline.since(self.now);
+        in_flight.line.encode(left, &mut socket.connection.outbox);
     }
 
     /// Notes when the last byte of the line has gone: before that the host never ran it, after that it may have.
     pub fn note_line_gone(&mut self, call: CallId) {
-        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
-        let gone = |seat: &SocketEntry| seat.connection.unsent() == 0 && !seat.connection.broken;
-        if attempt.line_out && !attempt.line_gone && self.sockets.get(attempt.connection.0).is_some_and(gone)
+        let Some(attempt) = self.calls.get_mut(call.0).and_then(|in_flight| in_flight.attempt.as_mut())
+        else {
+            return;
+        };
+        let gone = |socket: &SocketEntry| socket.connection.unsent() == 0 && !socket.connection.broken;
+        if attempt.is_line_queued
+            && !attempt.is_line_sent
+            && self.sockets.get(attempt.connection.0).is_some_and(gone)
         {
-            attempt.line_gone = true;
+            attempt.is_line_sent = true;
             self.metrics.attempts += 1;
         }
     }
 
     pub fn attempt_deadline(&mut self, id: CallId, no: AttemptNumber, connecting_only: bool) {
-        let Some(held) = self.calls.get(id.0) else { return };
-        let Some(attempt) = held.attempt.as_ref().filter(|attempt| attempt.no == no) else { return };
-        if matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
+        let Some(in_flight) = self.calls.get(id.0) else { return };
+        let Some(attempt) = in_flight.attempt.as_ref().filter(|attempt| attempt.number == no) else { return };
+        if in_flight.stage.is_established() {
             return;
         }
         // A number may be given twice, to an attempt that never went and to one that did.
-        let due = if connecting_only { attempt.sent + self.config.connect_limit } else { attempt.limit };
+        let due =
+            if connecting_only { attempt.opened_at + self.config.connect_limit } else { attempt.deadline };
         if self.now < due {
             return;
         }
         let connecting =
-            self.sockets.get(attempt.connection.0).is_some_and(|seat| seat.connection.connecting);
+            self.sockets.get(attempt.connection.0).is_some_and(|socket| socket.connection.connecting);
         if connecting || !connecting_only {
             let outcome =
-                if attempt.line_gone { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
+                if attempt.is_line_sent { AttemptOutcome::TimedOut } else { AttemptOutcome::Unreachable };
             self.end_attempt(id, outcome, None);
         }
     }
 
     /// The attempt of a call that is not open has ended; `answer` is what the client gets of it, if it is final.
     pub fn end_attempt(&mut self, id: CallId, outcome: AttemptOutcome, answer: Option<&[u8]>) {
-        let Some(held) = self.calls.get_mut(id.0) else { return };
-        let Some(attempt) = held.attempt.take() else { return };
-        if let Some(kept) = held.kept.as_mut().filter(|_| attempt.line_out && !outcome.never_ran()) {
-            kept.ran.get_or_insert((attempt.host, attempt.sent));
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+        let Some(attempt) = in_flight.attempt.take() else { return };
+        if let Some(kept) = in_flight.kept.as_mut().filter(|_| attempt.is_line_queued && !outcome.never_ran())
+        {
+            kept.ran.get_or_insert((attempt.host, attempt.opened_at));
         }
-        debug!(call = id.0, attempt = attempt.no.0, host = attempt.host.0, ?outcome, "leg ended");
+        debug!(call = id.0, attempt = attempt.number.0, host = attempt.host.0, ?outcome, "leg ended");
         self.attempts_out -= 1;
-        if held.stage == CallStage::Returning {
+        if in_flight.stage == CallStage::Returning {
             // Nothing was decided of this one: it belongs where it was.
-            if outcome.never_ran() && held.call.guard > self.now + AGAIN {
-                self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
+            if outcome.never_ran() && in_flight.call.guard > self.now + AGAIN {
+                self.timers.set(self.now + AGAIN, TimerEvent::RetryReturn(id));
             } else {
                 self.answer_call(id, if outcome.never_ran() { Answer::Busy(None) } else { Answer::Error });
             }
             return self.close_connection(attempt.connection);
         }
-        let client = if answer.is_some() { held.client.take() } else { held.client };
+        let client = if answer.is_some() { in_flight.client.take() } else { in_flight.client };
         let last = answer.is_some() || client.is_none();
         if let (Some(answer), Some(client)) = (answer, client) {
             let answer = answer.to_vec();
             self.last_words(client, &answer);
         }
         self.close_connection(attempt.connection);
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last });
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: last });
     }
 
     pub fn return_to_host(&mut self, id: CallId) {
-        let Some(InFlightCall { stage: CallStage::Returning, attempt: None, call, at: Some(host), .. }) =
-            self.calls.get(id.0)
+        let Some(InFlightCall {
+            stage: CallStage::Returning,
+            attempt: None,
+            call,
+            previous_host: Some(host),
+            ..
+        }) = self.calls.get(id.0)
         else {
             return;
         };
@@ -299,9 +311,9 @@
         if self.ended.len() > before {
             // It could not even begin.
             self.ended.pop_back();
-            let Some(held) = self.calls.get(id.0) else { return };
-            if held.call.guard > self.now + AGAIN {
-                self.timers.set(self.now + AGAIN, TimerEvent::Again(id));
+            let Some(in_flight) = self.calls.get(id.0) else { return };
+            if in_flight.call.guard > self.now + AGAIN {
+                self.timers.set(self.now + AGAIN, TimerEvent::RetryReturn(id));
             } else {
                 self.answer_call(id, Answer::Busy(None));
             }
@@ -309,22 +321,22 @@
     }
 
     pub fn cancel_attempt(&mut self, id: CallId, no: AttemptNumber) {
-        let Some(held) = self.calls.get(id.0) else { return };
-        let out = held.attempt.as_ref().is_some_and(|attempt| attempt.no == no);
-        if out && !matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
+        let Some(in_flight) = self.calls.get(id.0) else { return };
+        let out = in_flight.attempt.as_ref().is_some_and(|attempt| attempt.number == no);
+        if out && !in_flight.stage.is_established() {
             self.end_attempt(id, AttemptOutcome::Canceled, None);
         }
     }
 
     /// The host's connection broke, or never came up.
     pub fn host_lost(&mut self, call: CallId) {
-        let Some(held) = self.calls.get(call.0) else { return };
-        let Some(attempt) = &held.attempt else { return };
-        match held.stage {
+        let Some(in_flight) = self.calls.get(call.0) else { return };
+        let Some(attempt) = &in_flight.attempt else { return };
+        match in_flight.stage {
             CallStage::Open | CallStage::HalfClosed => self.host_ended(call, true),
             _ => {
                 let outcome =
-                    if attempt.line_gone { AttemptOutcome::Broken } else { AttemptOutcome::Unreachable };
+                    if attempt.is_line_sent { AttemptOutcome::Broken } else { AttemptOutcome::Unreachable };
                 self.end_attempt(call, outcome, None);
             }
         }
@@ -335,11 +347,11 @@
         match got {
             Got::NothingYet => {}
             Got::Bytes(n) => {
-                let Some(seat) = self.sockets.get_mut(id.0) else { return };
-                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(socket) = self.sockets.get_mut(id.0) else { return };
+                socket.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 self.host_lines(id, call);
             }
-            Got::End => match self.calls.get(call.0).map(|held| held.stage) {
+            Got::End => match self.calls.get(call.0).map(|in_flight| in_flight.stage) {
                 Some(CallStage::Open | CallStage::HalfClosed) => {
                     self.host_ended(call, false);
                     self.settle();
@@ -351,22 +363,22 @@
 
     /// Goes through the whole lines that the host has sent.
     fn host_lines(&mut self, id: ConnectionId, call: CallId) {
-        while let Some(held) = self.calls.get(call.0) {
-            let Some(seat) = self.sockets.get(id.0) else { return };
-            if matches!(held.stage, CallStage::Open | CallStage::HalfClosed) {
+        while let Some(in_flight) = self.calls.get(call.0) {
+            let Some(socket) = self.sockets.get(id.0) else { return };
+            if in_flight.stage.is_established() {
                 self.relay_to_client(id, call);
                 return;
             }
-            let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
-                if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
+            let Some(length) = protocol::first_line_length(&socket.connection.inbox) else {
+                if socket.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                     warn!("a host sent a line that is too long");
                     self.end_attempt(call, AttemptOutcome::Error, None);
                     self.settle();
                 }
                 return;
             };
-            let Some(seat) = self.sockets.get_mut(id.0) else { return };
-            let said: Vec<u8> = seat.connection.inbox.drain(..length).collect();
+            let Some(socket) = self.sockets.get_mut(id.0) else { return };
+            let said: Vec<u8> = socket.connection.inbox.drain(..length).collect();
             match HostMessage::parse(&said) {
                 HostMessage::Up => self.attempt_open(id, call, &said),
                 HostMessage::Load(load) => self.tell_load(call, load),
@@ -384,32 +396,35 @@
     }
 
     fn tell_load(&mut self, call: CallId, load: f64) {
-        let Some(attempt) = self.calls.get(call.0).and_then(|held| held.attempt.as_ref()) else { return };
-        let (no, now) = (attempt.no, self.now);
+        let Some(attempt) = self.calls.get(call.0).and_then(|in_flight| in_flight.attempt.as_ref()) else {
+            return;
+        };
+        let (no, now) = (attempt.number, self.now);
         self.tell(|node, port| node.attempt_report(now, call, no, News::Load(load), port));
     }
 
     /// The host's `UP`: from now on the connection is the client's and the host's.
     fn attempt_open(&mut self, id: ConnectionId, call: CallId, said: &[u8]) {
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let (Some(client), Some(attempt)) = (held.client, &held.attempt) else {
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        let (Some(client), Some(attempt)) = (in_flight.client, &in_flight.attempt) else {
             // The client has gone meanwhile, and the attempt could not be recalled.
             return self.end_attempt(call, AttemptOutcome::Canceled, None);
         };
-        let returning = held.stage == CallStage::Returning;
-        held.stage = CallStage::Open;
-        if let Some(mut kept) = held.kept.take() {
+        let returning = in_flight.stage == CallStage::Returning;
+        in_flight.stage = CallStage::Open;
+        if let Some(mut kept) = in_flight.kept.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
-            kept.ran.get_or_insert((attempt.host, attempt.sent));
+            kept.ran.get_or_insert((attempt.host, attempt.opened_at));
             self.work_ended(call, Some(&kept));
         }
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(attempt) = &held.attempt else { return };
-        self.metrics.count(held.call.traffic, Outcome::Success);
-        let (no, host, took, of) = (attempt.no, attempt.host, self.now.since(attempt.sent), held.call);
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        let Some(attempt) = &in_flight.attempt else { return };
+        self.metrics.count(in_flight.call.traffic, Outcome::Success);
+        let (no, host, took, of) =
+            (attempt.number, attempt.host, self.now.since(attempt.opened_at), in_flight.call);
         debug!(call = call.0, attempt = no.0, host = host.0, took_ms = took.0 / 1_000_000, "up");
-        if let Some(seat) = self.sockets.get_mut(client.0) {
-            seat.connection.outbox.extend_from_slice(said);
+        if let Some(socket) = self.sockets.get_mut(client.0) {
+            socket.connection.outbox.extend_from_slice(said);
         }
         self.pump(client);
         self.hosts.opened(host, call);
@@ -421,18 +436,18 @@
             self.tell(|node, port| node.attempt_established(now, call, no, took, port));
         }
         if self.hosts.is_leaving(host) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Move(call));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(call));
         }
         self.relay_to_client(id, call);
         self.move_before_leaving(call);
     }
 
     fn relay_to_client(&mut self, id: ConnectionId, call: CallId) {
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(client) = held.client else { return };
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let length = protocol::complete_lines_length(&seat.connection.inbox);
-        if seat.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
+        let Some(in_flight) = self.calls.get_mut(call.0) else { return };
+        let Some(client) = in_flight.client else { return };
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let length = protocol::complete_lines_length(&socket.connection.inbox);
+        if socket.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
             warn!("a host sent a line that is too long");
             self.host_ended(call, true);
             return self.settle();
@@ -440,15 +455,15 @@
         if length == 0 {
             return;
         }
-        let mut said = std::mem::take(&mut seat.connection.inbox);
-        if let Some(asked) = held.asked.take() {
+        let mut said = std::mem::take(&mut socket.connection.inbox);
+        if let Some(asked) = in_flight.awaiting_host_since.take() {
             tracing::trace!(call = call.0, took_us = self.now.since(asked).0 / 1000, "answered");
         }
         let mut load = None;
         for line in said[..length].split_inclusive(|byte| *byte == b'\n') {
             match HostMessage::parse(line) {
                 HostMessage::Load(now) => load = Some(now),
-                word @ (HostMessage::Bye | HostMessage::Move) => held.last = Some(word),
+                word @ (HostMessage::Bye | HostMessage::Move) => in_flight.final_message = Some(word),
                 _ => {}
             }
         }
@@ -461,9 +476,9 @@
             full = to.connection.unsent() > MUCH;
         }
         said.drain(..length);
-        if let Some(seat) = self.sockets.get_mut(id.0) {
-            seat.connection.inbox = said;
-            seat.connection.paused = full;
+        if let Some(socket) = self.sockets.get_mut(id.0) {
+            socket.connection.inbox = said;
+            socket.connection.paused = full;
         }
         self.watch_connection(id);
         if let Some(load) = load {
@@ -473,13 +488,13 @@
 
     /// The host's side of an open connection has ended: so does the client's, in the same way.
     pub fn host_ended(&mut self, id: CallId, broke: bool) {
-        let Some(held) = self.calls.get_mut(id.0) else { return };
-        let outcome = match (held.last, held.stage) {
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+        let outcome = match (in_flight.final_message, in_flight.stage) {
             (Some(HostMessage::Bye), _) => AttemptOutcome::Completed,
             (Some(HostMessage::Move), _) | (_, CallStage::HalfClosed) => AttemptOutcome::Canceled,
             _ => AttemptOutcome::Broken,
         };
-        let (client, spoke) = (held.client.take(), held.last.is_some());
+        let (client, spoke) = (in_flight.client.take(), in_flight.final_message.is_some());
         self.close_attempt(id, outcome, false);
         let Some(client) = client else { return };
         if broke && !spoke {
@@ -491,46 +506,52 @@
 
     /// Ends the host's side of an open connection and books it.
     pub fn close_attempt(&mut self, id: CallId, outcome: AttemptOutcome, reset: bool) {
-        let Some(attempt) = self.calls.get_mut(id.0).and_then(|held| held.attempt.take()) else { return };
+        let Some(attempt) = self.calls.get_mut(id.0).and_then(|in_flight| in_flight.attempt.take()) else {
+            return;
+        };
         debug!(call = id.0, host = attempt.host.0, ?outcome, "ended");
         self.attempts_out -= 1;
         self.hosts.closed(attempt.host, id);
         self.notify_successor(attempt.host);
-        match (reset, self.sockets.get(attempt.connection.0).is_some_and(|seat| seat.connection.read_ended)) {
+        match (
+            reset,
+            self.sockets.get(attempt.connection.0).is_some_and(|socket| socket.connection.read_ended),
+        ) {
             (true, _) => self.reset_connection(attempt.connection),
             (_, true) => self.close_connection(attempt.connection),
             _ => self.last_words(attempt.connection, b""),
         }
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.no, outcome, last: true });
+        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
     }
 
     /// Danger: a machine that vanished says nothing, and its connections stay open for ever.
     pub fn check_silence(&mut self, id: CallId) {
-        let Some(held) = self.calls.get_mut(id.0) else { return };
-        held.silence_set = false;
-        let Some(asked) = held.asked else { return };
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+        in_flight.has_silence_timer = false;
+        let Some(asked) = in_flight.awaiting_host_since else { return };
         if self.now < asked + SILENCE {
-            held.silence_set = true;
-            return self.timers.set(asked + SILENCE, TimerEvent::Silence(id));
+            in_flight.has_silence_timer = true;
+            return self.timers.set(asked + SILENCE, TimerEvent::HostSilence(id));
         }
-        if held.stage == CallStage::Open {
+        if in_flight.stage == CallStage::Open {
             debug!(call = id.0, "silent");
             self.move_client(id, AttemptOutcome::Broken);
         }
         self.settle();
     }
 
-    pub fn note_asked(held: &mut InFlightCall, now: Time) -> Option<Time> {
-        held.asked.get_or_insert(now);
-        (!std::mem::replace(&mut held.silence_set, true)).then_some(now + SILENCE)
+    pub fn note_asked(in_flight: &mut InFlightCall, now: Time) -> Option<Time> {
+        in_flight.awaiting_host_since.get_or_insert(now);
+        (!std::mem::replace(&mut in_flight.has_silence_timer, true)).then_some(now + SILENCE)
     }
 
     /// Sends the client away politely and ends the host's side.
     pub fn move_client(&mut self, id: CallId, outcome: AttemptOutcome) {
-        let Some(held) = self.calls.get_mut(id.0).filter(|held| held.stage == CallStage::Open) else {
+        let Some(in_flight) = self.calls.get_mut(id.0).filter(|in_flight| in_flight.stage == CallStage::Open)
+        else {
             return;
         };
-        let Some(client) = held.client.take() else { return };
+        let Some(client) = in_flight.client.take() else { return };
         let mut words = Vec::new();
         Answer::Move.encode(&mut words);
         self.last_words(client, &words);
@@ -542,7 +563,7 @@
         let Some(known) = self.hosts.0.get(&host) else { return };
         let all = known.open.len().max(1) as f64;
         for (at, call) in known.open.iter().enumerate() {
-            self.timers.set(self.now + SEND_AWAY.times(at as f64 / all), TimerEvent::Move(*call));
+            self.timers.set(self.now + SEND_AWAY.times(at as f64 / all), TimerEvent::Migrate(*call));
         }
     }
 
@@ -554,10 +575,10 @@
         let connection = self.hosts.address(host).and_then(|address| Connection::connect(address).ok());
         match connection.and_then(|connection| self.add_connection(connection, SocketRole::Probe(host))) {
             Some(id) => {
-                if let Some(seat) = self.sockets.get_mut(id.0) {
-                    seat.connection.outbox.extend_from_slice(protocol::PROBE);
+                if let Some(socket) = self.sockets.get_mut(id.0) {
+                    socket.connection.outbox.extend_from_slice(protocol::PROBE);
                 }
-                self.timers.set(self.now + PROBE_LIMIT, TimerEvent::Probe(id));
+                self.timers.set(self.now + PROBE_LIMIT, TimerEvent::ProbeTimeout(id));
                 self.pump(id);
             }
             None => self.probes_failed.push(host),
@@ -565,7 +586,7 @@
     }
 
     pub fn probe_over(&mut self, id: ConnectionId, host: HostId, outcome: AttemptOutcome) {
-        let asked = self.sockets.get(id.0).map_or(self.now, |seat| seat.quiet_since);
+        let asked = self.sockets.get(id.0).map_or(self.now, |socket| socket.quiet_since);
         self.close_connection(id);
         let (now, took) = (self.now, self.now.since(asked));
         debug!(host = host.0, ?outcome, took_us = took.0 / 1000, "probed");
@@ -577,15 +598,15 @@
             Got::NothingYet => {}
             Got::End => self.probe_over(id, host, AttemptOutcome::Broken),
             Got::Bytes(n) => {
-                let Some(seat) = self.sockets.get_mut(id.0) else { return };
-                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
-                let Some(length) = protocol::first_line_length(&seat.connection.inbox) else {
-                    if seat.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
+                let Some(socket) = self.sockets.get_mut(id.0) else { return };
+                socket.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                let Some(length) = protocol::first_line_length(&socket.connection.inbox) else {
+                    if socket.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                         self.probe_over(id, host, AttemptOutcome::Error);
                     }
                     return;
                 };
-                let well = HostMessage::parse(&seat.connection.inbox[..length]) == HostMessage::Pong;
+                let well = HostMessage::parse(&socket.connection.inbox[..length]) == HostMessage::Pong;
                 self.probe_over(
                     id,
                     host,
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -2,23 +2,27 @@
 
 use glendeck::domain::Time;
 
-/// From start to exit.
+/// How far the process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// It listens, but knows no host yet.
     Starting,
+    /// It takes clients.
     Serving,
-    /// Operators want it empty: it takes what the front still sends and sends clients away, but stays.
+    /// Operators want it empty: it serves what the front still sends and migrates its clients, but stays.
     Draining {
+        /// When it was told to drain.
         since: Time,
     },
-    /// The next process takes the clients; it serves those that it has, and waits for its end.
+    /// Its successor takes the clients; it serves those that it has until it is told to end.
     Replaced,
-    /// It was told to end: clients are sent away until then.
+    /// It was told to end: clients are migrated until then.
     Leaving {
+        /// When it ends what is left.
         until: Time,
     },
-    /// All has been answered: what was said still goes out.
+    /// All calls have been answered and the last bytes are sent.
     Flushing,
+    /// It exits.
     Left,
 }
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -99,7 +99,7 @@
 
 /// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the next
 /// process, one to accept with or to read the configuration from, and one for the list. Danger: a list that was lost while
-/// idle clients held every descriptor could not be asked for again.
+/// idle clients in_flight every descriptor could not be asked for again.
 const OWN: usize = 12;
 
 /// An agent on the node's own machine answers within milliseconds, or its service is down and it knows nothing new.
@@ -226,7 +226,7 @@
         service.settle();
         service.join_fleet(machine.disk)?;
         if service.config.list_is_pushed {
-            service.timers.set(now + AGENT_PATIENCE, TimerEvent::TakeOver);
+            service.timers.set(now + AGENT_PATIENCE, TimerEvent::EndpointListOverdue);
         }
         service.ready_now();
         Ok(service)
@@ -235,7 +235,7 @@
     /// Serves until it is told to leave and has left.
     pub fn run(&mut self) -> Result<(), ServiceError> {
         while self.phase != Phase::Left {
-            let wait = self.timers.wait(self.clock.now());
+            let wait = self.timers.time_until_next(self.clock.now());
             let events = self.reactor.wait(wait)?;
             self.now = self.clock.now();
             let began = self.now;
@@ -289,15 +289,15 @@
             _ => {}
         }
         let id = ConnectionId(number);
-        let Some(seat) = self.sockets.get_mut(number) else { return };
-        if seat.connection.connecting {
+        let Some(socket) = self.sockets.get_mut(number) else { return };
+        if socket.connection.connecting {
             if !flags.intersects(Flags::OUT | Flags::ERR | Flags::HUP) {
                 return;
             }
-            if seat.connection.came_up().is_err() {
+            if socket.connection.came_up().is_err() {
                 return self.lost(id);
             }
-            if seat.role == SocketRole::Peer {
+            if socket.role == SocketRole::Peer {
                 self.peer_up(id);
             } else {
                 self.attempt_connected(id);
@@ -313,47 +313,47 @@
     /// What was to be sent has gone in part: whoever fills it may be read again.
     fn drained(&mut self, id: ConnectionId) {
         self.pump(id);
-        let Some(seat) = self.sockets.get(id.0) else { return };
-        if seat.connection.unsent() > MUCH / 2 {
+        let Some(socket) = self.sockets.get(id.0) else { return };
+        if socket.connection.unsent() > MUCH / 2 {
             return;
         }
-        let other = match seat.role {
+        let other = match socket.role {
             SocketRole::Client(Some(call)) => self
                 .calls
                 .get(call.0)
-                .and_then(|held| held.attempt.as_ref())
+                .and_then(|in_flight| in_flight.attempt.as_ref())
                 .map(|attempt| attempt.connection),
-            SocketRole::Host(call) => self.calls.get(call.0).and_then(|held| held.client),
+            SocketRole::Host(call) => self.calls.get(call.0).and_then(|in_flight| in_flight.client),
             SocketRole::Closing => return self.closing_came(id),
             SocketRole::Admin => return self.caller_over(id),
             SocketRole::Successor => return self.hand_on(),
             _ => None,
         };
         if let Some(other) = other
-            && let Some(seat) = self.sockets.get_mut(other.0)
-            && seat.connection.paused
+            && let Some(socket) = self.sockets.get_mut(other.0)
+            && socket.connection.paused
         {
-            seat.connection.paused = false;
+            socket.connection.paused = false;
             self.watch_connection(other);
         }
     }
 
     pub fn readable(&mut self, id: ConnectionId, flags: Flags) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        if seat.connection.read_ended {
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        if socket.connection.read_ended {
             // Nothing more can come: the peer has gone for good.
             if flags.intersects(Flags::ERR | Flags::HUP) {
                 self.lost(id);
             }
             return;
         }
-        let role = seat.role;
+        let role = socket.role;
         if role == SocketRole::Predecessor {
             return self.predecessor_readable(id);
         }
         // A connection that has not opened needs room for one line.
         let most = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { MUCH };
-        let got = match seat.connection.read(&mut self.scratch[..most]) {
+        let got = match socket.connection.read(&mut self.scratch[..most]) {
             Ok(got) => got,
             Err(_) => return self.lost(id),
         };
@@ -361,14 +361,14 @@
             SocketRole::Client(call) => self.client_came(id, call, got),
             SocketRole::Host(call) => self.host_came(id, call, got),
             SocketRole::Probe(host) => self.probe_came(id, host, got),
-            SocketRole::EndpointListClient(_) => self.list_came(id, got),
+            SocketRole::EndpointList(_) => self.list_came(id, got),
             SocketRole::Admin => self.caller_came(id, got),
             SocketRole::Successor => self.successor_readable(id, got),
             SocketRole::Peer => self.peer_came(id, got),
             SocketRole::Predecessor => {}
             SocketRole::Closing => {
                 if let Got::Bytes(n) = got {
-                    seat.connection.discarded += n;
+                    socket.connection.discarded += n;
                 }
                 self.closing_came(id);
             }
@@ -378,13 +378,13 @@
 
     /// The connection broke.
     fn lost(&mut self, id: ConnectionId) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        seat.connection.read_ended = true;
-        match seat.role {
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        socket.connection.read_ended = true;
+        match socket.role {
             SocketRole::Client(call) => self.client_left(id, call, true),
             SocketRole::Host(call) => self.host_lost(call),
             SocketRole::Probe(host) => self.probe_over(id, host, AttemptOutcome::Unreachable),
-            SocketRole::EndpointListClient(_) => self.list_lost(id),
+            SocketRole::EndpointList(_) => self.list_lost(id),
             SocketRole::Closing => self.close_connection(id),
             SocketRole::Admin => self.drop_caller(id),
             SocketRole::Successor => self.successor_gone(id),
@@ -396,55 +396,55 @@
     fn timer_event(&mut self, due: TimerEvent) {
         let now = self.now;
         match due {
-            TimerEvent::Wake(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
-            TimerEvent::Connect(call, attempt) => self.attempt_deadline(call, attempt, true),
-            TimerEvent::Attempt(call, attempt) => self.attempt_deadline(call, attempt, false),
-            TimerEvent::Again(call) => self.return_to_host(call),
-            TimerEvent::Silence(call) => self.check_silence(call),
-            TimerEvent::Linger(call) => self.linger_over(call),
-            TimerEvent::Move(call) => self.move_client(call, AttemptOutcome::Canceled),
-            TimerEvent::Drain(no) => self.drain_clients(no),
-            TimerEvent::DrainMove(no, call) => {
+            TimerEvent::Decisions(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
+            TimerEvent::ConnectTimeout(call, attempt) => self.attempt_deadline(call, attempt, true),
+            TimerEvent::AttemptTimeout(call, attempt) => self.attempt_deadline(call, attempt, false),
+            TimerEvent::RetryReturn(call) => self.return_to_host(call),
+            TimerEvent::HostSilence(call) => self.check_silence(call),
+            TimerEvent::HalfClosedTimeout(call) => self.linger_over(call),
+            TimerEvent::Migrate(call) => self.move_client(call, AttemptOutcome::Canceled),
+            TimerEvent::DrainStart(no) => self.drain_clients(no),
+            TimerEvent::DrainMigrate(no, call) => {
                 if self.is_current_drain(no) {
                     self.move_client(call, AttemptOutcome::Canceled);
                 }
             }
             TimerEvent::DrainEnd(no) => self.drain_ends(no),
-            TimerEvent::Caller(id) => self.drop_caller(id),
-            TimerEvent::Probe(id) => {
+            TimerEvent::AdminTimeout(id) => self.drop_caller(id),
+            TimerEvent::ProbeTimeout(id) => {
                 if let Some(SocketRole::Probe(host)) = self.role(id) {
                     self.probe_over(id, host, AttemptOutcome::TimedOut);
                 }
             }
-            TimerEvent::ListLimit(id) => self.list_limit(id),
-            TimerEvent::FirstLine(id) => {
-                if let Some(seat) = self.sockets.get(id.0)
-                    && seat.role == SocketRole::Client(None)
-                    && now.since(seat.quiet_since) >= FIRST_LINE
+            TimerEvent::EndpointListTimeout(id) => self.list_limit(id),
+            TimerEvent::FirstLineTimeout(id) => {
+                if let Some(socket) = self.sockets.get(id.0)
+                    && socket.role == SocketRole::Client(None)
+                    && now.since(socket.quiet_since) >= FIRST_LINE
                 {
                     self.end_idle(id);
                 }
             }
-            TimerEvent::Shut(id) => {
+            TimerEvent::ClosingTimeout(id) => {
                 if self.role(id) == Some(SocketRole::Closing) {
                     self.close_connection(id);
                 }
             }
-            TimerEvent::Accept => {
+            TimerEvent::RetryAccept => {
                 self.listen_for(self.accepts());
                 self.watch_admin(true);
             }
-            TimerEvent::TakeOver => {
+            TimerEvent::EndpointListOverdue => {
                 self.handover.waited = true;
                 self.ready_now();
             }
             TimerEvent::StopAccepting => self.stop_accepting(),
-            TimerEvent::HandOn => self.hand_on(),
-            TimerEvent::LeaveEarly => self.leave_early(),
-            TimerEvent::Fleet => self.fleet_tick(),
-            TimerEvent::Ease => self.ease_off(),
+            TimerEvent::ContinueHandover => self.hand_on(),
+            TimerEvent::CheckIdleExit => self.leave_early(),
+            TimerEvent::FleetTick => self.fleet_tick(),
+            TimerEvent::MigrateFromDraining => self.ease_off(),
             TimerEvent::Exit => self.exit(),
-            TimerEvent::Left => self.left(),
+            TimerEvent::FlushTimeout => self.left(),
         }
         self.settle();
     }
@@ -541,7 +541,7 @@
         let span = (until - LAST_MOVES).since(first);
         for (at, call) in open.iter().enumerate() {
             let due = first + span.times(at as f64 / open.len() as f64);
-            self.timers.set(due, TimerEvent::Move(*call));
+            self.timers.set(due, TimerEvent::Migrate(*call));
         }
         if replaced {
             self.hand_over_calls();
@@ -551,13 +551,13 @@
 
     /// Replaced, it has no reason to stay once its last call has ended or gone over.
     fn leave_early(&mut self) {
-        let busy = |seat: &SocketEntry| {
-            matches!(seat.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
+        let busy = |socket: &SocketEntry| {
+            matches!(socket.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
         };
-        if self.calls.len() == 0 && !self.sockets.iter().any(|(_, seat)| busy(seat)) {
+        if self.calls.len() == 0 && !self.sockets.iter().any(|(_, socket)| busy(socket)) {
             self.exit();
         } else {
-            self.timers.set(self.now + HANDED, TimerEvent::LeaveEarly);
+            self.timers.set(self.now + HANDED, TimerEvent::CheckIdleExit);
         }
     }
 
@@ -573,8 +573,8 @@
         let (first, at) = (first.max(self.now + Span::ms(1)), self.chance());
         let due = first + last.since(first).times(at);
         match self.phase {
-            Phase::Draining { .. } => self.timers.set(due, TimerEvent::DrainMove(self.drains, call)),
-            _ => self.timers.set(due, TimerEvent::Move(call)),
+            Phase::Draining { .. } => self.timers.set(due, TimerEvent::DrainMigrate(self.drains, call)),
+            _ => self.timers.set(due, TimerEvent::Migrate(call)),
         }
     }
 
@@ -586,7 +586,7 @@
             info!(calls = self.calls.len(), "draining");
             self.phase = Phase::Draining { since: self.now };
             self.drains += 1;
-            self.timers.set(self.now + STILL_SENT, TimerEvent::Drain(self.drains));
+            self.timers.set(self.now + STILL_SENT, TimerEvent::DrainStart(self.drains));
             self.timers.set(self.now + EMPTY, TimerEvent::DrainEnd(self.drains));
         }
         // Who has been replaced has no say, and who leaves sends its clients away as it is.
@@ -609,7 +609,7 @@
     }
 
     fn open_calls(&self) -> Vec<CallId> {
-        let open = self.calls.iter().filter(|(_, held)| held.stage == CallStage::Open);
+        let open = self.calls.iter().filter(|(_, in_flight)| in_flight.stage == CallStage::Open);
         open.map(|(number, _)| CallId(number)).collect()
     }
 
@@ -620,7 +620,7 @@
             let (open, span) = (self.open_calls(), (since + DRAINED).since(self.now));
             for (at, call) in open.iter().enumerate() {
                 let due = self.now + span.times(at as f64 / open.len() as f64);
-                self.timers.set(due, TimerEvent::DrainMove(no, *call));
+                self.timers.set(due, TimerEvent::DrainMigrate(no, *call));
             }
         }
     }
@@ -645,10 +645,12 @@
         for call in left {
             self.move_client(call, AttemptOutcome::Canceled);
             // Its deadline is over by now, or it never had an attempt.
-            let unopened =
-                |held: &InFlightCall| matches!(held.stage, CallStage::Waiting | CallStage::Returning);
+            let unopened = |in_flight: &InFlightCall| !in_flight.stage.is_established();
             if self.calls.get(call.0).is_some_and(unopened) {
-                let answer = self.calls.get(call.0).is_some_and(|held| held.attempts == 0 && !held.looks());
+                let answer = self
+                    .calls
+                    .get(call.0)
+                    .is_some_and(|in_flight| in_flight.attempt_count == 0 && !in_flight.looks());
                 self.answer_call(call, if answer { Answer::Busy(None) } else { Answer::Error });
             }
         }
@@ -656,15 +658,17 @@
             self.accept();
         }
         self.listener = None;
-        let idle = self.sockets.iter().filter(|(_, seat)| seat.role == SocketRole::Client(None));
+        let idle = self.sockets.iter().filter(|(_, socket)| socket.role == SocketRole::Client(None));
         let idle: Vec<ConnectionId> = idle.map(|(number, _)| ConnectionId(number)).collect();
         self.phase = Phase::Flushing;
         idle.into_iter().for_each(|id| self.end_idle(id));
-        self.timers.set(self.now + FLUSH, TimerEvent::Left);
+        self.timers.set(self.now + FLUSH, TimerEvent::FlushTimeout);
     }
 
     fn has_peers_to_hear(&self) -> bool {
-        self.sockets.iter().any(|(_, seat)| matches!(seat.role, SocketRole::Client(_) | SocketRole::Closing))
+        self.sockets
+            .iter()
+            .any(|(_, socket)| matches!(socket.role, SocketRole::Client(_) | SocketRole::Closing))
     }
 
     fn left(&mut self) {
@@ -682,7 +686,7 @@
     // Sockets.
 
     pub fn role(&self, id: ConnectionId) -> Option<SocketRole> {
-        self.sockets.get(id.0).map(|seat| seat.role)
+        self.sockets.get(id.0).map(|socket| socket.role)
     }
 
     /// Descriptors in use, and those that the calls in hand will need.
@@ -706,13 +710,13 @@
 
     /// Takes a call out of the tables. One that never opened has its outcome here, one that did when it did.
     pub fn forget_call(&mut self, call: CallId) -> Option<InFlightCall> {
-        let held = self.calls.remove(call.0)?;
-        self.work_ended(call, held.kept.as_ref());
-        if matches!(held.stage, CallStage::Waiting | CallStage::Returning) {
-            self.metrics.count(held.call.traffic, held.outcome.unwrap_or(Outcome::Failure));
+        let in_flight = self.calls.remove(call.0)?;
+        self.work_ended(call, in_flight.kept.as_ref());
+        if !in_flight.stage.is_established() {
+            self.metrics.count(in_flight.call.traffic, in_flight.outcome.unwrap_or(Outcome::Failure));
         }
-        self.ids.remove(&held.id);
-        Some(held)
+        self.ids.remove(&in_flight.client_id);
+        Some(in_flight)
     }
 
     pub fn watch_admin(&mut self, open: bool) {
@@ -752,8 +756,8 @@
             idle_since,
             queued_since: None,
         }));
-        let seat = self.sockets.get(id.0)?;
-        if self.reactor.add(&seat.connection.fd, id.0, seat.connection.watched).is_err() {
+        let socket = self.sockets.get(id.0)?;
+        if self.reactor.add(&socket.connection.fd, id.0, socket.connection.watched).is_err() {
             self.sockets.remove(id.0);
             return None;
         }
@@ -762,20 +766,21 @@
 
     /// Sends what can be sent. What breaks on the way shows in the next event.
     pub fn pump(&mut self, id: ConnectionId) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let _ = seat.connection.flush();
-        if let SocketRole::Host(call) = seat.role {
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let _ = socket.connection.flush();
+        if let SocketRole::Host(call) = socket.role {
             self.note_line_gone(call);
         }
         self.watch_connection(id);
     }
 
     pub fn watch_connection(&mut self, id: ConnectionId) {
-        let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        let wanted = seat.connection.wanted();
-        if wanted != seat.connection.watched && self.reactor.change(&seat.connection.fd, id.0, wanted).is_ok()
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let wanted = socket.connection.wanted();
+        if wanted != socket.connection.watched
+            && self.reactor.change(&socket.connection.fd, id.0, wanted).is_ok()
         {
-            seat.connection.watched = wanted;
+            socket.connection.watched = wanted;
         }
     }
 
@@ -792,14 +797,14 @@
 
     /// Takes a socket out of the tables to leave it to another process: it is not ended.
     pub fn abandon_connection(&mut self, id: ConnectionId) {
-        if let Some(seat) = self.sockets.remove(id.0) {
-            self.reactor.remove(&seat.connection.fd);
+        if let Some(socket) = self.sockets.remove(id.0) {
+            self.reactor.remove(&socket.connection.fd);
         }
     }
 
     pub fn reset_connection(&mut self, id: ConnectionId) {
-        if let Some(seat) = self.sockets.remove(id.0) {
-            seat.connection.reset_on_close();
+        if let Some(socket) = self.sockets.remove(id.0) {
+            socket.connection.reset_on_close();
         }
     }
 
@@ -836,9 +841,9 @@
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
         loop {
-            if let Some(AttemptEnd { call, attempt, outcome, last }) = self.ended.pop_front() {
-                node.attempt_ended(now, call, attempt, outcome, last, self);
-                if last {
+            if let Some(AttemptEnd { call, attempt, outcome, is_final }) = self.ended.pop_front() {
+                node.attempt_ended(now, call, attempt, outcome, is_final, self);
+                if is_final {
                     self.forget_call(call);
                 }
             } else if let Some(host) = self.probes_failed.pop() {
@@ -889,6 +894,6 @@
     }
 
     fn set_timer(&mut self, time: Time, token: TimerToken) {
-        self.timers.set(time, TimerEvent::Wake(token));
+        self.timers.set(time, TimerEvent::Decisions(token));
     }
 }
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,38 +1,46 @@
-//! Sockets in the node's table: their numbers, and whom they lead to.
+//! The sockets in a node's table: their ids and what each is for.
 
 use glendeck::domain::{CallId, HostId, Time};
 
 use crate::connection::Connection;
 
-/// Number of a socket in its slot.
+/// A socket's number in the table, never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Whom a socket leads to.
+/// What a socket is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketRole {
+    /// A client, and its call once it has asked for one.
     Client(Option<CallId>),
+    /// A call's attempt at a host, or its open connection there.
     Host(CallId),
+    /// A probe of a host.
     Probe(HostId),
-    /// A question for the list, and when its answer is given up.
-    EndpointListClient(Time),
+    /// A request for the endpoint list, with the time by which its answer is given up.
+    EndpointList(Time),
+    /// The last bytes are sent and the peer's end is awaited.
     Closing,
-    /// Someone at the operators' door.
+    /// A caller of the admin interface.
     Admin,
-    /// The process of this node after, or before this one.
+    /// The process that takes over from this one.
     Successor,
+    /// The process that this one takes over from.
     Predecessor,
     /// Another node of the fleet.
     Peer,
 }
 
+/// A socket in the table.
 pub struct SocketEntry {
+    /// The socket itself with its buffers.
     pub connection: Connection,
+    /// What it is for.
     pub role: SocketRole,
-    /// When it came, or last said PING.
+    /// When it was opened, or last sent `PING`.
     pub quiet_since: Time,
-    /// Since when it is of no use to a call: it has opened none yet, or has had its last words.
+    /// Since when it is of no use to a call: it has opened none yet, or it is closing.
     pub idle_since: Time,
-    /// It was not accepted at once: what it said first may have lain there since.
+    /// If it was not accepted at once: since when its first line may have lain unread.
     pub queued_since: Option<Time>,
 }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -267,9 +267,9 @@
         let first = held.call.before.or(kept.ran);
         let recalled = match (traffic, first) {
             (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
-            _ => attempt.limit,
+            _ => attempt.deadline,
         };
-        let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
+        let latest = (recalled.min(attempt.deadline) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
         let ran = kept.ran.map(|(host, at)| (host.0, self.timestamp_of(at)));
         let attempt =
@@ -311,7 +311,7 @@
 
     fn may_go(&mut self, call: CallId) {
         let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
-        attempt.may_go = true;
+        attempt.may_send = true;
         let connection = attempt.connection;
         if let Some(work) = self.work() {
             work.counts.kept += 1;
@@ -322,7 +322,7 @@
     /// Nobody keeps it: it does not go, and the call has its answer at once.
     fn not_kept(&mut self, call: CallId) {
         // Its attempt may have ended meanwhile, and then it is for the decisions to go on.
-        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
+        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_send);
         if !self.calls.get(call.0).is_some_and(waits) {
             return;
         }
@@ -353,10 +353,10 @@
         self.close_connection(attempt.connection);
         let now = self.now;
         self.tell(|node, port| {
-            node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port)
+            node.attempt_ended(now, call, attempt.number, AttemptOutcome::NeverSent, true, port)
         });
         if let Some(held) = self.calls.get_mut(call.0) {
-            held.attempts = 0;
+            held.attempt_count = 0;
         }
         self.look_first(call);
     }
