--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -11,7 +11,7 @@
 use tracing::{debug, info, warn};
 
 use crate::clients::ACCEPT_AGAIN;
-use crate::connection::{self, Connection, Got};
+use crate::connection::{self, Connection, ReadOutcome};
 use crate::http::{Incoming, Method, Refusal, Request};
 use crate::lifecycle::Phase;
 use crate::service::Service;
@@ -154,20 +154,20 @@
         }
     }
 
-    pub fn caller_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn caller_came(&mut self, id: ConnectionId, got: ReadOutcome) {
         let Some(at) = self.door.callers.iter().position(|caller| caller.id == id) else { return };
         let caller = &mut self.door.callers[at];
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let read = match got {
-            Got::NothingYet => return,
-            Got::End if caller.answered => return self.caller_over(id),
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End if caller.answered => return self.caller_over(id),
             // Nobody gets to hear an answer to half a call.
-            Got::End => return self.drop_caller(id),
-            Got::Bytes(n) if caller.answered => {
+            ReadOutcome::End => return self.drop_caller(id),
+            ReadOutcome::Bytes(n) if caller.answered => {
                 seat.connection.discarded += n;
                 return self.caller_over(id);
             }
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 caller.incoming.read(&mut seat.connection.inbox)
             }
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -1,76 +1,96 @@
-//! One socket with what has come and what is still to go.
+//! One non-blocking socket with its buffers.
 
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 use rustix::io::Errno;
 use rustix::net::{self, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType, sockopt};
 
 use crate::reactor::Flags;
 
+/// Bytes that are read at a time.
+pub const READ_SIZE: usize = 16 << 10;
+
+/// With more unsent bytes than this, whoever fills the outbox is not read.
+pub const HIGH_WATER_MARK: usize = 16 << 10;
+
+/// With no more unsent bytes than this, it is read again.
+pub const LOW_WATER_MARK: usize = HIGH_WATER_MARK / 2;
+
+/// Enough for a burst of a whole fleet's clients.
+const LISTEN_BACKLOG: i32 = 1024;
+
+/// A socket with what has been received and what is still to be sent.
 pub struct Connection {
+    /// The socket.
     pub fd: OwnedFd,
-    /// What came and is not used yet.
+    /// What was received and is not used yet.
     pub inbox: Vec<u8>,
-    /// What is to be sent; the first `sent` bytes have gone.
+    /// What is to be sent; the first `sent` bytes have been.
     pub outbox: Vec<u8>,
     sent: usize,
-    /// It still comes up.
+    /// The connection is not established yet.
     pub connecting: bool,
-    /// Nothing is read for the moment: whom it is for has much to take already.
+    /// Nothing is read for the moment, as the receiver of its bytes is over its high-water mark.
     pub paused: bool,
     /// The peer has ended its sending.
     pub read_ended: bool,
-    /// After what is to be sent, our sending ends.
+    /// Sending ends after what is in the outbox.
     pub finish: bool,
     write_ended: bool,
-    /// Sending failed: what was still to go never went.
+    /// Sending failed, and what was unsent never will be.
     pub broken: bool,
-    /// How much came after its last words and was thrown away.
+    /// Bytes that were received while closing and thrown away.
     pub discarded: usize,
     /// What the reactor watches for now.
     pub watched: Flags,
 }
 
-/// What a peer that was not read since shows.
+/// What a peer has done since it was last read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
-    /// It waits.
-    Waits,
-    /// It has sent something more.
-    Spoke,
+pub enum PeerState {
+    /// Nothing.
+    Quiet,
+    /// It has sent something.
+    HasSent,
     /// It has ended its side, or reset the connection.
-    Gone,
+    Ended,
 }
 
-pub enum Got {
+/// What a read brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadOutcome {
+    /// So many bytes are in the buffer.
     Bytes(usize),
+    /// Nothing has come.
     NothingYet,
+    /// The peer has ended its sending.
     End,
 }
 
-/// More is to be sent than this: whoever fills the outbox is not read until it is half empty.
-pub const MUCH: usize = 16 << 10;
-
-/// Listening sockets take a burst of a whole fleet's clients.
-const BACKLOG: i32 = 1024;
-
+/// Opens a listening socket.
+///
+/// # Errors
+///
+/// What the system says.
 pub fn listen(address: SocketAddr) -> Result<OwnedFd, Errno> {
-    let fd = socket(address)?;
+    let fd = open_socket(address)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
-    // Where the next process cannot be handed this socket it binds one of its own beside it.
+    // A successor that cannot be handed this socket binds one of its own beside it.
     let _ = sockopt::set_socket_reuseport(&fd, true);
     net::bind(&fd, &address)?;
-    net::listen(&fd, BACKLOG)?;
+    net::listen(&fd, LISTEN_BACKLOG)?;
     Ok(fd)
 }
 
-fn socket(address: SocketAddr) -> Result<OwnedFd, Errno> {
+fn open_socket(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     net::socket_with(family, SocketType::STREAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)
 }
 
 impl Connection {
+    /// A socket with empty buffers; `connecting` if it is not established yet.
     pub fn new(fd: OwnedFd, connecting: bool) -> Connection {
         let watched = Flags::IN | if connecting { Flags::OUT } else { Flags::empty() };
         // Lines are short and wanted at once.
@@ -91,8 +111,13 @@
         }
     }
 
+    /// Begins to connect.
+    ///
+    /// # Errors
+    ///
+    /// What the system says at once; [`Connection::finish_connect`] tells what comes later.
     pub fn connect(address: SocketAddr) -> Result<Connection, Errno> {
-        let fd = socket(address)?;
+        let fd = open_socket(address)?;
         match net::connect(&fd, &address) {
             Ok(()) => Ok(Connection::new(fd, false)),
             Err(Errno::INPROGRESS | Errno::INTR) => Ok(Connection::new(fd, true)),
@@ -100,12 +125,17 @@
         }
     }
 
-    /// What became of a connection that was coming up.
-    pub fn came_up(&mut self) -> Result<(), Errno> {
+    /// The attempt to connect is over.
+    ///
+    /// # Errors
+    ///
+    /// Why it failed.
+    pub fn finish_connect(&mut self) -> Result<(), Errno> {
         self.connecting = false;
         sockopt::socket_error(&self.fd)?
     }
 
+    /// What the reactor should watch for.
     pub fn wanted(&self) -> Flags {
         let mut flags = Flags::empty();
         flags.set(Flags::IN, !self.paused && !self.read_ended);
@@ -113,71 +143,80 @@
         flags
     }
 
-    /// What is still to go.
+    /// The bytes that are still to be sent.
     pub fn to_go(&self) -> &[u8] {
         &self.outbox[self.sent..]
     }
 
-    /// Nothing has ended or failed on it.
+    /// Whether it is established and nothing has ended or failed on it.
     pub fn is_sound(&self) -> bool {
         !(self.connecting || self.read_ended || self.finish || self.broken)
     }
 
+    /// How many bytes are still to be sent.
     pub fn unsent(&self) -> usize {
         self.outbox.len() - self.sent
     }
 
-    /// Reads what has come, a buffer's length at most.
-    pub fn read(&mut self, buffer: &mut [u8]) -> Result<Got, Errno> {
+    /// Reads into `buffer`, once.
+    ///
+    /// # Errors
+    ///
+    /// Why the connection broke.
+    pub fn read(&mut self, buffer: &mut [u8]) -> Result<ReadOutcome, Errno> {
         loop {
             return match net::recv(&self.fd, &mut *buffer, RecvFlags::empty()) {
                 Ok((_, 0)) => {
                     self.read_ended = true;
-                    Ok(Got::End)
+                    Ok(ReadOutcome::End)
                 }
-                Ok((_, n)) => Ok(Got::Bytes(n)),
+                Ok((_, count)) => Ok(ReadOutcome::Bytes(count)),
                 Err(Errno::INTR) => continue,
-                Err(Errno::AGAIN) => Ok(Got::NothingYet),
+                Err(Errno::AGAIN) => Ok(ReadOutcome::NothingYet),
                 Err(fault) => Err(fault),
             };
         }
     }
 
-    /// Looks at the peer without reading.
-    pub fn peer(&self) -> Peer {
+    /// Looks at what the peer has done, without reading.
+    pub fn peer_state(&self) -> PeerState {
         if self.read_ended || self.broken {
-            return Peer::Gone;
+            return PeerState::Ended;
         }
         loop {
             return match net::recv(&self.fd, &mut [0u8; 1][..], RecvFlags::PEEK) {
-                Ok((_, 0)) => Peer::Gone,
-                Ok(_) => Peer::Spoke,
+                Ok((_, 0)) => PeerState::Ended,
+                Ok(_) => PeerState::HasSent,
                 Err(Errno::INTR) => continue,
-                Err(Errno::AGAIN) => Peer::Waits,
-                Err(_) => Peer::Gone,
+                Err(Errno::AGAIN) => PeerState::Quiet,
+                Err(_) => PeerState::Ended,
             };
         }
     }
 
-    /// Sends what the socket takes now. Danger: what did not go must not look as if it had, nor be counted from
-    /// where a later line begins.
+    /// Sends what the socket takes now, and ends sending after the last byte if that is wanted.
+    ///
+    /// # Errors
+    ///
+    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had been, nor
+    /// be the place from where a later line is counted.
     pub fn flush(&mut self) -> Result<(), Errno> {
-        let flushed = self.send_out();
+        let flushed = self.send_outbox();
         if flushed.is_err() {
             self.outbox.clear();
-            (self.sent, self.broken) = (0, true);
+            self.sent = 0;
+            self.broken = true;
         }
         flushed
     }
 
-    /// When all has gone and sending is to end, ends it.
-    fn send_out(&mut self) -> Result<(), Errno> {
+    fn send_outbox(&mut self) -> Result<(), Errno> {
         if self.connecting {
             return Ok(());
         }
         while self.sent < self.outbox.len() {
             match net::send(&self.fd, &self.outbox[self.sent..], SendFlags::NOSIGNAL) {
-                Ok(n) => self.sent += n,
+                Ok(count) => self.sent += count,
                 Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => break,
                 Err(fault) => return Err(fault),
@@ -190,20 +229,20 @@
                 self.write_ended = true;
                 net::shutdown(&self.fd, Shutdown::Write)?;
             }
-        } else if self.sent > MUCH {
+        } else if self.sent > HIGH_WATER_MARK {
             self.outbox.drain(..self.sent);
             self.sent = 0;
         }
         Ok(())
     }
 
-    /// Both directions have ended.
+    /// Whether both directions have ended.
     pub fn is_over(&self) -> bool {
         self.read_ended && self.write_ended
     }
 
-    /// The close that follows resets the connection instead of ending it.
+    /// Makes the close that follows reset the connection instead of ending it.
     pub fn reset_on_close(&self) {
-        let _ = sockopt::set_socket_linger(&self.fd, Some(std::time::Duration::ZERO));
+        let _ = sockopt::set_socket_linger(&self.fd, Some(Duration::ZERO));
     }
 }
--- /dev/null
+++ b/crates/node/src/endpoint_list/decode.rs
@@ -0,0 +1,83 @@
+//! The JSON form of the endpoint list.
+
+use std::net::SocketAddr;
+
+use glendeck::domain::{Cell, Condition, Endpoint, Kind, ListUpdate, Time, Weight, Zone};
+use serde_json::Value;
+use tracing::warn;
+
+use super::{EndpointListError, EndpointListUpdate};
+use crate::config::host_id;
+use crate::hash::hash_name;
+
+const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
+
+/// Reads a list; `zones` are the names of the zones in the order of their numbers.
+///
+/// An entry that cannot be read is passed over, as it must not keep the node from all others.
+///
+/// # Errors
+///
+/// Fails if the list itself lacks a part.
+pub fn decode(json: &Value, zones: &[String]) -> Result<EndpointListUpdate, EndpointListError> {
+    let index = json.get("index").and_then(Value::as_u64).ok_or(EndpointListError::Missing("index"))?;
+    let is_complete =
+        json.get("snapshot").and_then(Value::as_bool).ok_or(EndpointListError::Missing("snapshot"))?;
+    let entries =
+        json.get("endpoints").and_then(Value::as_array).ok_or(EndpointListError::Missing("endpoints"))?;
+    let update = if is_complete { ListUpdate::Complete } else { ListUpdate::Delta };
+    let mut lines = Vec::new();
+    let mut addresses = Vec::new();
+    for entry in entries {
+        match decode_entry(entry, zones) {
+            Ok((endpoint, address)) => {
+                lines.push(endpoint);
+                addresses.extend(address.map(|address| (endpoint.host, address)));
+            }
+            Err(cause) => warn!(%cause, %entry, "endpoint list entry skipped"),
+        }
+    }
+    Ok(EndpointListUpdate { index, update, lines, addresses })
+}
+
+/// What an entry says of its host, if that can be read.
+pub fn condition(entry: &Value) -> Option<Condition> {
+    match entry.get("status").and_then(Value::as_str) {
+        Some("in_service") => Some(Condition::Ready),
+        Some("terminating") => Some(Condition::Draining),
+        Some("terminated") => Some(Condition::Gone),
+        _ => None,
+    }
+}
+
+/// A host that has gone needs no address.
+fn decode_entry(
+    entry: &Value,
+    zones: &[String],
+) -> Result<(Endpoint, Option<SocketAddr>), EndpointListError> {
+    let text = |key| entry.get(key).and_then(Value::as_str);
+    let condition = condition(entry).ok_or(EndpointListError::Bad("status"))?;
+    let address = text("address").and_then(|address| address.parse().ok());
+    if address.is_none() && condition != Condition::Gone {
+        return Err(EndpointListError::Bad("address"));
+    }
+    // A zone that the settings do not name gets a number that none of theirs has.
+    let zone = zones.iter().position(|zone| Some(zone.as_str()) == text("zone")).unwrap_or(zones.len());
+    let since_ms = amount(entry, "since_ms", 0.0)?;
+    let endpoint = Endpoint {
+        host: host_id(text("name").ok_or(EndpointListError::Missing("name"))?),
+        zone: Zone(zone as u16),
+        cell: Cell(entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
+        condition,
+        weight: Weight(amount(entry, "weight", 1.0)?),
+        kind: text("type").map(|kind| Kind(hash_name(kind))),
+        up_since: Some(Time((since_ms * NANOSECONDS_PER_MILLISECOND) as u64)).filter(|up| up.0 > 0),
+    };
+    Ok((endpoint, address))
+}
+
+/// A number that is not negative, or `default` where the entry has none.
+fn amount(entry: &Value, key: &'static str, default: f64) -> Result<f64, EndpointListError> {
+    let number = entry.get(key).map_or(Some(default), Value::as_f64);
+    number.filter(|number| *number >= 0.0).ok_or(EndpointListError::Bad(key))
+}
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -296,7 +296,7 @@
         if begins {
             self.timers.set(self.now + first, TimerEvent::MigrateFromDraining);
         }
-        let (now, lines) = (self.now, self.hosts.keep_from(ids));
+        let (now, lines) = (self.now, self.hosts.set_drained_by_fleet(ids));
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &lines, port));
     }
 
@@ -307,7 +307,7 @@
             return;
         }
         self.timers.set(self.now + membership.ease_every, TimerEvent::MigrateFromDraining);
-        if let Some(call) = self.hosts.next_eased() {
+        if let Some(call) = self.hosts.next_to_migrate() {
             self.move_client(call, AttemptOutcome::Canceled);
         }
     }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -26,7 +26,7 @@
 
 use crate::call::{Attempt, AttemptEnd, CallStage, InFlightCall};
 use crate::config::NodeConfig;
-use crate::connection::{Connection, Got};
+use crate::connection::{Connection, ReadOutcome};
 use crate::endpoint_list::EndpointListUpdate;
 use crate::hosts::SEND_AWAY;
 use crate::lifecycle::Phase;
@@ -359,9 +359,9 @@
         }
     }
 
-    pub fn successor_readable(&mut self, id: ConnectionId, got: Got) {
-        let Got::Bytes(n) = got else {
-            return if matches!(got, Got::End) {
+    pub fn successor_readable(&mut self, id: ConnectionId, got: ReadOutcome) {
+        let ReadOutcome::Bytes(n) = got else {
+            return if matches!(got, ReadOutcome::End) {
                 self.successor_gone(id)
             };
         };
@@ -393,7 +393,7 @@
         let drained = matches!(self.phase, Phase::Draining { .. });
         let (zones, types) = (self.config.zones.clone(), self.config.names.traffic.clone());
         let message =
-            encode(&Standing { list: self.hosts.told(index), node, drained, zones, types }).to_string();
+            encode(&Standing { list: self.hosts.to_update(index), node, drained, zones, types }).to_string();
         let head = format!("{STANDING} {}\n", message.len());
         let uses = self.descriptors();
         let Some(listener) = &self.listener else { return self.successor_gone(id) };
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -14,7 +14,7 @@
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
 
-use crate::connection::{Connection, Got};
+use crate::connection::{Connection, ReadOutcome};
 use crate::reactor::PEERS;
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
@@ -249,13 +249,13 @@
         membership.peers.incoming.retain(|_, connection| *connection != id);
     }
 
-    pub fn peer_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn peer_came(&mut self, id: ConnectionId, got: ReadOutcome) {
         let now = self.now;
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         match got {
-            Got::NothingYet => return,
-            Got::End => return self.peer_lost(id),
-            Got::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End => return self.peer_lost(id),
+            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
         }
         loop {
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
--- /dev/null
+++ b/crates/node/src/service/lifecycle.rs
@@ -0,0 +1,73 @@
+//! When the node takes clients, and what it does when its configuration is read anew.
+
+use tracing::{error, info, warn};
+
+use super::Service;
+use super::shutdown::LAST_MIGRATIONS;
+use crate::config;
+use crate::lifecycle::Phase;
+
+impl Service {
+    /// Serves as soon as a host is ready and nothing else has to be waited for.
+    pub fn ready_now(&mut self) {
+        // What an agent of the node's own has counts as known from the first moment, so its answer is waited for.
+        let needs_list = self.handover.follows() || self.config.list_is_pushed;
+        let awaits_list = needs_list && !self.list.heard && !self.handover.waited;
+        let must_wait = awaits_list || self.waits_for_fleet();
+        if self.phase == Phase::Starting && self.hosts.any_ready() && !must_wait {
+            self.phase = Phase::Serving;
+            info!(name = %self.config.name, "serving");
+            if std::mem::take(&mut self.handover.drained) {
+                info!("the predecessor was draining");
+                self.drain();
+            }
+            self.take_over();
+        }
+    }
+
+    /// What the front is answered: whether clients are welcome. While the successor takes them, they are.
+    pub fn takes_clients(&self) -> bool {
+        match self.phase {
+            Phase::Serving | Phase::Replaced => true,
+            Phase::Leaving { until } => self.handover.is_replaced() && self.now + LAST_MIGRATIONS < until,
+            Phase::Starting | Phase::Draining { .. } | Phase::Flushing | Phase::Left => false,
+        }
+    }
+
+    /// Whether new connections are this process's to accept.
+    pub fn accepts(&self) -> bool {
+        !self.handover.waits() && !self.handover.is_replaced()
+    }
+
+    /// Reads the configuration again. The whole file is checked first; if it is bad, all stays as it was.
+    pub(super) fn reload(&mut self) {
+        match config::anew() {
+            Ok(config) => self.apply_config(config),
+            Err(fault) => error!("bad configuration, the old one stays: {fault}"),
+        }
+        self.settle();
+    }
+
+    fn apply_config(&mut self, config: config::NodeConfig) {
+        let is_list_elsewhere = config.discovery != self.config.discovery;
+        let change = self.config.renew(config);
+        info!(discovery = %self.config.discovery, "configuration reloaded");
+        for key in change.later {
+            warn!("{key} has changed in the configuration: that counts from the next start");
+        }
+        if change.settings {
+            let now = self.now;
+            let settings = self.config.settings.clone();
+            info!(weights = ?settings.weights, nodes = settings.nodes, "settings changed");
+            self.metrics.name(&self.config.names.traffic);
+            self.tell(|node, port| node.update_settings(now, settings, port));
+        }
+        // With more zones, hosts of a zone that had no number need the right one.
+        if is_list_elsewhere || change.zones {
+            self.restart_watch();
+        } else {
+            // While the watch stands this does nothing; if it is lost, this is when to try again.
+            self.begin_watch();
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/service/sockets.rs
@@ -0,0 +1,201 @@
+//! The table of a node's sockets, and how many descriptors they and the calls need.
+
+use std::os::fd::AsFd;
+use std::os::unix::net::UnixListener;
+
+use glendeck::domain::{CallId, Time};
+use rustix::io::Errno;
+
+use super::Service;
+use crate::admin::CALLERS;
+use crate::call::InFlightCall;
+use crate::connection::Connection;
+use crate::metrics::Outcome;
+use crate::reactor::{ADMIN, Flags, LISTENER, Reactor, SUCCESSORS};
+use crate::slots::Slots;
+use crate::socket::{ConnectionId, SocketEntry, SocketRole};
+
+/// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the successor,
+/// one to accept with or to read the configuration from, and one for the endpoint list. Without the last, a list
+/// that is lost while idle clients hold every descriptor could not be asked for again.
+const OWN_DESCRIPTORS: usize = 12;
+
+/// Sockets with their ids, each watched by the reactor as long as it is in the table.
+pub struct SocketTable {
+    /// Also watches the listening sockets, which are not in the table.
+    pub reactor: Reactor,
+    entries: Slots<SocketEntry>,
+}
+
+impl SocketTable {
+    /// An empty table.
+    pub fn new(reactor: Reactor) -> SocketTable {
+        SocketTable { reactor, entries: Slots::default() }
+    }
+
+    /// Adds a socket and watches it; one that cannot be watched is closed.
+    pub fn insert(&mut self, connection: Connection, role: SocketRole, now: Time) -> Option<ConnectionId> {
+        let entry = SocketEntry { connection, role, quiet_since: now, idle_since: now, queued_since: None };
+        let id = ConnectionId(self.entries.insert(entry));
+        let connection = &self.entries.get(id.0)?.connection;
+        if self.reactor.add(&connection.fd, id.0, connection.watched).is_err() {
+            self.close(id);
+            return None;
+        }
+        Some(id)
+    }
+
+    /// The socket of this number, if it is still in the table.
+    pub fn get(&self, number: u64) -> Option<&SocketEntry> {
+        self.entries.get(number)
+    }
+
+    /// The same, to change it.
+    pub fn get_mut(&mut self, number: u64) -> Option<&mut SocketEntry> {
+        self.entries.get_mut(number)
+    }
+
+    /// How many sockets there are.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// All sockets with their numbers.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &SocketEntry)> {
+        self.entries.iter()
+    }
+
+    /// Watches a socket for what it needs now.
+    pub fn watch(&mut self, id: ConnectionId) {
+        let Some(socket) = self.entries.get_mut(id.0) else { return };
+        let wanted = socket.connection.wanted();
+        if wanted != socket.connection.watched
+            && self.reactor.change(&socket.connection.fd, id.0, wanted).is_ok()
+        {
+            socket.connection.watched = wanted;
+        }
+    }
+
+    /// Takes a socket out of the table, which closes it.
+    pub fn close(&mut self, id: ConnectionId) {
+        self.entries.remove(id.0);
+    }
+
+    /// Closes a socket so that its peer sees a reset.
+    pub fn reset(&mut self, id: ConnectionId) {
+        if let Some(socket) = self.entries.get(id.0) {
+            socket.connection.reset_on_close();
+        }
+        self.close(id);
+    }
+
+    /// Closes this process's descriptor of a socket that another process has too: the connection goes on there.
+    pub fn abandon(&mut self, id: ConnectionId) {
+        if let Some(socket) = self.entries.get(id.0) {
+            self.reactor.remove(&socket.connection.fd);
+        }
+        self.close(id);
+    }
+}
+
+impl Service {
+    /// What a socket is for, if it is still open.
+    pub fn role(&self, id: ConnectionId) -> Option<SocketRole> {
+        self.sockets.get(id.0).map(|socket| socket.role)
+    }
+
+    /// Adds a socket to the table.
+    pub fn add_connection(&mut self, connection: Connection, role: SocketRole) -> Option<ConnectionId> {
+        self.sockets.insert(connection, role, self.now)
+    }
+
+    /// Closes a socket.
+    pub fn close_connection(&mut self, id: ConnectionId) {
+        self.sockets.close(id);
+    }
+
+    /// Leaves a socket to another process that has it too.
+    pub fn abandon_connection(&mut self, id: ConnectionId) {
+        self.sockets.abandon(id);
+    }
+
+    /// Sends what can be sent. If the connection breaks, the next event shows it.
+    pub fn pump(&mut self, id: ConnectionId) {
+        let Some(socket) = self.sockets.get_mut(id.0) else { return };
+        let _ = socket.connection.flush();
+        if let SocketRole::Host(call) = socket.role {
+            self.note_line_sent(call);
+        }
+        self.sockets.watch(id);
+    }
+
+    /// Watches the listening socket for clients, or stops watching it.
+    pub fn listen_for(&mut self, clients: bool) {
+        if let Some(listener) = &self.listener {
+            let _ = self.sockets.reactor.change(listener, LISTENER, readable_if(clients));
+        }
+    }
+
+    /// Watches the admin interface for callers, or stops watching it.
+    pub fn watch_admin(&mut self, open: bool) {
+        if let Some(listener) = &self.door.listener {
+            let _ = self.sockets.reactor.change(listener, ADMIN, readable_if(open));
+        }
+    }
+
+    /// Watches another listening socket.
+    ///
+    /// # Errors
+    ///
+    /// What epoll says.
+    pub fn watch_listener(&mut self, fd: impl AsFd, number: u64) -> Result<(), Errno> {
+        self.sockets.reactor.add(fd, number, Flags::IN)
+    }
+
+    /// Watches the socket at which a successor asks.
+    ///
+    /// # Errors
+    ///
+    /// What epoll says.
+    pub fn watch_successor_socket(&mut self, listener: &UnixListener) -> Result<(), Errno> {
+        self.watch_listener(listener, SUCCESSORS)
+    }
+
+    /// Descriptors in use, and those that the calls in flight will need.
+    pub fn descriptors(&self) -> usize {
+        let peer_links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
+        let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
+        self.reserved_descriptors() + self.handover.other_uses + self.sockets.len()
+            - peer_links
+            - self.door.callers.len()
+            + future_attempts
+    }
+
+    /// Descriptors that the calls in flight need when all have their attempts.
+    pub fn committed_descriptors(&self) -> usize {
+        self.reserved_descriptors() + self.handover.other_uses + 2 * self.calls.len()
+    }
+
+    /// What the node needs for itself, for its peers, and for the admin interface however many clients there are.
+    fn reserved_descriptors(&self) -> usize {
+        let peers = self.membership.as_ref().map_or(0, |membership| membership.descriptors());
+        let admin = if self.door.listener.is_some() { 1 + CALLERS } else { 0 };
+        OWN_DESCRIPTORS + peers + admin
+    }
+
+    /// Takes a call out of the tables. One that never opened is counted here, one that did was when it did.
+    pub fn forget_call(&mut self, id: CallId) -> Option<InFlightCall> {
+        let in_flight = self.calls.remove(id.0)?;
+        self.work_ended(id, in_flight.kept.as_ref());
+        if !in_flight.stage.is_established() {
+            let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
+            self.metrics.count(in_flight.call.traffic, outcome);
+        }
+        self.ids.remove(&in_flight.client_id);
+        Some(in_flight)
+    }
+}
+
+fn readable_if(is_watched: bool) -> Flags {
+    if is_watched { Flags::IN } else { Flags::empty() }
+}
--- a/tools/count-fleet.py
+++ b/tools/count-fleet.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Counts across a fleet, per second, what its nodes logged: calls, legs, endings, probes, list answers and lines.
+"""Counts across a fleet, per second, what its nodes logged: calls, attempts, endings, probes, list answers and lines.
 
     tools/count-fleet.py LOGS [SECONDS]
 
@@ -25,17 +25,17 @@
 
 
 def kind(message):
-    ending = re.search(r"ending=(\w+)", message)
-    if message.startswith("call call"):
-        return "call:" + ("at" if "at=Some" in message else "again" if "returning=true" in message else "new")
-    if message.startswith("leg ended"):
-        return "leg:" + ending[1]
-    if message.startswith("ended"):
-        return "end:" + ending[1]
-    if message.endswith("probed") or " probed" in message or message.startswith("probed"):
-        return "probe"
-    for begin, name in (("leg ", "leg"), ("up ", "up"), ("list index", "list"), ("rejected", "reject"),
-                        ("a call for the list failed", "list-failed"), ("serving", "start")):
+    outcome = re.search(r"outcome=(\w+)", message)
+    if message.startswith("call received"):
+        is_returning = "returning=true" in message
+        return "call:" + ("at" if "previous_host=Some" in message else "again" if is_returning else "new")
+    if message.startswith("attempt ended"):
+        return "attempt:" + outcome[1]
+    if message.startswith("connection ended"):
+        return "end:" + outcome[1]
+    for begin, name in (("attempt opened", "attempt"), ("call established", "up"), ("probe finished", "probe"),
+                        ("endpoint list received", "list"), ("call rejected", "reject"),
+                        ("endpoint list request failed", "list-failed"), ("serving", "start")):
         if message.startswith(begin):
             return name
     return "other"
@@ -65,14 +65,14 @@
             until += step
         what = kind(message)
         counts[what] += 1
-        call, host = re.search(r"call=(\d+)", message), re.search(r"host=(\d+)", message)
+        call, host = re.search(r"call_id=(\d+)", message), re.search(r"host_id=(\d+)", message)
         call, host = call and (node, call[1]), host and host[1]
         if host:
             names.setdefault(host, len(names))
         if what == "list":
-            counts["list-lines"] += int(re.search(r"lines=(\d+)", message)[1])
+            counts["list-lines"] += int(re.search(r"endpoints=(\d+)", message)[1])
         elif what.startswith("call:"):
-            group = re.search(r"group=(\d+)", message)
+            group = re.search(r"group_id=(\d+)", message)
             groups[call] = group[1] if group else "0"
         elif what == "up":
             conns[call] = host
