--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -11,9 +11,12 @@
 use tracing::{debug, info, warn};
 
 use crate::clients::ACCEPT_AGAIN;
-use crate::connection::{self, Connection, Got};
+use crate::connection::{self, Connection, ReadOutcome};
 use crate::http::{Incoming, Method, Refusal, Request};
-use crate::service::{ConnectionId, Phase, Service, SocketRole, TimerEvent};
+use crate::lifecycle::Phase;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// Callers at once. A scraper or two, an operator, and as many that are slow; their descriptors are kept back
 /// from the clients, so there are not more.
@@ -91,7 +94,7 @@
 
 impl Service {
     pub fn is_admin_socket(&self, number: u64) -> bool {
-        number == crate::service::ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
+        number == crate::reactor::ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
     }
 
     pub fn accept_callers(&mut self) {
@@ -103,7 +106,7 @@
                     if let Some(id) = self.add_connection(Connection::new(fd, false), SocketRole::Admin) {
                         let (incoming, answered) = (Incoming::default(), false);
                         self.door.callers.push_back(Caller { id, incoming, answered });
-                        self.timers.set(self.now + CALL_LIMIT, TimerEvent::Caller(id));
+                        self.timers.set(self.now + CALL_LIMIT, TimerEvent::AdminTimeout(id));
                     }
                 }
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
@@ -112,7 +115,7 @@
                     // Danger: while accepting fails the socket stays ready, and the loop would spin.
                     warn!(%fault, "cannot accept at the operators' door");
                     self.watch_admin(false);
-                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
+                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
                 }
             }
         }
@@ -151,20 +154,20 @@
         }
     }
 
-    pub fn caller_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn caller_came(&mut self, id: ConnectionId, got: ReadOutcome) {
         let Some(at) = self.door.callers.iter().position(|caller| caller.id == id) else { return };
         let caller = &mut self.door.callers[at];
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let read = match got {
-            Got::NothingYet => return,
-            Got::End if caller.answered => return self.caller_over(id),
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End if caller.answered => return self.caller_over(id),
             // Nobody gets to hear an answer to half a call.
-            Got::End => return self.drop_caller(id),
-            Got::Bytes(n) if caller.answered => {
+            ReadOutcome::End => return self.drop_caller(id),
+            ReadOutcome::Bytes(n) if caller.answered => {
                 seat.connection.discarded += n;
                 return self.caller_over(id);
             }
-            Got::Bytes(n) => {
+            ReadOutcome::Bytes(n) => {
                 seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
                 caller.incoming.read(&mut seat.connection.inbox)
             }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -21,8 +21,12 @@
 
 use crate::config::{FleetSettings, host_id};
 use crate::endpoint_list::{self, EndpointListUpdate};
+use crate::lifecycle::Phase;
 use crate::peers::{Frame, Peers};
-use crate::service::{ConnectionId, Phase, STORE, Service, TimerEvent};
+use crate::reactor::STORE;
+use crate::service::Service;
+use crate::socket::ConnectionId;
+use crate::timers::TimerEvent;
 
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
@@ -290,9 +294,9 @@
         let first = every.times(f64::from(membership.chance.generate::<f32>()));
         let begins = !membership.kept_from.is_empty() && !std::mem::replace(&mut membership.easing, true);
         if begins {
-            self.timers.set(self.now + first, TimerEvent::Ease);
+            self.timers.set(self.now + first, TimerEvent::MigrateFromDraining);
         }
-        let (now, lines) = (self.now, self.hosts.keep_from(ids));
+        let (now, lines) = (self.now, self.hosts.set_drained_by_fleet(ids));
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &lines, port));
     }
 
@@ -302,8 +306,8 @@
             membership.easing = false;
             return;
         }
-        self.timers.set(self.now + membership.ease_every, TimerEvent::Ease);
-        if let Some(call) = self.hosts.next_eased() {
+        self.timers.set(self.now + membership.ease_every, TimerEvent::MigrateFromDraining);
+        if let Some(call) = self.hosts.next_to_migrate() {
             self.move_client(call, AttemptOutcome::Canceled);
         }
     }
@@ -323,7 +327,7 @@
         if self.phase == Phase::Left {
             return;
         }
-        self.timers.set(self.now + TICK, TimerEvent::Fleet);
+        self.timers.set(self.now + TICK, TimerEvent::FleetTick);
         self.tend_links();
         self.try_store();
         self.look();
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -24,14 +24,16 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
+use crate::call::{Attempt, AttemptEnd, CallStage, InFlightCall};
 use crate::config::NodeConfig;
-use crate::connection::{Connection, Got};
+use crate::connection::{Connection, ReadOutcome};
 use crate::endpoint_list::EndpointListUpdate;
 use crate::hosts::SEND_AWAY;
-use crate::protocol::{ClientId, LONGEST, first_line};
-use crate::service::{
-    Attempt, AttemptEnd, CallStage, ConnectionId, InFlightCall, Phase, Service, SocketRole, TimerEvent,
-};
+use crate::lifecycle::Phase;
+use crate::protocol::{ClientId, MAX_LINE_LENGTH, OpenLine, first_line_length};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// What the next process says first, and what stands before the message; another version says another number.
 const SUCCESSOR_HELLO: &str = "HEIR 1";
@@ -357,17 +359,17 @@
         }
     }
 
-    pub fn successor_readable(&mut self, id: ConnectionId, got: Got) {
-        let Got::Bytes(n) = got else {
-            return if matches!(got, Got::End) {
+    pub fn successor_readable(&mut self, id: ConnectionId, got: ReadOutcome) {
+        let ReadOutcome::Bytes(n) = got else {
+            return if matches!(got, ReadOutcome::End) {
                 self.successor_gone(id)
             };
         };
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
         while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = first_line(&seat.connection.inbox) else {
-                return if seat.connection.inbox.len() > LONGEST {
+            let Some(length) = first_line_length(&seat.connection.inbox) else {
+                return if seat.connection.inbox.len() > MAX_LINE_LENGTH {
                     self.successor_gone(id)
                 };
             };
@@ -391,7 +393,7 @@
         let drained = matches!(self.phase, Phase::Draining { .. });
         let (zones, types) = (self.config.zones.clone(), self.config.names.traffic.clone());
         let message =
-            encode(&Standing { list: self.hosts.told(index), node, drained, zones, types }).to_string();
+            encode(&Standing { list: self.hosts.to_update(index), node, drained, zones, types }).to_string();
         let head = format!("{STANDING} {}\n", message.len());
         let uses = self.descriptors();
         let Some(listener) = &self.listener else { return self.successor_gone(id) };
@@ -470,7 +472,9 @@
                 (None, None) => return,
             };
             match sent {
-                Err(Errno::AGAIN) => return self.timers.set(self.now + FULL_LINE, TimerEvent::HandOn),
+                Err(Errno::AGAIN) => {
+                    return self.timers.set(self.now + FULL_LINE, TimerEvent::ContinueHandover);
+                }
                 Err(fault) => {
                     warn!(%fault, "connections cannot go over: their clients move");
                     self.handover.calls.clear();
@@ -492,18 +496,18 @@
         else {
             return Ok(());
         };
-        if held.last.is_some() || !ours.connection.is_sound() || !theirs.connection.is_sound() {
+        if held.final_message.is_some() || !ours.connection.is_sound() || !theirs.connection.is_sound() {
             return Ok(());
         }
         let of = &held.call;
         let said = json!({
-            "id": held.id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
+            "id": held.client_id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
             "subject": of.subject.map(|subject| subject.0), "group": of.group.map(|group| group.0),
-            "load": of.load, "host": attempt.host.0, "asked": held.asked.map(|asked| self.now.since(asked).0),
+            "load": of.load, "host": attempt.host.0, "asked": held.awaiting_host_since.map(|asked| self.now.since(asked).0),
             "client_in": hex(&ours.connection.inbox), "client_out": hex(ours.connection.to_go()),
             "host_in": hex(&theirs.connection.inbox), "host_out": hex(theirs.connection.to_go()),
         });
-        let (host, connection, no) = (attempt.host, attempt.connection, attempt.no);
+        let (host, connection, no) = (attempt.host, attempt.connection, attempt.number);
         let line = format!("CALL {said}\n");
         let rest =
             self.send_sockets(id, &line, &[ours.connection.fd.as_fd(), theirs.connection.fd.as_fd()])?;
@@ -513,7 +517,12 @@
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended.push_back(AttemptEnd { call, attempt: no, outcome: AttemptOutcome::Canceled, last: true });
+        self.ended.push_back(AttemptEnd {
+            call,
+            attempt: no,
+            outcome: AttemptOutcome::Canceled,
+            is_final: true,
+        });
         self.say_on(id, &rest);
         self.notify_successor(host);
         self.settle();
@@ -568,7 +577,7 @@
         self.handover.predecessor =
             self.add_connection(Connection::new(line.into(), false), SocketRole::Predecessor);
         info!("following the process before");
-        self.timers.set(self.now + LIST_PATIENCE, TimerEvent::TakeOver);
+        self.timers.set(self.now + LIST_PATIENCE, TimerEvent::EndpointListOverdue);
     }
 
     /// This process can serve. Danger: were the one before told earlier, nobody would take clients meanwhile.
@@ -609,7 +618,7 @@
 
     fn predecessor_lines(&mut self, id: ConnectionId) {
         while let Some(seat) = self.sockets.get_mut(id.0) {
-            let Some(length) = first_line(&seat.connection.inbox) else {
+            let Some(length) = first_line_length(&seat.connection.inbox) else {
                 return if seat.connection.inbox.len() > LONGEST_MESSAGE {
                     self.predecessor_gone(id)
                 };
@@ -680,14 +689,22 @@
             self.close_connection(client);
             return None;
         };
-        let mut held = InFlightCall::new(id, client, Vec::new(), 0..0, call, CallStage::Open, None);
+        let mut held = InFlightCall::new(id, client, OpenLine::default(), call, CallStage::Open, None);
         let no = AttemptNumber(0);
-        let (sent, limit, line_out, line_gone) = (self.now, self.now, true, true);
-        (held.attempts, held.attempt) = (
+        (held.attempt_count, held.attempt) = (
             1,
-            Some(Attempt { no, host: at, connection: host, sent, limit, may_go: true, line_out, line_gone }),
+            Some(Attempt {
+                number: no,
+                host: at,
+                connection: host,
+                opened_at: self.now,
+                deadline: self.now,
+                may_send: true,
+                is_line_queued: true,
+                is_line_sent: true,
+            }),
         );
-        (held.asked, held.silence_set) = (asked, asked.is_some());
+        (held.awaiting_host_since, held.has_silence_timer) = (asked, asked.is_some());
         let number = CallId(self.calls.insert(held));
         self.calls.get_mut(number.0)?.call.id = number;
         self.ids.insert(id);
@@ -703,10 +720,10 @@
         let (now, call) = (self.now, Call { id: number, ..call });
         self.tell(|node, _| node.existing_connection(now, call, at));
         if asked.is_some() {
-            self.timers.set(now, TimerEvent::Silence(number));
+            self.timers.set(now, TimerEvent::HostSilence(number));
         }
         if self.hosts.is_leaving(at) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Move(number));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(number));
         }
         self.pump(client);
         self.pump(host);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -14,8 +14,10 @@
 use rustix::net::{self, SocketFlags};
 use tracing::{debug, warn};
 
-use crate::connection::{Connection, Got};
-use crate::service::{ConnectionId, PEERS, Service, SocketRole};
+use crate::connection::{Connection, ReadOutcome};
+use crate::reactor::PEERS;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
 
 /// One letter at most: a whole state of 300 units takes some 60 KiB, a log to be taken anew a few hundred.
 const LONGEST_FRAME: usize = 8 << 20;
@@ -247,13 +249,13 @@
         membership.peers.incoming.retain(|_, connection| *connection != id);
     }
 
-    pub fn peer_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn peer_came(&mut self, id: ConnectionId, got: ReadOutcome) {
         let now = self.now;
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         match got {
-            Got::NothingYet => return,
-            Got::End => return self.peer_lost(id),
-            Got::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End => return self.peer_lost(id),
+            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
         }
         loop {
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -15,9 +15,11 @@
 use serde_json::{Value, json};
 use tracing::{debug, info, warn};
 
+use crate::call::InFlightCall;
+use crate::hash::hash_bytes;
 use crate::peers::{Frame, seal, unseal};
-use crate::protocol::{Answer, OpenRequest, hashed};
-use crate::service::{InFlightCall, Service};
+use crate::protocol::{Answer, OpenRequest};
+use crate::service::Service;
 
 /// In the node's folder, beside the store: what the process before kept.
 const LEFT: &str = "work";
@@ -115,7 +117,7 @@
 /// What names the same work at every node.
 fn name(traffic: &str, tenant: &str, subject: u64) -> WorkId {
     let parts = [traffic.as_bytes(), b"\0", tenant.as_bytes(), b"\0", &subject.to_le_bytes()];
-    WorkId(hashed(parts.into_iter().flatten().copied()))
+    WorkId(hash_bytes(parts.into_iter().flatten().copied()))
 }
 
 impl Service {
@@ -128,7 +130,7 @@
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
         let lasting = self.config.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
-        if !lasting || opening.at.is_some() {
+        if !lasting || opening.previous_host.is_some() {
             return None;
         }
         let tenant = self.config.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
@@ -137,7 +139,7 @@
 
     /// A repeat, as far as can be told: where clients do not mark theirs, any call but one whose connection was up.
     pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
-        if self.config.marks_repeats { opening.repeat } else { !opening.again }
+        if self.config.marks_repeats { opening.is_repeat } else { !opening.is_reconnect }
     }
 
     fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Timestamp)) {
@@ -266,9 +268,9 @@
         let first = held.call.before.or(kept.ran);
         let recalled = match (traffic, first) {
             (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
-            _ => attempt.limit,
+            _ => attempt.deadline,
         };
-        let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
+        let latest = (recalled.min(attempt.deadline) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
         let prior = kept.ran.map(|(host, at)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(at) });
         let send_before = self.timestamp_of(latest.0);
@@ -310,7 +312,7 @@
 
     fn may_go(&mut self, call: CallId) {
         let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
-        attempt.may_go = true;
+        attempt.may_send = true;
         let connection = attempt.connection;
         if let Some(work) = self.work() {
             work.counts.kept += 1;
@@ -321,7 +323,7 @@
     /// Nobody keeps it: it does not go, and the call has its answer at once.
     fn not_kept(&mut self, call: CallId) {
         // Its attempt may have ended meanwhile, and then it is for the decisions to go on.
-        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
+        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_send);
         if !self.calls.get(call.0).is_some_and(waits) {
             return;
         }
@@ -352,10 +354,10 @@
         self.close_connection(attempt.connection);
         let now = self.now;
         self.tell(|node, port| {
-            node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port)
+            node.attempt_ended(now, call, attempt.number, AttemptOutcome::NeverSent, true, port)
         });
         if let Some(held) = self.calls.get_mut(call.0) {
-            held.attempts = 0;
+            held.attempt_count = 0;
         }
         self.look_first(call);
     }
