--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin/mod.rs
@@ -257,3 +257,5 @@
         }
     }
 }
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -379,3 +379,5 @@
         self.tell(|node, port| node.call_arrived(now, call, port));
     }
 }
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/node/src/takeover/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+/// What a process leaves in its folder, as recorded, in hexadecimal digits.
+const LEFT_FILE: &str = include_str!("fixtures/left.hex");
+
+/// The metrics of replicated work, as recorded.
+const METRICS: &str = include_str!("fixtures/metrics.json");
+
+fn unit(name: &str) -> UnitName {
+    UnitName(name.to_owned())
+}
+
+fn handover() -> ReplicaHandover {
+    let record = json!({
+        "id": {"owner": "a", "incarnation": 5, "count": 3}, "term": 2, "repeat": true, "first": 81, "no": 1,
+        "left_ms": 800, "answered": false, "taken": true,
+    });
+    serde_json::from_value(json!({"remembers": true, "records": [[7, record], [300, record]]})).unwrap()
+}
+
+fn recorded_file() -> Vec<u8> {
+    let digits = LEFT_FILE.trim_end();
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+#[test]
+fn handover_file_is_written_and_read_as_recorded() {
+    let written = write_left(&(6, handover())).unwrap();
+    assert_eq!(written, recorded_file());
+    assert_eq!(read_left(&recorded_file()), Some((6, handover())));
+}
+
+#[test]
+fn damaged_handover_file_is_not_read() {
+    let file = recorded_file();
+    for bit in 0..file.len() * 8 {
+        let mut damaged = file.clone();
+        damaged[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(read_left(&damaged), None, "bit {bit}");
+    }
+    for length in 0..file.len() {
+        assert_eq!(read_left(&file[..length]), None, "the first {length} bytes");
+    }
+}
+
+#[test]
+fn metrics_are_written_as_recorded() {
+    let mut work = Work::new(Timestamp(0), unit("n0"), Incarnation(5), 30_000, 3_000);
+    work.counts = Counts { kept: 1, unkept: 2, looked: 3, taken_over: 4, given_up: 5, raced: 6 };
+    assert_eq!(work.metrics(Timestamp(0)).to_string(), METRICS.trim_end());
+}
