--- /dev/null
+++ b/crates/node/src/handover/predecessor.rs
@@ -0,0 +1,258 @@
+//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it hands over.
+
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+
+use glendeck::domain::{AttemptNumber, Call, CallId, ClassId, GroupId, HostId, Span, SubjectId, TenantId};
+use rustix::io::Errno;
+use tracing::{debug, info, warn};
+
+use super::message::{CallHandover, MessageError, PredecessorMessage, StateHeader, SuccessorMessage};
+use super::socket::receive_with_sockets;
+use crate::connection::Connection;
+use crate::hosts::SEND_AWAY;
+use crate::protocol::{ClientId, first_line};
+use crate::service::{Attempt, CallStage, ConnectionId, InFlightCall, Service, SocketRole, TimerEvent};
+
+/// The service of the endpoint list answers within milliseconds or is overloaded. A process that has taken in
+/// everything else serves without it after this, well within the 6 s that an upgrade may take.
+const LIST_TIMEOUT: Span = Span::ms(2_000);
+
+/// Reads from the predecessor in one turn of the event loop.
+const READS_PER_TURN: usize = 64;
+
+/// Why a call of the predecessor's ends here.
+#[derive(Debug, thiserror::Error)]
+enum AdoptError {
+    #[error("its sockets did not come with it")]
+    NoSockets,
+    #[error("the settings have no class {name:?} with number {number}")]
+    UnknownClass { name: Option<String>, number: u8 },
+    #[error("cannot watch its connections")]
+    Reactor,
+}
+
+impl Service {
+    /// Listens to the predecessor from now on.
+    pub fn follow_predecessor(&mut self, line: UnixStream) {
+        let connection = Connection::new(line.into(), false);
+        self.handover.predecessor = self.add_connection(connection, SocketRole::Predecessor);
+        info!("connected to the predecessor");
+        self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::TakeOver);
+    }
+
+    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting while
+    /// nobody else does.
+    pub fn take_over(&mut self) {
+        if self.handover.listener.is_some() {
+            return;
+        }
+        self.listen_for_successor();
+        self.handover.took_over = true;
+        self.listen_for(true);
+        if let Some(id) = self.handover.predecessor {
+            self.send_text(id, &format!("{}\n", SuccessorMessage::Serving));
+        }
+    }
+
+    /// Reads what the predecessor sends.
+    pub fn predecessor_readable(&mut self, id: ConnectionId) {
+        for _ in 0..READS_PER_TURN {
+            let Some(entry) = self.sockets.get_mut(id.0) else { return };
+            let length = match receive_with_sockets(&entry.connection.fd, &mut self.scratch) {
+                Ok((length, sockets)) if length > 0 => {
+                    self.handover.received_sockets.extend(sockets);
+                    length
+                }
+                Err(Errno::AGAIN) => return,
+                Err(Errno::INTR) => continue,
+                Ok(_) | Err(_) => return self.predecessor_gone(id),
+            };
+            entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
+            self.read_predecessor_lines(id);
+        }
+    }
+
+    fn read_predecessor_lines(&mut self, id: ConnectionId) {
+        while let Some(entry) = self.sockets.get_mut(id.0) {
+            let inbox = &mut entry.connection.inbox;
+            let Some(length) = first_line(inbox) else {
+                if inbox.len() > StateHeader::LONGEST_STATE {
+                    self.predecessor_gone(id);
+                }
+                return;
+            };
+            let line: Vec<u8> = inbox.drain(..length).collect();
+            let line = String::from_utf8_lossy(&line);
+            match line.parse() {
+                Ok(message) => self.handle_predecessor_message(message),
+                Err(cause) => self.skip_predecessor_message(&cause),
+            }
+        }
+    }
+
+    fn handle_predecessor_message(&mut self, message: PredecessorMessage) {
+        match message {
+            PredecessorMessage::OpenConnections { host, connections } => {
+                self.tell(|node, _| {
+                    node.set_predecessor_connections(Some(host), f64::from(connections));
+                });
+            }
+            PredecessorMessage::Descriptors(count) => self.handover.other_uses = count,
+            PredecessorMessage::Call(call) => {
+                let client = self.handover.received_sockets.pop_front();
+                let host = self.handover.received_sockets.pop_front();
+                if let Err(cause) = self.adopt_call(*call, client, host) {
+                    warn!(%cause, "cannot adopt a call of the predecessor: its connections end");
+                }
+            }
+            PredecessorMessage::IdleClient(received) => {
+                if let Some(socket) = self.handover.received_sockets.pop_front() {
+                    self.take_client(socket, received.into_bytes());
+                }
+            }
+        }
+    }
+
+    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for them.
+    fn skip_predecessor_message(&mut self, cause: &MessageError) {
+        for _ in 0..cause.sockets() {
+            self.handover.received_sockets.pop_front();
+        }
+        if matches!(cause, MessageError::Call(_)) {
+            warn!(%cause, "cannot adopt a call of the predecessor: its connections end");
+        } else {
+            debug!(%cause, "cannot understand the predecessor: skipping a line");
+        }
+    }
+
+    /// Goes on with a call that the predecessor had open, from where it stood there.
+    fn adopt_call(
+        &mut self,
+        handover: CallHandover,
+        client: Option<OwnedFd>,
+        host: Option<OwnedFd>,
+    ) -> Result<(), AdoptError> {
+        let (client, host) = client.zip(host).ok_or(AdoptError::NoSockets)?;
+        let call = self.adopted_call(&handover)?;
+        let client_id = ClientId(handover.client_id);
+        let host_id = HostId(handover.host);
+        let asked = handover.waiting_for_host_ns.map(|waiting| self.now - Span(waiting));
+        let mut client = Connection::new(client, false);
+        client.inbox = handover.client_inbox.into_bytes();
+        client.outbox = handover.client_outbox.into_bytes();
+        let mut host = Connection::new(host, false);
+        host.inbox = handover.host_inbox.into_bytes();
+        host.outbox = handover.host_outbox.into_bytes();
+        let (client, host) = self.add_adopted_connections(client, host)?;
+
+        let mut in_flight =
+            InFlightCall::new(client_id, client, Vec::new(), 0..0, call, CallStage::Open, None);
+        in_flight.attempts = 1;
+        in_flight.attempt = Some(Attempt {
+            no: AttemptNumber(0),
+            host: host_id,
+            connection: host,
+            sent: self.now,
+            limit: self.now,
+            may_go: true,
+            line_out: true,
+            line_gone: true,
+        });
+        in_flight.asked = asked;
+        in_flight.silence_set = asked.is_some();
+        let id = self.insert_adopted_call(in_flight);
+        self.start_adopted_call(Call { id, ..call }, host_id, asked.is_some());
+        self.pump(client);
+        self.pump(host);
+        Ok(())
+    }
+
+    /// The call as the decisions see it, without its number here.
+    fn adopted_call(&self, handover: &CallHandover) -> Result<Call, AdoptError> {
+        Ok(Call {
+            id: CallId(0),
+            traffic: self.adopted_class(handover)?,
+            tenant: TenantId(handover.tenant),
+            subject: handover.subject.map(SubjectId),
+            group: handover.group.map(GroupId),
+            guard: self.now,
+            load: handover.load,
+            // It did not come from elsewhere.
+            returning: false,
+            mid_flow: false,
+            before: None,
+        })
+    }
+
+    /// The call's class in this process's settings. One that they do not have would be counted out of bounds.
+    fn adopted_class(&self, handover: &CallHandover) -> Result<ClassId, AdoptError> {
+        let names = &self.config.names.traffic;
+        let number = handover.class;
+        let index = match &handover.class_name {
+            Some(name) => names.iter().position(|known| known == name),
+            None => Some(usize::from(number)),
+        };
+        let known = index.filter(|index| *index < names.len());
+        known
+            .map(|index| ClassId(index as u8))
+            .ok_or_else(|| AdoptError::UnknownClass { name: handover.class_name.clone(), number })
+    }
+
+    /// Both connections, or neither.
+    fn add_adopted_connections(
+        &mut self,
+        client: Connection,
+        host: Connection,
+    ) -> Result<(ConnectionId, ConnectionId), AdoptError> {
+        let client = self.add_connection(client, SocketRole::Client(None)).ok_or(AdoptError::Reactor)?;
+        let Some(host) = self.add_connection(host, SocketRole::Client(None)) else {
+            self.close_connection(client);
+            return Err(AdoptError::Reactor);
+        };
+        Ok((client, host))
+    }
+
+    /// Gives the call its number, and its connections their roles.
+    fn insert_adopted_call(&mut self, in_flight: InFlightCall) -> CallId {
+        let client_id = in_flight.id;
+        let client = in_flight.client;
+        let host = in_flight.attempt.as_ref().map(|attempt| attempt.connection);
+        let id = CallId(self.calls.insert(in_flight));
+        if let Some(in_flight) = self.calls.get_mut(id.0) {
+            in_flight.call.id = id;
+        }
+        self.ids.insert(client_id);
+        self.attempts_out += 1;
+        for (connection, role) in [(client, SocketRole::Client(Some(id))), (host, SocketRole::Host(id))] {
+            if let Some(entry) = connection.and_then(|connection| self.sockets.get_mut(connection.0)) {
+                entry.role = role;
+            }
+        }
+        id
+    }
+
+    /// Tells the decisions of the call, and sets the timers that an open call needs.
+    fn start_adopted_call(&mut self, call: Call, host: HostId, host_owes_line: bool) {
+        self.hosts.opened(host, call.id);
+        let now = self.now;
+        self.tell(|node, _| node.existing_connection(now, call, host));
+        if host_owes_line {
+            self.timers.set(now, TimerEvent::Silence(call.id));
+        }
+        if self.hosts.is_leaving(host) {
+            self.timers.set(now + SEND_AWAY, TimerEvent::Move(call.id));
+        }
+    }
+
+    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process accepts alone.
+    pub fn predecessor_gone(&mut self, id: ConnectionId) {
+        self.close_connection(id);
+        info!("the predecessor has gone");
+        self.handover.predecessor = None;
+        self.handover.other_uses = 0;
+        self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
+        self.listen_for(self.accepts());
+        self.ready_now();
+    }
+}
--- /dev/null
+++ b/crates/node/src/handover/successor.rs
@@ -0,0 +1,309 @@
+//! The older process's part: it listens for its successor, sends it what it knows, and hands its connections over.
+
+use std::os::fd::{AsFd, BorrowedFd};
+use std::os::unix::net::UnixListener;
+
+use glendeck::domain::{AttemptOutcome, CallId, HostId, Span};
+use rustix::io::Errno;
+use tracing::{info, warn};
+
+use super::hex::HexBytes;
+use super::message::{CallHandover, PredecessorMessage, StateHeader, SuccessorMessage};
+use super::socket::{send_with_sockets, socket_path};
+use super::state::HandoverState;
+use crate::connection::{Connection, Got};
+use crate::protocol::{LONGEST, first_line};
+use crate::service::{AttemptEnd, CallStage, ConnectionId, Phase, Service, SocketRole, TimerEvent};
+
+/// When the socket is full it is tried again after this: the successor reads it in each turn of its loop.
+const RETRY_FULL_SOCKET: Span = Span::ms(5);
+
+/// An open call that can go over: the message, and the connections that go with it.
+struct OutgoingCall {
+    message: PredecessorMessage,
+    client: ConnectionId,
+    host_connection: ConnectionId,
+}
+
+impl Service {
+    /// Opens the Unix socket at which a successor connects.
+    pub fn listen_for_successor(&mut self) {
+        match self.bind_successor_socket() {
+            Ok(listener) => self.handover.listener = listener,
+            // The successor then opens a listening socket of its own beside this one.
+            Err(cause) => info!(%cause, "cannot listen for a successor"),
+        }
+    }
+
+    /// A process that was killed leaves its file in the way, and one that serves must not be cut off before the new
+    /// socket listens: so the socket is bound under another name, which then replaces the old one.
+    fn bind_successor_socket(&mut self) -> std::io::Result<Option<UnixListener>> {
+        let Some(folder) = self.config.folder.as_deref() else { return Ok(None) };
+        let path = socket_path(folder, self.config.listen);
+        let new_path = path.with_extension("new");
+        let _ = std::fs::remove_file(&new_path);
+        let listener = UnixListener::bind(&new_path)?;
+        listener.set_nonblocking(true)?;
+        std::fs::rename(&new_path, &path)?;
+        self.watch_successor_socket(&listener)?;
+        Ok(Some(listener))
+    }
+
+    /// Accepts a successor's connection; a second one at a time is closed at once.
+    pub fn accept_successor(&mut self) {
+        let accepted = self.handover.listener.as_ref().map(UnixListener::accept);
+        let Some(Ok((line, _))) = accepted else { return };
+        if self.handover.successor.is_none() && line.set_nonblocking(true).is_ok() {
+            let connection = Connection::new(line.into(), false);
+            self.handover.successor = self.add_connection(connection, SocketRole::Successor);
+        }
+    }
+
+    /// Handles what the successor has sent, or the end of its connection.
+    pub fn successor_readable(&mut self, id: ConnectionId, got: Got) {
+        let length = match got {
+            Got::NothingYet => return,
+            Got::End => return self.successor_gone(id),
+            Got::Bytes(length) => length,
+        };
+        let Some(entry) = self.sockets.get_mut(id.0) else { return };
+        entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
+        while let Some(entry) = self.sockets.get_mut(id.0) {
+            let inbox = &mut entry.connection.inbox;
+            let Some(length) = first_line(inbox) else {
+                if inbox.len() > LONGEST {
+                    self.successor_gone(id);
+                }
+                return;
+            };
+            let line: Vec<u8> = inbox.drain(..length).collect();
+            let line = String::from_utf8_lossy(&line);
+            match line.trim_ascii_end().parse() {
+                Ok(message) => self.handle_successor_message(id, message),
+                Err(cause) => {
+                    warn!(%cause, "cannot understand the successor: closing its connection");
+                    return self.successor_gone(id);
+                }
+            }
+        }
+    }
+
+    fn handle_successor_message(&mut self, id: ConnectionId, message: SuccessorMessage) {
+        match message {
+            SuccessorMessage::Hello => self.send_state(id),
+            SuccessorMessage::Serving => self.successor_is_serving(),
+            SuccessorMessage::Succeeded => self.handover.successor_was_replaced = true,
+        }
+    }
+
+    fn send_state(&mut self, id: ConnectionId) {
+        let Some(state) = self.handover_state() else { return self.successor_gone(id) };
+        let Some(listener) = &self.listener else { return self.successor_gone(id) };
+        let state = match state.encode() {
+            Ok(state) => state,
+            Err(cause) => {
+                warn!(%cause, "cannot encode the state for the successor");
+                return self.successor_gone(id);
+            }
+        };
+        let header = format!("{}\n", StateHeader { length: state.len() });
+        let descriptors = PredecessorMessage::Descriptors(self.descriptors());
+        let unsent = match self.send_to_successor(id, &header, &[listener.as_fd()]) {
+            Ok(unsent) => unsent,
+            Err(cause) => {
+                warn!(%cause, "cannot send the state to the successor");
+                return self.successor_gone(id);
+            }
+        };
+        info!(calls = self.calls.len(), "sending the state to the successor");
+        self.handover.successor_has_state = true;
+        self.send_text(id, &format!("{unsent}{state}{descriptors}\n"));
+    }
+
+    /// None before the endpoint list is known.
+    fn handover_state(&self) -> Option<HandoverState> {
+        Some(HandoverState {
+            node: self.snapshot()?,
+            list: self.hosts.told(self.list.index()?),
+            drained: matches!(self.phase, Phase::Draining { .. }),
+            zones: self.config.zones.clone(),
+            classes: self.config.names.traffic.clone(),
+        })
+    }
+
+    /// From here on the successor takes the clients.
+    fn successor_is_serving(&mut self) {
+        info!(calls = self.calls.len(), "replaced: the successor takes the clients");
+        self.handover.successor_serves = true;
+        if let Some(predecessor) = self.handover.predecessor {
+            self.send_text(predecessor, &format!("{}\n", SuccessorMessage::Succeeded));
+        }
+        self.handover.listener = None;
+        self.listen_for(false);
+        if matches!(self.phase, Phase::Serving | Phase::Starting) {
+            self.phase = Phase::Replaced;
+        }
+    }
+
+    /// The successor may end before it serves, or after; then nobody would take the clients if this process did not.
+    pub fn successor_gone(&mut self, id: ConnectionId) {
+        self.close_connection(id);
+        if self.handover.successor != Some(id) {
+            return;
+        }
+        self.handover.successor = None;
+        self.handover.successor_has_state = false;
+        // After two upgrades in a row this process would take clients beside the last one.
+        if self.handover.successor_was_replaced {
+            return;
+        }
+        if !std::mem::take(&mut self.handover.successor_serves) {
+            return info!("the successor has gone before it served");
+        }
+        if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
+            return;
+        }
+        warn!("the successor has gone: this process takes the clients again");
+        if self.phase == Phase::Replaced {
+            self.phase = Phase::Serving;
+        }
+        self.listen_for(true);
+        self.listen_for_successor();
+    }
+
+    /// Hands over all open calls, and the clients that have not opened one yet.
+    pub fn hand_over_calls(&mut self) {
+        let open_calls = self.calls.iter().filter(|(_, call)| call.stage == CallStage::Open);
+        self.handover.pending_calls = open_calls.map(|(number, _)| CallId(number)).collect();
+        let idle = self.sockets.iter().filter(|(_, entry)| entry.role == SocketRole::Client(None));
+        self.handover.pending_idle_clients = idle.map(|(number, _)| ConnectionId(number)).collect();
+        self.hand_on();
+    }
+
+    /// Hands over one call that has opened since.
+    pub fn hand_over_call(&mut self, call: CallId) {
+        self.handover.pending_calls.push_back(call);
+        self.hand_on();
+    }
+
+    /// Hands over as much as the socket takes; the rest follows when it has room again.
+    pub fn hand_on(&mut self) {
+        let Some(id) = self.handover.successor.filter(|_| self.handover.successor_serves) else { return };
+        while self.sockets.get(id.0).is_some_and(|entry| entry.connection.unsent() == 0) {
+            let next_call = self.handover.pending_calls.front().copied();
+            let next_client = self.handover.pending_idle_clients.front().copied();
+            let result = match (next_call, next_client) {
+                (Some(call), _) => self.send_open_call(id, call),
+                (None, Some(client)) => self.send_idle_client(id, client),
+                (None, None) => return,
+            };
+            match result {
+                Ok(()) => self.handover.remove_first_pending(),
+                Err(Errno::AGAIN) => {
+                    return self.timers.set(self.now + RETRY_FULL_SOCKET, TimerEvent::HandOn);
+                }
+                Err(cause) => {
+                    warn!(%cause, "cannot hand over connections: their clients are migrated");
+                    self.handover.pending_calls.clear();
+                    self.handover.pending_idle_clients.clear();
+                    return;
+                }
+            }
+        }
+    }
+
+    fn send_open_call(&mut self, id: ConnectionId, call: CallId) -> Result<(), Errno> {
+        let Some(outgoing) = self.prepare_call(call) else { return Ok(()) };
+        let client = self.sockets.get(outgoing.client.0).ok_or(Errno::BADF)?;
+        let host = self.sockets.get(outgoing.host_connection.0).ok_or(Errno::BADF)?;
+        let sockets = [client.connection.fd.as_fd(), host.connection.fd.as_fd()];
+        let unsent = self.send_to_successor(id, &format!("{}\n", outgoing.message), &sockets)?;
+        let host = self.release_call(call, &outgoing);
+        self.send_text(id, &unsent);
+        if let Some(host) = host {
+            self.notify_successor(host);
+        }
+        self.settle();
+        Ok(())
+    }
+
+    /// None for a call that ends here: one side's end, seen by this process, would never be seen by the successor.
+    fn prepare_call(&self, call: CallId) -> Option<OutgoingCall> {
+        let in_flight = self.calls.get(call.0).filter(|call| call.stage == CallStage::Open)?;
+        let client_id = in_flight.client?;
+        let attempt = in_flight.attempt.as_ref()?;
+        let client = &self.sockets.get(client_id.0)?.connection;
+        let host = &self.sockets.get(attempt.connection.0)?.connection;
+        if in_flight.last.is_some() || !client.is_sound() || !host.is_sound() {
+            return None;
+        }
+        let call = &in_flight.call;
+        let handover = CallHandover {
+            waiting_for_host_ns: in_flight.asked.map(|asked| self.now.since(asked).0),
+            client_inbox: HexBytes::from(client.inbox.as_slice()),
+            client_outbox: HexBytes::from(client.to_go()),
+            group: call.group.map(|group| group.0),
+            host: attempt.host.0,
+            host_inbox: HexBytes::from(host.inbox.as_slice()),
+            host_outbox: HexBytes::from(host.to_go()),
+            client_id: in_flight.id.0,
+            load: call.load,
+            subject: call.subject.map(|subject| subject.0),
+            tenant: call.tenant.0,
+            class: call.traffic.0,
+            class_name: self.config.names.traffic.get(usize::from(call.traffic.0)).cloned(),
+        };
+        Some(OutgoingCall {
+            message: PredecessorMessage::Call(Box::new(handover)),
+            client: client_id,
+            host_connection: attempt.connection,
+        })
+    }
+
+    /// Forgets a call that is the successor's now, without ending its connections. Returns the host where it is open.
+    fn release_call(&mut self, call: CallId, outgoing: &OutgoingCall) -> Option<HostId> {
+        self.abandon_connection(outgoing.client);
+        self.abandon_connection(outgoing.host_connection);
+        let attempt = self.forget_call(call)?.attempt?;
+        self.attempts_out -= 1;
+        self.hosts.closed(attempt.host, call);
+        let outcome = AttemptOutcome::Canceled;
+        self.ended.push_back(AttemptEnd { call, attempt: attempt.no, outcome, last: true });
+        Some(attempt.host)
+    }
+
+    fn send_idle_client(&mut self, id: ConnectionId, client: ConnectionId) -> Result<(), Errno> {
+        let Some(entry) = self.sockets.get(client.0) else { return Ok(()) };
+        let connection = &entry.connection;
+        let is_idle = entry.role == SocketRole::Client(None);
+        if !is_idle || !connection.is_sound() || connection.unsent() > 0 {
+            return Ok(());
+        }
+        let message = PredecessorMessage::IdleClient(HexBytes::from(connection.inbox.as_slice()));
+        let unsent = self.send_to_successor(id, &format!("{message}\n"), &[connection.fd.as_fd()])?;
+        self.abandon_connection(client);
+        self.send_text(id, &unsent);
+        Ok(())
+    }
+
+    /// Sends text with the sockets that belong to it, and returns what did not fit.
+    fn send_to_successor(
+        &self,
+        id: ConnectionId,
+        text: &str,
+        sockets: &[BorrowedFd<'_>],
+    ) -> Result<String, Errno> {
+        let entry = self.sockets.get(id.0).ok_or(Errno::PIPE)?;
+        let sent = send_with_sockets(&entry.connection.fd, text, sockets)?;
+        Ok(text[sent..].to_owned())
+    }
+
+    /// Tells the successor how many connections are open at a host, which has changed.
+    pub fn notify_successor(&mut self, host: HostId) {
+        let Some(id) = self.handover.successor.filter(|_| self.handover.successor_has_state) else { return };
+        let connections = self.hosts.open_at(host) as u32;
+        let open_connections = PredecessorMessage::OpenConnections { host, connections };
+        let descriptors = PredecessorMessage::Descriptors(self.descriptors());
+        self.send_text(id, &format!("{open_connections}\n{descriptors}\n"));
+    }
+}
--- a/crates/node/src/handover/tests.rs
+++ b/crates/node/src/handover/tests.rs
@@ -1,11 +1,26 @@
-use super::*;
+use glendeck::domain::{
+    Cell, Condition, Endpoint, HostId, HostSnapshot, Kind, ListUpdate, NodeSnapshot, Size, SubjectId, Time,
+    Weight, Zone,
+};
+
+use super::hex::{HexBytes, HexError};
+use super::message::{CallHandover, MessageError, PredecessorMessage, StateHeader, SuccessorMessage};
+use super::state::HandoverState;
+use crate::endpoint_list::EndpointListUpdate;
 
 /// What a process tells its successor, as recorded.
 const STATE: &str = include_str!("fixtures/state.json");
 
-fn standing() -> Standing {
+/// The lines that two processes of a node exchange, as recorded.
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+
+fn names<const COUNT: usize>(names: [&str; COUNT]) -> Vec<String> {
+    names.map(str::to_owned).to_vec()
+}
+
+fn sample_state() -> HandoverState {
     let host = HostId(7);
-    let listed = Endpoint {
+    let endpoint = Endpoint {
         host,
         zone: Zone(1),
         cell: Cell(2),
@@ -14,7 +29,7 @@
         kind: Some(Kind(7)),
         up_since: Some(Time(9)),
     };
-    let of = HostSnapshot {
+    let snapshot = HostSnapshot {
         host,
         open: 3.0,
         smoothed: 0.5,
@@ -27,21 +42,21 @@
         nominal: Some(Size(2.5)),
     };
     let node = NodeSnapshot {
-        hosts: vec![of, HostSnapshot { limit: Some(4.0), ..of }],
+        hosts: vec![snapshot, HostSnapshot { limit: Some(4.0), ..snapshot }],
         loads: vec![(SubjectId(u64::MAX), 0.25)],
         of_type: vec![0.1, 0.2],
         arrival: 2.0,
         ..NodeSnapshot::default()
     };
     let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
-    let list = EndpointListUpdate { index: 41, update: ListUpdate::Complete, lines: vec![listed], addresses };
-    let (zones, types) = (vec!["x".into(), "y".into()], vec!["chat".into(), "pay".into()]);
-    Standing { list, node, drained: true, zones, types }
+    let list =
+        EndpointListUpdate { index: 41, update: ListUpdate::Complete, lines: vec![endpoint], addresses };
+    HandoverState { list, node, drained: true, zones: names(["x", "y"]), classes: names(["chat", "pay"]) }
 }
 
 /// A state whose every field has a value that shows it, with and without its optional parts.
-fn recorded_state() -> Standing {
-    let mut state = standing();
+fn recorded_state() -> HandoverState {
+    let mut state = sample_state();
     let host = HostId(u64::MAX);
     state.list.lines.push(Endpoint {
         host,
@@ -66,57 +81,149 @@
 
 #[test]
 fn state_is_written_and_read_as_recorded() {
-    let (zones, types) = (["x", "y"].map(String::from), ["chat", "pay"].map(String::from));
     let state = recorded_state();
-    assert_eq!(encode(&state).to_string(), STATE.trim_end());
-    let read = decode(STATE.trim_end().as_bytes(), &zones, &types).unwrap();
+    assert_eq!(state.encode().unwrap(), STATE.trim_end());
+    let read = HandoverState::decode(STATE.trim_end().as_bytes(), &state.zones, &state.classes).unwrap();
     assert_eq!((read.node, read.drained), (state.node, state.drained));
     assert_eq!((read.list.index, read.list.lines), (state.list.index, state.list.lines));
     assert_eq!(read.list.addresses, state.list.addresses);
-    assert_eq!((read.zones, read.types), (state.zones, state.types));
+    assert_eq!((read.zones, read.classes), (state.zones, state.classes));
+}
+
+fn recorded_call(has_optional_parts: bool) -> CallHandover {
+    let bytes = |bytes: &[u8]| HexBytes::from(if has_optional_parts { bytes } else { b"" });
+    CallHandover {
+        waiting_for_host_ns: has_optional_parts.then_some(1_500_000_000),
+        client_inbox: bytes(b"CHAT\n"),
+        client_outbox: bytes(&[0, 255]),
+        group: has_optional_parts.then_some(11),
+        host: 81,
+        host_inbox: bytes(b"ok"),
+        host_outbox: bytes(b"\n"),
+        client_id: 0xfeed,
+        load: has_optional_parts.then_some(0.125),
+        subject: has_optional_parts.then_some(u64::MAX),
+        tenant: 3,
+        class: 1,
+        class_name: has_optional_parts.then(|| "pay".to_owned()),
+    }
+}
+
+#[test]
+fn messages_are_written_and_read_as_recorded() {
+    let mut recorded = MESSAGES.lines();
+    let from_predecessor = [
+        PredecessorMessage::Call(Box::new(recorded_call(true))),
+        PredecessorMessage::Call(Box::new(recorded_call(false))),
+        PredecessorMessage::IdleClient(HexBytes::from(b"OPEN".as_slice())),
+        PredecessorMessage::IdleClient(HexBytes::default()),
+        PredecessorMessage::OpenConnections { host: HostId(0xfeed_beef), connections: 17 },
+        PredecessorMessage::Descriptors(42),
+    ];
+    for message in from_predecessor {
+        let line = recorded.next().unwrap();
+        assert_eq!(message.to_string(), line);
+        assert_eq!(line.parse::<PredecessorMessage>().unwrap(), message);
+    }
+    let line = recorded.next().unwrap();
+    assert_eq!(StateHeader { length: 1234 }.to_string(), line);
+    assert_eq!(line.parse::<StateHeader>().unwrap(), StateHeader { length: 1234 });
+    for message in [SuccessorMessage::Hello, SuccessorMessage::Serving, SuccessorMessage::Succeeded] {
+        let line = recorded.next().unwrap();
+        assert_eq!(message.to_string(), line);
+        assert_eq!(line.parse::<SuccessorMessage>().unwrap(), message);
+    }
+    assert_eq!(recorded.next(), None);
+}
+
+/// The sockets of an unreadable line are closed: those of the next line would be taken for them otherwise.
+#[test]
+fn unreadable_messages_say_how_many_sockets_came_with_them() {
+    let sockets = |line: &str| line.parse::<PredecessorMessage>().unwrap_err().sockets();
+    assert_eq!(sockets("CALL {}"), 2);
+    assert_eq!(sockets("IDLE 00"), 1);
+    for line in ["", "CALL", "IDLE", "OTHER x", "AT 1", "AT x 1", "AT 1 x"] {
+        assert_eq!(sockets(line), 0, "{line:?}");
+    }
 }
 
 #[test]
-fn what_is_told_is_read_the_same() {
-    let (zones, types) = (["x", "y"].map(String::from), ["chat", "pay"].map(String::from));
-    let (told, text) = (standing(), encode(&standing()).to_string());
-    let read = decode(text.as_bytes(), &zones, &types).unwrap();
-    assert_eq!((&read.node, read.drained), (&told.node, true));
+fn state_longer_than_any_of_ours_is_refused() {
+    let header = |length: usize| StateHeader { length }.to_string().parse::<StateHeader>();
+    assert!(header(StateHeader::LONGEST_STATE).is_ok());
+    assert!(matches!(header(StateHeader::LONGEST_STATE + 1), Err(MessageError::TooLong(_))));
+    assert!(matches!("STANDING 2 7".parse::<StateHeader>(), Err(MessageError::Unknown)));
+}
+
+#[test]
+fn decoded_state_equals_the_encoded_one() {
+    let state = sample_state();
+    let text = state.encode().unwrap();
+    let read = HandoverState::decode(text.as_bytes(), &state.zones, &state.classes).unwrap();
+    assert_eq!((&read.node, read.drained), (&state.node, true));
     assert_eq!(
         (read.list.index, &read.list.lines, &read.list.addresses),
-        (41, &told.list.lines, &told.list.addresses)
+        (41, &state.list.lines, &state.list.addresses)
     );
+}
+
+#[test]
+fn zones_and_classes_are_mapped_by_name() {
+    let text = sample_state().encode().unwrap();
+    let decode = |zones: &[String], classes: &[String]| {
+        HandoverState::decode(text.as_bytes(), zones, classes).unwrap()
+    };
     // A zone that the settings do not name any more is none of ours.
-    assert_eq!(decode(text.as_bytes(), &[], &types).unwrap().list.lines[0].zone, Zone(0));
-    // Another order, and more of them: a name is what counts.
-    let (zones, types) = (["y", "z", "x"].map(String::from), ["fax", "pay", "chat"].map(String::from));
-    let read = decode(text.as_bytes(), &zones, &types).unwrap();
+    assert_eq!(decode(&[], &names(["chat", "pay"])).list.lines[0].zone, Zone(0));
+    // Another order, and more of them.
+    let read = decode(&names(["y", "z", "x"]), &names(["fax", "pay", "chat"]));
     assert_eq!((read.list.lines[0].zone, read.node.of_type), (Zone(0), vec![0.0, 0.2, 0.1]));
 }
 
-/// Danger: half a message taken for a whole one would be hosts taken for empty. It is all or nothing.
+/// Half a message taken for a whole one would be hosts taken for empty.
 #[test]
-fn what_is_amiss_counts_for_nothing() {
-    let text = encode(&standing()).to_string();
+fn incomplete_state_is_refused_as_a_whole() {
+    let text = sample_state().encode().unwrap();
+    let is_refused = |text: &[u8]| HandoverState::decode(text, &[], &[]).is_err();
     for end in 0..text.len() {
-        assert!(decode(&text.as_bytes()[..end], &[], &[]).is_none());
+        assert!(is_refused(&text.as_bytes()[..end]));
     }
-    for key in
-        ["index", "list", "hosts", "loads", "of_type", "drained", "address", "condition", "open", "aside"]
-    {
+    let keys = [
+        "index",
+        "list",
+        "hosts",
+        "loads",
+        "of_type",
+        "drained",
+        "address",
+        "condition",
+        "open",
+        "aside",
+        "up",
+        "limit",
+    ];
+    for key in keys {
         let other = text.replace(&format!("\"{key}\":"), "\"other\":");
-        assert!(decode(other.as_bytes(), &[], &[]).is_none(), "without {key}");
+        assert!(is_refused(other.as_bytes()), "without {key}");
+    }
+    for (valid, invalid) in [("\"draining\"", "\"well\""), ("\"share\":1.5", "\"share\":-1.5")] {
+        assert!(text.contains(valid));
+        assert!(is_refused(text.replace(valid, invalid).as_bytes()), "with {invalid}");
     }
-    let wrong = text.replace("\"draining\"", "\"well\"");
-    assert!(decode(wrong.as_bytes(), &[], &[]).is_none());
 }
 
 #[test]
-fn bytes_pass_unchanged() {
+fn hexadecimal_bytes_are_read_as_they_were_written() {
     let all: Vec<u8> = (0..=255).collect();
-    assert_eq!(unhex(&hex(&all)), Some(all));
-    assert_eq!(unhex(&hex(b"")), Some(vec![]));
-    for wrong in ["", "00", "x0", "xzz", "x\u{e9}"] {
-        assert_eq!(unhex(wrong), None);
+    for bytes in [all.as_slice(), b""] {
+        let hex = HexBytes::from(bytes);
+        assert_eq!(hex.to_string().parse(), Ok(hex.clone()));
+        assert_eq!(hex.into_bytes(), bytes);
+    }
+    for text in ["", "00"] {
+        assert_eq!(text.parse::<HexBytes>(), Err(HexError::Prefix));
+    }
+    for text in ["x0", "xzz", "x\u{e9}"] {
+        assert_eq!(text.parse::<HexBytes>(), Err(HexError::Digits));
     }
 }
