--- /dev/null
+++ b/crates/node/src/admin/reply.rs
@@ -0,0 +1,136 @@
+//! Replies of the admin interface: a status and a JSON body, as one HTTP/1.1 response.
+
+use serde::Serialize;
+use serde_json::Value;
+
+/// An HTTP status that the admin interface replies with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Status {
+    /// Done, or here is what was asked for.
+    Ok,
+    /// The request makes no sense.
+    BadRequest,
+    /// There is no such path on this node.
+    NotFound,
+    /// The path is not for this method.
+    MethodNotAllowed,
+    /// Refused as things stand.
+    Conflict,
+    /// The body is too large.
+    ContentTooLarge,
+    /// The head is too large.
+    HeaderFieldsTooLarge,
+    /// The body comes in a coding that is not read.
+    NotImplemented,
+    /// Not ready, or not decided in time.
+    ServiceUnavailable,
+    /// Another version of HTTP.
+    VersionNotSupported,
+}
+
+impl Status {
+    /// Its number.
+    pub fn code(self) -> u16 {
+        match self {
+            Status::Ok => 200,
+            Status::BadRequest => 400,
+            Status::NotFound => 404,
+            Status::MethodNotAllowed => 405,
+            Status::Conflict => 409,
+            Status::ContentTooLarge => 413,
+            Status::HeaderFieldsTooLarge => 431,
+            Status::NotImplemented => 501,
+            Status::ServiceUnavailable => 503,
+            Status::VersionNotSupported => 505,
+        }
+    }
+
+    /// Its reason phrase, see RFC 9110, section 15.
+    fn reason(self) -> &'static str {
+        match self {
+            Status::Ok => "OK",
+            Status::BadRequest => "Bad Request",
+            Status::NotFound => "Not Found",
+            Status::MethodNotAllowed => "Method Not Allowed",
+            Status::Conflict => "Conflict",
+            Status::ContentTooLarge => "Content Too Large",
+            Status::HeaderFieldsTooLarge => "Request Header Fields Too Large",
+            Status::NotImplemented => "Not Implemented",
+            Status::ServiceUnavailable => "Service Unavailable",
+            Status::VersionNotSupported => "HTTP Version Not Supported",
+        }
+    }
+}
+
+/// The body of a reply that says what is wrong.
+#[derive(Serialize)]
+struct ErrorBody {
+    error: String,
+}
+
+/// The body of a reply that says only whether something was done.
+#[derive(Serialize)]
+struct DoneBody {
+    done: bool,
+}
+
+/// One reply.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Reply {
+    status: Status,
+    /// The methods of the path, where another one was used.
+    allow: Option<&'static str>,
+    /// Its keys are written in alphabetical order, whatever the order of the type it was made from.
+    body: Value,
+}
+
+impl Reply {
+    /// A reply with this body.
+    pub fn new(status: Status, body: &impl Serialize) -> Reply {
+        // The bodies have no maps whose keys are not text, which is what fails.
+        Reply { status, allow: None, body: serde_json::to_value(body).unwrap_or_default() }
+    }
+
+    /// A reply that says what is wrong with the request.
+    pub fn error(status: Status, error: impl ToString) -> Reply {
+        Reply::new(status, &ErrorBody { error: error.to_string() })
+    }
+
+    /// The reply for a path that does not exist.
+    pub fn no_such_path() -> Reply {
+        Reply::error(Status::NotFound, "no such path")
+    }
+
+    /// The reply for a path that is for other methods.
+    pub fn method_not_allowed(allow: &'static str) -> Reply {
+        let reply = Reply::error(Status::MethodNotAllowed, "not with this method");
+        Reply { allow: Some(allow), ..reply }
+    }
+
+    /// Whether something was done; if not, things stand in its way.
+    pub fn done(done: bool) -> Reply {
+        Reply::new(done_status(done), &DoneBody { done })
+    }
+
+    /// Appends the response to `bytes`; without its body for a HEAD request.
+    pub fn encode(&self, with_body: bool, bytes: &mut Vec<u8>) {
+        let body = format!("{}\n", self.body);
+        let allow = self.allow.map_or(String::new(), |methods| format!("Allow: {methods}\r\n"));
+        let head = format!(
+            "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{allow}\
+             Cache-Control: no-store\r\nConnection: close\r\n\r\n",
+            self.status.code(),
+            self.status.reason(),
+            body.len(),
+        );
+        bytes.extend_from_slice(head.as_bytes());
+        if with_body {
+            bytes.extend_from_slice(body.as_bytes());
+        }
+    }
+}
+
+/// The status of a reply to what was done, or is refused as things stand.
+pub fn done_status(done: bool) -> Status {
+    if done { Status::Ok } else { Status::Conflict }
+}
--- a/crates/node/src/admin/tests.rs
+++ b/crates/node/src/admin/tests.rs
@@ -1,36 +1,61 @@
-use super::*;
+use glendeck::domain::{ClassId, Span, Time};
+use glendeck_fleet::RequestResult;
+use glendeck_fleet::state::{CommandResult, RequestId};
+
+use super::reply::{Reply, Status};
+use super::routes::{PhaseChange, Readiness};
+use crate::fleet::requests::{RequestError, result_reply};
+use crate::http::Refusal;
+use crate::metrics::{Metrics, MetricsPage, Outcome};
+use crate::service::Phase;
 
 /// Replies of the admin interface, as recorded: one a line, with `\r`, `\n` and quotes escaped.
 const REPLIES: &str = include_str!("fixtures/replies.txt");
 
+/// Everything that is written of the metrics, as recorded.
+const METRICS: &str = include_str!("fixtures/metrics.json");
+
+#[test]
+fn phases_have_their_recorded_names() {
+    let at = Time(0);
+    let phases = [
+        (Phase::Starting, "starting"),
+        (Phase::Serving, "serving"),
+        (Phase::Draining { since: at }, "draining"),
+        (Phase::Replaced, "replaced"),
+        (Phase::Leaving { until: at }, "leaving"),
+        (Phase::Flushing, "leaving"),
+        (Phase::Left, "left"),
+    ];
+    for (phase, name) in phases {
+        assert_eq!(phase.name(), name);
+    }
+}
+
 fn replies() -> Vec<(Reply, bool)> {
-    let phase = |phase: Phase| phase.name();
-    let failed = |status: u16, error: &str| say(status, json!({"error": error}));
-    let not_allowed = |methods| Reply { allow: Some(methods), ..failed(405, "not with this method") };
-    let refused = |refusal: Refusal| failed(refusal.status(), &refusal.to_string());
-    let undecided = |misses: Option<usize>| {
-        let why = "not decided in time: it may still be. Ask again with the same id";
-        say(503, json!({"done": false, "id": "ab", "why": why, "voters_not_heard": misses}))
-    };
+    let serving = Phase::Serving.name();
+    let replaced = Phase::Replaced.name();
+    let id = RequestId("ab".to_owned());
+    let answered = |result| result_reply(&id, &RequestResult::Answered(result), None);
     vec![
-        (say(200, json!({"ready": true, "phase": phase(Phase::Serving)})), true),
-        (say(503, json!({"ready": false, "phase": phase(Phase::Replaced)})), false),
-        (say(200, json!({"done": true, "phase": phase(Phase::Serving)})), true),
-        (say(409, json!({"done": false, "phase": phase(Phase::Serving)})), true),
-        (failed(404, "no such path"), true),
-        (not_allowed("GET, HEAD"), true),
-        (not_allowed("POST"), true),
-        (refused(Refusal::Head), true),
-        (refused(Refusal::Version), true),
-        (refused(Refusal::HeadTooLarge), true),
-        (refused(Refusal::BodyTooLarge), true),
-        (refused(Refusal::Coding), true),
-        (failed(404, "this node is of no fleet"), true),
-        (say(409, json!({"done": false})), true),
-        (say(200, json!({"done": true, "id": "ab", "said": "t"})), true),
-        (say(409, json!({"done": false, "id": "ab", "why": "w"})), true),
-        (undecided(Some(2)), true),
-        (undecided(None), true),
+        (Reply::new(Status::Ok, &Readiness { phase: serving, ready: true }), true),
+        (Reply::new(Status::ServiceUnavailable, &Readiness { phase: replaced, ready: false }), false),
+        (Reply::new(Status::Ok, &PhaseChange { done: true, phase: serving }), true),
+        (Reply::new(Status::Conflict, &PhaseChange { done: false, phase: serving }), true),
+        (Reply::no_such_path(), true),
+        (Reply::method_not_allowed("GET, HEAD"), true),
+        (Reply::method_not_allowed("POST"), true),
+        (Reply::from(Refusal::Head), true),
+        (Reply::from(Refusal::Version), true),
+        (Reply::from(Refusal::HeadTooLarge), true),
+        (Reply::from(Refusal::BodyTooLarge), true),
+        (Reply::from(Refusal::Coding), true),
+        (Reply::from(RequestError::NoFleet), true),
+        (Reply::done(false), true),
+        (answered(CommandResult::Done("t".to_owned())), true),
+        (answered(CommandResult::Refused("w".to_owned())), true),
+        (result_reply(&id, &RequestResult::Unknown, Some(2)), true),
+        (result_reply(&id, &RequestResult::Unknown, None), true),
     ]
 }
 
@@ -40,25 +65,31 @@
     assert_eq!(replies.len(), REPLIES.lines().count());
     for ((reply, with_body), recorded) in replies.iter().zip(REPLIES.lines()) {
         let mut bytes = Vec::new();
-        encode(reply, *with_body, &mut bytes);
+        reply.encode(*with_body, &mut bytes);
         let text = String::from_utf8(bytes).unwrap();
         assert_eq!(text.escape_default().to_string(), recorded);
     }
 }
 
 #[test]
-fn phases_have_their_recorded_names() {
-    let at = glendeck::domain::Time(0);
-    let phases = [
-        (Phase::Starting, "starting"),
-        (Phase::Serving, "serving"),
-        (Phase::Draining { since: at }, "draining"),
-        (Phase::Replaced, "replaced"),
-        (Phase::Leaving { until: at }, "leaving"),
-        (Phase::Flushing, "leaving"),
-        (Phase::Left, "left"),
-    ];
-    for (phase, name) in phases {
-        assert_eq!(phase.name(), name);
+fn metrics_page_is_written_as_recorded() {
+    let mut metrics = Metrics::new(&["pay".to_owned(), "chat".to_owned()]);
+    let outcomes = [(Outcome::Success, 5), (Outcome::Busy, 2), (Outcome::Failure, 1)];
+    for (outcome, count) in outcomes {
+        (0..count).for_each(|_| metrics.count(ClassId(0), outcome));
     }
+    let page = MetricsPage {
+        calls: metrics.by_class(),
+        backend_calls: 9,
+        inflight: 3,
+        waiting: 1,
+        hosts_listed: 4,
+        hosts_down: 1,
+        slowest_turn_ms: Span::ms(2).seconds() * 1e3,
+    };
+    let mut bytes = Vec::new();
+    Reply::new(Status::Ok, &page).encode(true, &mut bytes);
+    let text = String::from_utf8(bytes).unwrap();
+    let (_, body) = text.split_once("\r\n\r\n").unwrap();
+    assert_eq!(body, METRICS);
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,7 +1,9 @@
 //! What the node shows of itself: counted where a thing happens, put together when somebody asks.
 
+use std::collections::BTreeMap;
+
 use glendeck::domain::ClassId;
-use serde_json::{Map, Value, json};
+use serde::Serialize;
 
 use crate::service::{CallStage, Service};
 
@@ -12,83 +14,121 @@
     Success,
     /// Turned away: a new try does no harm.
     Busy,
+    /// It failed, or may have run without an answer.
     Failure,
 }
 
-#[derive(Clone, Default)]
-struct Outcomes {
+/// Calls of one class by their outcome, since the start of the process.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct CallCounts {
     success: u64,
     busy: u64,
     failure: u64,
 }
 
+/// Calls of all classes, since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CallTotals {
+    /// Calls that ended or opened.
+    pub calls: u64,
+    /// Those of them that failed.
+    pub failed: u64,
+    /// Those of them that were turned away.
+    pub busy: u64,
+}
+
 /// Counts since the start of the process.
 pub struct Metrics {
-    of_type: Vec<(String, Outcomes)>,
+    /// Name and counts of each class, in the order of their numbers.
+    classes: Vec<(String, CallCounts)>,
     /// Attempts whose line was written to a host whole.
     pub attempts: u64,
 }
 
 impl Metrics {
-    /// All types are there from the start, with 0.
-    pub fn new(names: &[String]) -> Metrics {
-        Metrics {
-            of_type: names.iter().map(|name| (name.clone(), Outcomes::default())).collect(),
-            attempts: 0,
-        }
+    /// Metrics in which every class stands from the start, with 0.
+    pub fn new(class_names: &[String]) -> Metrics {
+        let mut metrics = Metrics { classes: Vec::new(), attempts: 0 };
+        metrics.name(class_names);
+        metrics
     }
 
-    /// Types that the settings name since they changed begin with 0.
-    pub fn name(&mut self, names: &[String]) {
-        let new = names.iter().skip(self.of_type.len());
-        self.of_type.extend(new.map(|name| (name.clone(), Outcomes::default())));
+    /// Adds the classes that the settings name since they changed, with 0.
+    pub fn name(&mut self, class_names: &[String]) {
+        let new_names = class_names.iter().skip(self.classes.len());
+        self.classes.extend(new_names.map(|name| (name.clone(), CallCounts::default())));
     }
 
-    /// Danger: called once for each call that was read, or sums would drift from what clients saw: when its
-    /// connection comes up, when it is turned away unread by the decisions, or when it is forgotten unopened.
-    pub fn count(&mut self, traffic: ClassId, outcome: Outcome) {
-        if let Some((_, counts)) = self.of_type.get_mut(usize::from(traffic.0)) {
-            match outcome {
-                Outcome::Success => counts.success += 1,
-                Outcome::Busy => counts.busy += 1,
-                Outcome::Failure => counts.failure += 1,
-            }
+    /// Counts a call. It is called once for each call that was read, or sums would drift from what clients saw: when
+    /// its connection comes up, when it is turned away unread by the decisions, or when it is forgotten unopened.
+    pub fn count(&mut self, class: ClassId, outcome: Outcome) {
+        let Some((_, counts)) = self.classes.get_mut(usize::from(class.0)) else { return };
+        match outcome {
+            Outcome::Success => counts.success += 1,
+            Outcome::Busy => counts.busy += 1,
+            Outcome::Failure => counts.failure += 1,
         }
     }
-}
 
-impl Metrics {
-    /// All calls that ended or opened, those of them that failed, and those that were turned away.
-    pub fn totals(&self) -> (u64, u64, u64) {
-        self.of_type.iter().fold((0, 0, 0), |(all, failed, busy), (_, n)| {
-            (all + n.success + n.busy + n.failure, failed + n.failure, busy + n.busy)
-        })
+    /// Sums over all classes.
+    pub fn totals(&self) -> CallTotals {
+        let mut totals = CallTotals::default();
+        for (_, counts) in &self.classes {
+            totals.calls += counts.success + counts.busy + counts.failure;
+            totals.failed += counts.failure;
+            totals.busy += counts.busy;
+        }
+        totals
+    }
+
+    /// The counts of each class by its name.
+    pub fn by_class(&self) -> BTreeMap<String, CallCounts> {
+        self.classes.iter().cloned().collect()
     }
 }
 
-impl Service {
+/// The body of the admin interface's metrics page. The names of its fields are those of the page.
+#[derive(Debug, Serialize)]
+pub struct MetricsPage {
+    /// Calls by class and outcome.
+    pub calls: BTreeMap<String, CallCounts>,
+    /// Attempts whose line was written to a host whole.
+    pub backend_calls: u64,
+    /// Calls in flight, open ones among them.
+    pub inflight: usize,
     /// Calls that have had no answer yet.
+    pub waiting: usize,
+    /// Hosts in the endpoint list.
+    pub hosts_listed: usize,
+    /// Hosts in the list that get no calls now.
+    pub hosts_down: usize,
+    /// The longest turn of the event loop since the page was last read, in milliseconds.
+    pub slowest_turn_ms: f64,
+}
+
+impl Service {
+    /// Number of calls that have had no answer yet.
     pub fn waiting(&self) -> usize {
-        self.calls
-            .iter()
-            .filter(|(_, held)| matches!(held.stage, CallStage::Waiting | CallStage::Returning))
-            .count()
+        let is_waiting = |stage| matches!(stage, CallStage::Waiting | CallStage::Returning);
+        self.calls.iter().filter(|(_, call)| is_waiting(call.stage)).count()
+    }
+
+    /// Number of hosts in the endpoint list that the decisions keep away from.
+    pub fn hosts_down(&self) -> usize {
+        self.hosts.listed().filter(|host| self.avoids(*host)).count()
     }
 
-    pub fn metrics(&mut self) -> Value {
-        let of_type = self.metrics.of_type.iter().map(|(name, n)| {
-            (name.clone(), json!({"success": n.success, "busy": n.busy, "failure": n.failure}))
-        });
-        let calls: Map<String, Value> = of_type.collect();
-        let slowest = std::mem::take(&mut self.slowest_turn);
-        json!({
-            "calls": calls,
-            "backend_calls": self.metrics.attempts,
-            "inflight": self.calls.len(),
-            "waiting": self.waiting(),
-            "hosts_listed": self.hosts.listed().count(),
-            "hosts_down": self.hosts.listed().filter(|host| self.avoids(*host)).count(),
-            "slowest_turn_ms": slowest.seconds() * 1e3,
-        })
+    /// The metrics as they are now. The longest turn counts anew from here on.
+    pub fn metrics_page(&mut self) -> MetricsPage {
+        let slowest_turn = std::mem::take(&mut self.slowest_turn);
+        MetricsPage {
+            calls: self.metrics.by_class(),
+            backend_calls: self.metrics.attempts,
+            inflight: self.calls.len(),
+            waiting: self.waiting(),
+            hosts_listed: self.hosts.listed().count(),
+            hosts_down: self.hosts_down(),
+            slowest_turn_ms: slowest_turn.seconds() * 1e3,
+        }
     }
 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -78,6 +78,19 @@
     wait: Span,
 }
 
+/// Frames sent to and received from peers, greetings among the received ones, and their bytes without lengths.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Traffic {
+    /// Frames sent.
+    pub frames_sent: u64,
+    /// Bytes sent.
+    pub bytes_sent: u64,
+    /// Frames received.
+    pub frames_received: u64,
+    /// Bytes received.
+    pub bytes_received: u64,
+}
+
 #[derive(Default)]
 pub struct Peers {
     pub listener: Option<OwnedFd>,
@@ -85,9 +98,8 @@
     dials: BTreeMap<UnitName, Dial>,
     /// The link that a peer has dialled last.
     incoming: BTreeMap<UnitName, ConnectionId>,
-    /// What has been sent and heard, in frames and bytes.
-    pub sent: (u64, u64),
-    pub came: (u64, u64),
+    /// What has been sent and received.
+    pub traffic: Traffic,
 }
 
 impl Peers {
@@ -261,8 +273,8 @@
                 Ok(None) => return,
                 Ok(Some(bytes)) => {
                     let Some(membership) = &mut self.membership else { return };
-                    membership.peers.came.0 += 1;
-                    membership.peers.came.1 += bytes.len() as u64;
+                    membership.peers.traffic.frames_received += 1;
+                    membership.peers.traffic.bytes_received += bytes.len() as u64;
                     let Some(link) = membership.peers.links.get_mut(&id) else { return };
                     link.heard = now;
                     match link.peer.clone() {
@@ -345,8 +357,8 @@
         if membership.peers.links.get(&id).is_some_and(|link| link.speaks >= SUMS) {
             seal(&mut bytes);
         }
-        membership.peers.sent.0 += 1;
-        membership.peers.sent.1 += bytes.len() as u64;
+        membership.peers.traffic.frames_sent += 1;
+        membership.peers.traffic.bytes_sent += bytes.len() as u64;
         frame(&bytes, &mut seat.connection.outbox);
         self.pump(id);
     }
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -12,7 +12,7 @@
 use glendeck_takeover::{
     Action, Attempt, Outcome, PriorAttempt, ReplicaHandover, ReplicaMessage, Takeover, View, WorkId,
 };
-use serde_json::{Value, json};
+use serde::Serialize;
 use tracing::{debug, info, warn};
 
 use crate::peers::{Frame, seal, unseal};
@@ -89,16 +89,48 @@
         self.takeover.view()
     }
 
-    pub fn metrics(&self, now: Timestamp) -> Value {
-        let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
-        json!({
-            "records_held": self.takeover.replica.held(), "in_hand": self.takeover.owner.in_hand(),
-            "keeps": self.hears, "remembers": self.takeover.replica.remembers(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
-            "repeats_after_a_record": taken_over, "repeats_given_up": given_up, "met_elsewhere": raced,
-        })
+    /// The metrics of replicated work.
+    pub fn metrics(&self, now: Timestamp) -> WorkMetrics {
+        WorkMetrics {
+            records_held: self.takeover.replica.held(),
+            in_hand: self.takeover.owner.in_hand(),
+            keeps: self.hears,
+            remembers: self.takeover.replica.remembers(now),
+            intents_kept: self.counts.kept,
+            intents_not_kept: self.counts.unkept,
+            repeats_looked_up: self.counts.looked,
+            repeats_after_a_record: self.counts.taken_over,
+            repeats_given_up: self.counts.given_up,
+            met_elsewhere: self.counts.raced,
+        }
     }
 }
 
+/// Metrics of replicated work, under the names that the admin interface shows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct WorkMetrics {
+    /// Records that this node stores for others' calls.
+    pub records_held: usize,
+    /// This node's calls that others store intents of.
+    pub in_hand: usize,
+    /// Whether this node stores intents for others now.
+    pub keeps: bool,
+    /// Whether this node answers for what has been before a repeat.
+    pub remembers: bool,
+    /// Attempts that went after their intent was replicated.
+    pub intents_kept: u64,
+    /// Attempts that did not go, as their intent was not replicated.
+    pub intents_not_kept: u64,
+    /// Repeats that were looked up.
+    pub repeats_looked_up: u64,
+    /// Repeats of which a record was found.
+    pub repeats_after_a_record: u64,
+    /// Repeats that failed, as nobody could say what had been before them.
+    pub repeats_given_up: u64,
+    /// Calls whose work turned out to be in flight at another node.
+    pub met_elsewhere: u64,
+}
+
 /// As the file holds it, from which process by the store's count.
 ///
 /// Danger: a disk that turns a bit over makes a record another work's, and this replica would forget one that it swears by.
@@ -275,10 +307,6 @@
         self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
     }
 
-    fn timestamp_of(&self, time: Time) -> Timestamp {
-        self.membership.as_ref().map_or(Timestamp(0), |membership| Timestamp(time.since(membership.began).0))
-    }
-
     /// The call is over here, or has its answer.
     pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
         let Some(kept) = kept else { return };
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -1,3 +1,5 @@
+use serde_json::json;
+
 use super::*;
 
 /// What a process leaves in its folder, as recorded, in hexadecimal digits.
@@ -47,5 +49,6 @@
 fn metrics_are_written_as_recorded() {
     let mut work = Work::new(Timestamp(0), unit("n0"), Incarnation(5), 30_000, 3_000);
     work.counts = Counts { kept: 1, unkept: 2, looked: 3, taken_over: 4, given_up: 5, raced: 6 };
-    assert_eq!(work.metrics(Timestamp(0)).to_string(), METRICS.trim_end());
+    let metrics = serde_json::to_value(work.metrics(Timestamp(0))).unwrap();
+    assert_eq!(metrics.to_string(), METRICS.trim_end());
 }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -9,7 +9,7 @@
     Hint, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
 };
 use nanorand::Rng;
-use serde_json::{Value, json};
+use serde::Serialize;
 use tracing::{debug, info};
 
 use crate::peers::Frame;
@@ -37,12 +37,24 @@
         }
     }
 
-    pub fn metrics(&self) -> Value {
+    /// The metrics of warm state.
+    pub fn metrics(&self) -> WarmStateMetrics {
         let (nodes, known) = self.estates.held();
-        json!({"nodes": nodes, "known": known, "lost_expected": self.expected})
+        WarmStateMetrics { nodes, known, lost_expected: self.expected }
     }
 }
 
+/// Metrics of warm state, under the names that the admin interface shows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct WarmStateMetrics {
+    /// Nodes whose warm state is held here.
+    pub nodes: usize,
+    /// Hints that are held of them.
+    pub known: usize,
+    /// Lost nodes whose clients were expected here.
+    pub lost_expected: u64,
+}
+
 /// To an eighth of its power of two: a load that wavers is no news.
 fn rounded(load: f64) -> u32 {
     let micro = (load * 1e6) as u32;
