--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -7,6 +7,8 @@
 mod hosts;
 pub mod requests;
 mod store;
+#[cfg(test)]
+mod tests;
 
 use std::io::Write as _;
 use std::net::SocketAddr;
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -184,26 +184,26 @@
 
 /// The reply to a request for the status.
 #[derive(Serialize)]
-struct FleetStatus<'a> {
+pub(super) struct FleetStatus<'a> {
     #[serde(flatten)]
-    view: FleetView<'a>,
+    pub(super) view: FleetView<'a>,
     /// The leader has confirmed that the state is the newest.
-    confirmed: bool,
-    links: LinkMetrics,
+    pub(super) confirmed: bool,
+    pub(super) links: LinkMetrics,
     #[serde(skip_serializing_if = "Option::is_none")]
-    work: Option<WorkMetrics>,
+    pub(super) work: Option<WorkMetrics>,
     #[serde(rename = "estates", skip_serializing_if = "Option::is_none")]
-    warm_state: Option<WarmStateMetrics>,
+    pub(super) warm_state: Option<WarmStateMetrics>,
 }
 
 /// The connections to other nodes, and the traffic on them.
 #[derive(Serialize)]
-struct LinkMetrics {
-    up: usize,
-    frames_sent: u64,
-    bytes_sent: u64,
-    frames_heard: u64,
-    bytes_heard: u64,
+pub(super) struct LinkMetrics {
+    pub(super) up: usize,
+    pub(super) frames_sent: u64,
+    pub(super) bytes_sent: u64,
+    pub(super) frames_heard: u64,
+    pub(super) bytes_heard: u64,
 }
 
 impl Service {
