--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -16,7 +16,7 @@
 use crate::config::NodeConfig;
 use crate::connection::{self, READ_SIZE};
 use crate::endpoint_list::{EndpointListClient, EndpointListUpdate};
-use crate::handover::{Handover, Inherited, Standing};
+use crate::handover::{Handover, HandoverState, Inherited};
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
@@ -40,7 +40,7 @@
 struct Predecessor {
     line: UnixStream,
     /// What it has told, if that could be read.
-    standing: Option<Standing>,
+    state: Option<HandoverState>,
 }
 
 /// What is known before the endpoint list has been heard.
@@ -65,8 +65,8 @@
         let configured_list = config.known.take();
         let (sources, mut predecessor) = open_sources(&config, inherited)?;
         let mut service = Service::new(config, sources, Clock::start(machine.ahead_s));
-        let standing = predecessor.as_mut().and_then(|predecessor| predecessor.standing.take());
-        service.start_decisions(merge_known(configured_list, standing));
+        let state = predecessor.as_mut().and_then(|predecessor| predecessor.state.take());
+        service.start_decisions(merge_known(configured_list, state));
         if let Some(predecessor) = predecessor {
             service.follow_predecessor(predecessor.line);
         }
@@ -138,7 +138,7 @@
     inherited: Option<Inherited>,
 ) -> Result<(EventSources, Option<Predecessor>), ServiceError> {
     let (listener, predecessor) = match inherited {
-        Some(Inherited { listener, line, told }) => (listener, Some(Predecessor { line, standing: told })),
+        Some(Inherited { listener, line, told }) => (listener, Some(Predecessor { line, state: told })),
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
@@ -172,12 +172,12 @@
 }
 
 /// The newer one of the configured list and the predecessor's counts, the predecessor's among equals.
-fn merge_known(configured: Option<EndpointListUpdate>, standing: Option<Standing>) -> KnownBefore {
-    let Some(standing) = standing else { return KnownBefore { list: configured, node: None } };
+fn merge_known(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> KnownBefore {
+    let Some(state) = state else { return KnownBefore { list: configured, node: None } };
     let list = match configured {
-        Some(configured) if configured.index > standing.list.index => configured,
-        _ => standing.list,
+        Some(configured) if configured.index > state.list.index => configured,
+        _ => state.list,
     };
-    let node = PredecessorState { snapshot: standing.node, was_drained: standing.drained };
+    let node = PredecessorState { snapshot: state.node, was_drained: state.drained };
     KnownBefore { list: Some(list), node: Some(node) }
 }
