--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -8,6 +8,9 @@
 const SHARED_LIMIT_FADE_NODES: f64 = 90.0;
 /// Power of the remote share that tells large fleets from small ones.
 const LARGE_FLEET_POWER: i32 = 8;
+/// Multiple of the crossing price at which another zone counts as loaded as the node's own: a price of a tenth keeps calls
+/// in their zone until hosts there are overloaded.
+const CROSSING_COST_FACTOR: f64 = 10.0;
 /// The message target where no class has one.
 const DEFAULT_MESSAGE_TARGET: Span = Span::ms(1000);
 
@@ -122,6 +125,20 @@
         (1.0 - self.small_fleet_factor()) * (1.0 - beyond / SHARED_LIMIT_FADE_NODES).clamp(0.0, 1.0)
     }
 
+    /// Cost of crossing zones, as a part of what a host of the node's own zone carries.
+    pub fn crossing_cost(&self) -> f64 {
+        CROSSING_COST_FACTOR * self.cross_zone_price
+    }
+
+    /// These settings with the classes' revenue raised to the power of the whole run's weight. Choosing by revenue alone
+    /// starves the class that earns least: the more the worst-served class weighs, the less revenue counts.
+    pub(crate) fn with_tempered_revenue(mut self) -> Settings {
+        for class in &mut self.traffic {
+            class.revenue = class.revenue.powf(self.whole_weight);
+        }
+        self
+    }
+
     /// The shortest message target of any traffic class, in seconds.
     pub fn message_target_seconds(&self) -> f64 {
         let targets = self.traffic.iter().filter_map(|class| class.message_target);
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,7 +5,8 @@
 //!
 //! A call passes the stages of [`CHAIN`]: whether it may still be tried ([`eligibility`]), where it goes
 //! ([`placement`]), and the one place that sends attempts and checks each ([`dispatch`]). The end of an attempt passes
-//! them in reverse. Each submodule adds one concern to [`Node`]; none imports another.
+//! them in reverse. Each submodule adds one concern to [`Node`] and
+//! imports no other; the state that they share is in [`crate::state`].
 
 mod admission;
 mod affinity;
@@ -30,11 +31,11 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use crate::domain::{CallId, HostId, Settings, Span, Time, TimerToken};
+use crate::domain::{CallId, HostId, Settings, Time};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex, InFlightCall};
 use crate::state::concurrency_limit::ConcurrencyLimit;
-use crate::state::endpoint_watch::EndpointWatch;
+use crate::state::endpoint_watch::{EndpointWatch, request_spread};
 use crate::state::fleet_estimate::FleetEstimate;
 use crate::state::groups::{GroupTable, HomeOrder};
 use crate::state::host::{Host, HostIndex};
@@ -42,18 +43,10 @@
 use crate::state::load_cache::LoadCache;
 use crate::state::load_stats::LoadStats;
 use crate::state::retry_counter::RetryCounter;
+use crate::state::timers::{TICK_PERIOD, TICK_TIMER};
 use crate::state::traffic_stats::TrafficStats;
 use crate::state::waiting_queue::WaitingQueue;
 
-/// Period of the node's housekeeping.
-const TICK_PERIOD: Span = Span::ms(1000);
-/// Timer of the housekeeping.
-const TICK_TIMER: TimerToken = TimerToken(0);
-/// Timer of the waiting queue.
-const QUEUE_TIMER: TimerToken = TimerToken(1);
-/// Timer of the next request for the endpoint list.
-const WATCH_TIMER: TimerToken = TimerToken(2);
-
 /// What a stage decides on a call.
 enum StageResult {
     /// The next stage decides.
@@ -111,13 +104,13 @@
 impl Node {
     /// Starts a node that knows no host yet. All randomness follows from the seed.
     pub fn start(settings: Settings, seed: u64, now: Time, port: &mut dyn Port) -> Node {
-        let settings = reconfiguration::temper_revenue(settings);
+        let settings = settings.with_tempered_revenue();
         let mut rng = WyRand::new_seed(seed);
         // Nodes that start together tick at different moments, so that their moves do not coincide.
         let tick_offset = TICK_PERIOD.times(f64::from(rng.generate::<f32>()));
         port.set_timer(now + tick_offset, TICK_TIMER);
-        let watch_offset = endpoint_list::request_spread(&settings).times(f64::from(rng.generate::<f32>()));
-        let endpoint_watch = endpoint_list::start_watch(&settings, now, watch_offset, port);
+        let watch_offset = request_spread(&settings).times(f64::from(rng.generate::<f32>()));
+        let endpoint_watch = EndpointWatch::start(&settings, now, watch_offset, port);
         Node {
             rng,
             now,
@@ -170,6 +163,11 @@
         f64::from(self.rng.generate::<f32>())
     }
 
+    /// A random factor from 0.5 to 1: spreads what happens together over the second half of a wait.
+    fn second_half_jitter(&mut self) -> f64 {
+        0.5 + 0.5 * self.random()
+    }
+
     /// A random factor from 0.75 to 1.25, so that nodes do not act in step.
     fn jitter(&mut self) -> f64 {
         0.75 + 0.5 * self.random()
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -2,12 +2,13 @@
 
 use std::cmp::Reverse;
 
-use super::{Node, QUEUE_TIMER};
+use super::Node;
 use crate::domain::{Call, Span};
 use crate::port::Port;
 use crate::state::call::{CallIndex, InFlightCall, PossibleRun};
 use crate::state::host::Host;
 use crate::state::shared_draw::shared_draw;
+use crate::state::timers::QUEUE_TIMER;
 
 /// Longest wait until waiting calls are tried again: short against any setup target, and long enough to cost little CPU.
 const MAX_RETRY_DELAY: Span = Span::ms(40);
@@ -146,7 +147,7 @@
         let call_id = self.calls[call_index].call.id;
         if self.may_reject(call_index) {
             // Clients that were turned away together return spread over the second half of the wait.
-            let spread = 0.5 + 0.5 * self.random();
+            let spread = self.second_half_jitter();
             port.reject(call_id, self.settings.retry_after.map(|longest| longest.times(spread)));
         } else {
             port.fail(call_id);
@@ -169,4 +170,12 @@
             self.waiting.calls.retain(|waiting| *waiting != call_index);
         }
     }
+
+    /// Adapts the limit of setups to one that took so long, or failed (`None`).
+    pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
+        let class = self.calls[call_index].class_index();
+        let target = self.settings.traffic[class].setup_target.seconds();
+        let share_of_target = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
+        self.setup_limit.record(share_of_target);
+    }
 }
--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -15,8 +15,6 @@
 const MIN_HOSTS_FOR_ZONE_HOMES: f64 = 0.25;
 /// Homes are rounded up from this share of a host on.
 const HOME_ROUNDING: f64 = 0.75;
-/// Multiple of the crossing price at which no home is in another zone.
-const CROSSING_COST_FACTOR: f64 = 10.0;
 /// Open share of the fleet below which calls wait for a home, for a node of many.
 const WAIT_BELOW_OPEN_SHARE: f64 = 0.95;
 
@@ -65,7 +63,7 @@
         if traffic_share * (local_hosts as f64) < MIN_HOSTS_FOR_ZONE_HOMES {
             return 1.0;
         }
-        let by_price = 1.0 - CROSSING_COST_FACTOR * self.settings.cross_zone_price;
+        let by_price = 1.0 - self.settings.crossing_cost();
         let by_displaced = self.displaced_share() / self.settings.remote_share().max(0.1);
         by_price.max(by_displaced).clamp(0.0, 1.0)
     }
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -1,15 +1,14 @@
 //! The endpoint list: its hosts, and when to ask for it.
 
-use super::{Node, WATCH_TIMER};
-use crate::domain::{Condition, Endpoint, ListUpdate, Settings, Span, Time};
+use super::Node;
+use crate::domain::{Condition, Endpoint, ListUpdate, Span, Time};
 use crate::port::Port;
-use crate::state::endpoint_watch::{EndpointWatch, FIRST_FETCH_BACKOFF};
+use crate::state::endpoint_watch::{FIRST_FETCH_BACKOFF, request_spread};
 use crate::state::host::{Host, HostIndex};
 use crate::state::remote_connections::remote_load_per_size;
 use crate::state::shared_draw::shared_draw;
+use crate::state::timers::WATCH_TIMER;
 
-/// Part of the poll interval over which a large fleet spreads its requests.
-const SPREAD_SHARE: f64 = 0.4;
 /// Longest wait after failed requests, as a part of the poll interval.
 const MAX_RETRY_SHARE: f64 = 0.3;
 /// Part of the poll interval after which an unanswered request is repeated, and the longest wait between fetches.
@@ -19,31 +18,6 @@
 /// Failures after which the wait does not double any more.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Over how long requests for the list are spread: nodes that start or lose their watch together would ask together, and
-/// the list's service would never catch up.
-pub(super) fn request_spread(settings: &Settings) -> Span {
-    let large_fleet = settings.large_fleet_factor();
-    settings.poll_interval.map_or(Span::ZERO, |interval| interval.times(SPREAD_SHARE * large_fleet))
-}
-
-/// Sends the first request for the list after the offset, if the list must be asked for.
-pub(super) fn start_watch(
-    settings: &Settings,
-    now: Time,
-    offset: Span,
-    port: &mut dyn Port,
-) -> EndpointWatch {
-    if settings.poll_interval.is_none() {
-        return EndpointWatch::unneeded(now + offset);
-    }
-    if offset == Span::ZERO {
-        port.watch_endpoints();
-        return EndpointWatch::requested(now);
-    }
-    port.set_timer(now + offset, WATCH_TIMER);
-    EndpointWatch::due(now + offset)
-}
-
 impl Node {
     /// The endpoint list has answered or changed.
     pub fn endpoints_changed(
@@ -54,7 +28,7 @@
         port: &mut dyn Port,
     ) {
         self.now = now;
-        if update != ListUpdate::Cached && self.endpoint_watch.is_request_pending {
+        if update != ListUpdate::Cached && self.endpoint_watch.is_requested() {
             self.endpoint_watch.record_answer();
         }
         if update != ListUpdate::Delta {
@@ -134,12 +108,12 @@
     pub(super) fn poll_endpoints(&mut self, port: &mut dyn Port) {
         let Some(poll_interval) = self.settings.poll_interval else { return };
         if self.hosts.is_empty() && self.endpoint_watch.is_new() {
-            self.endpoint_watch.is_request_pending = true;
+            self.endpoint_watch.record_request();
             port.watch_endpoints();
         }
         self.fetch_if_suspicious(poll_interval, port);
         let request_age = self.now.since(self.endpoint_watch.request_at);
-        if self.endpoint_watch.is_request_pending && request_age > poll_interval.times(HALF_INTERVAL) {
+        if self.endpoint_watch.is_requested() && request_age > poll_interval.times(HALF_INTERVAL) {
             self.endpoint_watch.request_at = self.now;
             port.watch_endpoints();
         }
@@ -163,8 +137,8 @@
     /// The timer of the next request has fired.
     pub(super) fn watch_timer_fired(&mut self, port: &mut dyn Port) {
         let watch = &mut self.endpoint_watch;
-        if self.now >= watch.request_at && !watch.is_watching && !watch.is_request_pending {
-            watch.is_request_pending = true;
+        if watch.is_due(self.now) {
+            watch.record_request();
             port.watch_endpoints();
         }
     }
@@ -179,7 +153,7 @@
         let backoff = FIRST_RETRY.times(f64::from(1u32 << doublings));
         let longest = poll_interval.times(MAX_RETRY_SHARE);
         let wait = backoff.min(longest).max(request_spread(&self.settings));
-        let spread = 0.5 + 0.5 * self.random();
+        let spread = self.second_half_jitter();
         self.endpoint_watch.request_at = now + wait.times(spread);
         port.set_timer(self.endpoint_watch.request_at, WATCH_TIMER);
     }
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -1,10 +1,11 @@
 //! What happens to calls and attempts, as the host of the node reports it.
 
-use super::{Node, QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
+use super::Node;
 use crate::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, News, Span, Time, TimerToken};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 use crate::state::host::HostIndex;
+use crate::state::timers::{QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
 
 /// A queue timer that fires so much early counts as due.
 const TIMER_TOLERANCE: Span = Span(1000);
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -6,7 +6,7 @@
 use nanorand::Rng;
 
 use super::Node;
-use crate::domain::{Condition, Span};
+use crate::domain::Span;
 use crate::port::Port;
 use crate::state::call::CallIndex;
 use crate::state::host::HostIndex;
@@ -40,14 +40,6 @@
 const SHED_CANDIDATES: u32 = 6;
 
 impl Node {
-    /// Adapts the limit of setups to one that took so long, or failed (`None`).
-    pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
-        let class = self.calls[call_index].class_index();
-        let target = self.settings.traffic[class].setup_target.seconds();
-        let share_of_target = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
-        self.setup_limit.record(share_of_target);
-    }
-
     /// Takes up a report of what a message takes at a host: when that time grows by so much a second, that share of the
     /// load is too much, and what has piled up is to be gone soon. All nodes hear the same.
     pub(super) fn record_message_time(&mut self, host_index: HostIndex, took: Span, port: &mut dyn Port) {
@@ -144,36 +136,6 @@
         self.hosts[host].calls.iter().filter(is_open).nth(position).copied()
     }
 
-    /// Refreshes the sums over the fleet.
-    pub(super) fn update_fleet_estimate(&mut self) {
-        let mut local_load = 0.0;
-        let mut local_size = 0.0;
-        let mut open_size = 0.0;
-        let mut ready_size = 0.0;
-        let mut ready_hosts = 0.0;
-        for host_index in 0..self.hosts.len() {
-            let host = &self.hosts[host_index];
-            if host.condition != Condition::Ready {
-                continue;
-            }
-            let size = self.size(host_index);
-            let is_usable = host.ejection.is_none() && host.reject_backoff == Span::ZERO;
-            if is_usable && host.zone == self.settings.zone {
-                local_load += self.load(host_index);
-                local_size += size;
-            }
-            if self.is_available(host_index) {
-                open_size += size;
-            }
-            ready_size += size;
-            ready_hosts += 1.0;
-        }
-        let has_ready_size = ready_size > 0.0;
-        self.fleet.open_share = if has_ready_size { open_size / ready_size } else { 1.0 };
-        self.fleet.mean_size = if has_ready_size { ready_size / ready_hosts } else { 1.0 };
-        self.fleet.local_load_per_size = local_load / local_size.max(1e-9);
-    }
-
     /// Lets the limits of hosts that were not overloaded since the last tick grow.
     pub(super) fn grow_load_limits(&mut self) {
         for host_index in 0..self.hosts.len() {
--- a/src/node/reconfiguration.rs
+++ b/src/node/reconfiguration.rs
@@ -1,21 +1,12 @@
 //! A change of settings while the node runs.
 
-use super::{Node, WATCH_TIMER, endpoint_list};
+use super::Node;
 use crate::domain::{Settings, Time, Weights};
 use crate::port::Port;
-use crate::state::endpoint_watch::EndpointWatch;
+use crate::state::endpoint_watch::{EndpointWatch, request_spread};
 use crate::state::host_size::SizeEstimator;
 use crate::state::retry_counter::RetryCounter;
-
-/// Raises the classes' revenue to the power of the whole run's weight: choosing by revenue alone starves the class that
-/// earns least. The more the worst-served class weighs, the less revenue counts.
-pub(super) fn temper_revenue(mut settings: Settings) -> Settings {
-    let exponent = settings.whole_weight;
-    for class in &mut settings.traffic {
-        class.revenue = class.revenue.powf(exponent);
-    }
-    settings
-}
+use crate::state::timers::WATCH_TIMER;
 
 impl Node {
     /// Other settings hold from now on. In-flight calls keep the deadline and the attempts that they have; hosts keep
@@ -28,7 +19,7 @@
         if settings.retry_budget != self.settings.retry_budget {
             self.retries = RetryCounter::after_budget_change(&settings, now);
         }
-        self.settings = temper_revenue(settings);
+        self.settings = settings.with_tempered_revenue();
         self.loads.mean_by_class.resize(self.settings.traffic.len(), 0.0);
         self.change_weights(had_live_weights);
         self.change_polling(had_to_poll, port);
@@ -56,7 +47,7 @@
             self.endpoint_watch = EndpointWatch::unneeded(self.now);
         } else if !had_to_poll && has_to_poll {
             // A fleet is told its settings together, and would ask in step.
-            let spread = endpoint_list::request_spread(&self.settings).times(self.random());
+            let spread = request_spread(&self.settings).times(self.random());
             let request_at = self.now + spread;
             self.endpoint_watch = EndpointWatch::due(request_at);
             port.set_timer(request_at, WATCH_TIMER);
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -7,10 +7,6 @@
 
 /// What a host pays once for a group, in connections. Deployments do not tell; 1 to 9 were tried.
 const GROUP_COST: f64 = 5.0;
-/// Multiple of the crossing price at which another zone counts as loaded as this one: a price of a tenth keeps calls in
-/// their zone until hosts there are overloaded.
-const CROSSING_COST_FACTOR: f64 = 10.0;
-
 impl Node {
     /// Own connections plus smoothed load, in connections of the mean load.
     ///
@@ -31,11 +27,8 @@
     /// own that this node does not see: as much as its own zone, where a crossing is dear.
     pub(super) fn relative_load(&self, host_index: HostIndex, remote_zone_load: f64) -> f64 {
         let host = &self.hosts[host_index];
-        let crossing_cost = if host.zone == self.settings.zone {
-            0.0
-        } else {
-            (CROSSING_COST_FACTOR * self.settings.cross_zone_price).min(1.0)
-        };
+        let crossing_cost =
+            if host.zone == self.settings.zone { 0.0 } else { self.settings.crossing_cost().min(1.0) };
         let score = self.score(host_index) + self.settings.remote_share() * host.score_offset;
         (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload_penalty)
     }
--- a/src/node/tick.rs
+++ b/src/node/tick.rs
@@ -1,7 +1,9 @@
 //! Housekeeping, once a second.
 
-use super::{Node, TICK_PERIOD, TICK_TIMER};
+use super::Node;
+use crate::domain::{Condition, Span};
 use crate::port::Port;
+use crate::state::timers::{TICK_PERIOD, TICK_TIMER};
 
 /// Smoothing of a host's load, from the paper named in docs/design.md.
 const LOAD_SMOOTHING: f64 = 0.06;
@@ -53,4 +55,34 @@
             host.overload_penalty *= if is_unseen { UNSEEN_PENALTY_DECAY } else { PENALTY_DECAY };
         }
     }
+
+    /// Refreshes the sums over the fleet.
+    pub(super) fn update_fleet_estimate(&mut self) {
+        let mut local_load = 0.0;
+        let mut local_size = 0.0;
+        let mut open_size = 0.0;
+        let mut ready_size = 0.0;
+        let mut ready_hosts = 0.0;
+        for host_index in 0..self.hosts.len() {
+            let host = &self.hosts[host_index];
+            if host.condition != Condition::Ready {
+                continue;
+            }
+            let size = self.size(host_index);
+            let is_usable = host.ejection.is_none() && host.reject_backoff == Span::ZERO;
+            if is_usable && host.zone == self.settings.zone {
+                local_load += self.load(host_index);
+                local_size += size;
+            }
+            if self.is_available(host_index) {
+                open_size += size;
+            }
+            ready_size += size;
+            ready_hosts += 1.0;
+        }
+        let has_ready_size = ready_size > 0.0;
+        self.fleet.open_share = if has_ready_size { open_size / ready_size } else { 1.0 };
+        self.fleet.mean_size = if has_ready_size { ready_size / ready_hosts } else { 1.0 };
+        self.fleet.local_load_per_size = local_load / local_size.max(1e-9);
+    }
 }
--- a/src/state/endpoint_watch.rs
+++ b/src/state/endpoint_watch.rs
@@ -1,15 +1,34 @@
 //! State of the requests for the endpoint list.
 
-use crate::domain::{Span, Time};
+use crate::domain::{Settings, Span, Time};
+use crate::port::Port;
+use crate::state::timers::WATCH_TIMER;
 
 /// The first wait between fetches of the whole list; it doubles.
 pub(crate) const FIRST_FETCH_BACKOFF: Span = Span::ms(1000);
+/// Part of the poll interval over which a large fleet spreads its requests.
+const SPREAD_SHARE: f64 = 0.4;
+
+/// Over how long requests for the list are spread: nodes that start or lose their watch together would ask together, and
+/// the list's service would never catch up.
+pub(crate) fn request_spread(settings: &Settings) -> Span {
+    let large_fleet = settings.large_fleet_factor();
+    settings.poll_interval.map_or(Span::ZERO, |interval| interval.times(SPREAD_SHARE * large_fleet))
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum WatchState {
+    /// The next request waits for its time.
+    Due,
+    /// A request is pending.
+    Requested,
+    /// The list comes by itself.
+    Watching,
+}
 
 /// Whether changes of the list are being watched, and when to ask next.
 pub(crate) struct EndpointWatch {
-    /// The list answered the last request, or need not be asked.
-    pub is_watching: bool,
-    pub is_request_pending: bool,
+    state: WatchState,
     /// Failed requests since the last answer.
     pub failures: u32,
     /// When the pending request was sent or the next one is due.
@@ -20,16 +39,9 @@
 }
 
 impl EndpointWatch {
-    /// A list that need not be asked for.
-    pub fn unneeded(now: Time) -> EndpointWatch {
-        EndpointWatch { is_watching: true, ..EndpointWatch::due(now) }
-    }
-
-    /// A list whose first request is due at `request_at`.
-    pub fn due(request_at: Time) -> EndpointWatch {
+    fn new(state: WatchState, request_at: Time) -> EndpointWatch {
         EndpointWatch {
-            is_watching: false,
-            is_request_pending: false,
+            state,
             failures: 0,
             request_at,
             fetch_at: request_at,
@@ -37,27 +49,58 @@
         }
     }
 
-    /// A list whose first request has just been sent.
-    pub fn requested(now: Time) -> EndpointWatch {
-        EndpointWatch { is_request_pending: true, ..EndpointWatch::due(now) }
+    /// A list that need not be asked for.
+    pub fn unneeded(now: Time) -> EndpointWatch {
+        EndpointWatch::new(WatchState::Watching, now)
+    }
+
+    /// A list whose first request is due at `request_at`; the timer is the caller's.
+    pub fn due(request_at: Time) -> EndpointWatch {
+        EndpointWatch::new(WatchState::Due, request_at)
+    }
+
+    /// Sends the first request for the list after the offset, if the list must be asked for.
+    pub fn start(settings: &Settings, now: Time, offset: Span, port: &mut dyn Port) -> EndpointWatch {
+        if settings.poll_interval.is_none() {
+            return EndpointWatch::unneeded(now + offset);
+        }
+        if offset == Span::ZERO {
+            port.watch_endpoints();
+            return EndpointWatch::new(WatchState::Requested, now);
+        }
+        port.set_timer(now + offset, WATCH_TIMER);
+        EndpointWatch::due(now + offset)
     }
 
     /// Whether no request was ever sent.
     pub fn is_new(&self) -> bool {
-        !self.is_request_pending && !self.is_watching && self.failures == 0
+        self.state == WatchState::Due && self.failures == 0
+    }
+
+    /// Whether the next request is to be sent now.
+    pub fn is_due(&self, now: Time) -> bool {
+        self.state == WatchState::Due && now >= self.request_at
+    }
+
+    /// Whether a request is pending.
+    pub fn is_requested(&self) -> bool {
+        self.state == WatchState::Requested
+    }
+
+    /// A request was sent.
+    pub fn record_request(&mut self) {
+        self.state = WatchState::Requested;
     }
 
     /// The list answered.
     pub fn record_answer(&mut self) {
-        self.is_request_pending = false;
-        self.is_watching = true;
+        self.state = WatchState::Watching;
         self.failures = 0;
     }
 
     /// The request failed, or the watch was lost.
     pub fn record_failure(&mut self) {
-        self.is_request_pending = false;
-        self.is_watching = false;
+        self.state = WatchState::Due;
         self.failures += 1;
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -7,7 +7,10 @@
 use std::collections::BTreeMap;
 
 use glendeck::Node;
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, Call, CallId, ClassId, Condition, Endpoint, HostId, ListUpdate, Settings,
+    SlowStart, Span, SubjectId, TenantId, Time, TimerToken,
+};
 use nanorand::{Rng, WyRand};
 use support::{Action, EventQueue, RecordingPort, usual_endpoint, usual_settings};
 use test_case::test_case;
--- a/tests/decision_digests/day.rs
+++ b/tests/decision_digests/day.rs
@@ -9,7 +9,10 @@
 use std::collections::BTreeMap;
 
 use glendeck::Node;
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptOutcome, Call, CallId, Endpoint, GroupId, HostId, ListUpdate, Settings, Span, SubjectId, Time,
+    TimerToken,
+};
 use nanorand::{Rng, WyRand};
 
 use crate::recorder::Recorder;
--- a/tests/decision_digests/day/calls.rs
+++ b/tests/decision_digests/day/calls.rs
@@ -1,6 +1,9 @@
 //! Calls, and what becomes of their attempts.
 
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, Call, CallId, ClassId, GroupId, HostId, News, Span, SubjectId, TenantId,
+    Time,
+};
 use nanorand::Rng;
 
 use super::{Behaviour, Client, Day, Event, START};
--- a/tests/decision_digests/day/hosts.rs
+++ b/tests/decision_digests/day/hosts.rs
@@ -1,6 +1,8 @@
 //! Hosts, their behaviour, and the endpoint list.
 
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptOutcome, Cell, Condition, Endpoint, HostId, Kind, ListUpdate, Span, Time, Weight, Zone,
+};
 use nanorand::Rng;
 
 use super::{Behaviour, Day, Event};
--- a/tests/decision_digests/day/process.rs
+++ b/tests/decision_digests/day/process.rs
@@ -1,7 +1,7 @@
 //! The node's settings change, its process is replaced, and another node is lost.
 
 use glendeck::Node;
-use glendeck::domain::*;
+use glendeck::domain::{AttemptOutcome, Call, CallId, GroupId, ListUpdate, SubjectId, Time};
 use nanorand::Rng;
 
 use super::settings::draw_settings;
--- a/tests/decision_digests/day/settings.rs
+++ b/tests/decision_digests/day/settings.rs
@@ -1,6 +1,8 @@
 //! Settings as drawn for a day.
 
-use glendeck::domain::*;
+use glendeck::domain::{
+    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, Weights, Zone,
+};
 use nanorand::{Rng, WyRand};
 
 pub(super) fn draw_settings(rng: &mut WyRand, nodes: u32) -> Settings {
--- a/tests/decision_digests/day/state_digest.rs
+++ b/tests/decision_digests/day/state_digest.rs
@@ -1,6 +1,6 @@
 //! Digests of what a node tells of its state.
 
-use glendeck::domain::*;
+use glendeck::domain::{NodeSnapshot, WarmState};
 
 use super::Day;
 
--- a/tests/decision_digests/recorder.rs
+++ b/tests/decision_digests/recorder.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use glendeck::domain::*;
+use glendeck::domain::{AttemptNumber, CallId, HostId, Span, Time, TimerToken};
 use glendeck::port::Port;
 
 /// FNV-1a, 64 bits.
--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/world.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use glendeck::Node;
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, Call, CallId, ClassId, Endpoint, GroupId, HostId, ListUpdate, News,
+    Settings, Span, SubjectId, TenantId, Time, TimerToken, WarmState,
+};
 use nanorand::{Rng, WyRand};
 
 use crate::shape::Shape;
--- a/tests/scenarios/notation.rs
+++ b/tests/scenarios/notation.rs
@@ -4,7 +4,10 @@
 use std::fmt::Debug;
 use std::str::FromStr;
 
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptOutcome, Condition, Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass,
+    Weights,
+};
 
 use crate::support::usual_settings;
 
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/player.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use glendeck::Node;
-use glendeck::domain::*;
+use glendeck::domain::{
+    AttemptNumber, AttemptOutcome, Call, CallId, Cell, ClassId, Endpoint, GroupId, HostId, Kind, ListUpdate,
+    News, NodeSnapshot, Settings, Span, SubjectId, TenantId, Time, TimerToken, Weight, Zone,
+};
 
 use crate::notation::{Options, condition, outcome, parse, seconds, settings};
 use crate::support::{Action, EventQueue, RecordingPort, usual_endpoint};
