--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -48,7 +48,7 @@
         for host in 0..self.hosts.len() {
             let small_fleet = self.settings.small_fleet_factor();
             let increase = small_fleet * self.size(host) / self.traffic.ready_size.max(1e-9);
-            self.hosts[host].load_limit += increase;
+            self.hosts[host].overload.load_limit += increase;
         }
     }
 
--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -74,7 +74,7 @@
         let large_fleet = self.settings.large_fleet_factor();
         let share = large_fleet + (1.0 - large_fleet) * self.slow_start_share(index);
         let weight = zone_factor * host.size.0 * share;
-        if host.condition != Condition::Ready || host.ejection.is_some() || weight <= 0.0 {
+        if host.condition != Condition::Ready || host.outlier.is_ejected() || weight <= 0.0 {
             return f64::INFINITY;
         }
         (1.0 - shared_draw(group.0, host.id.0)) / weight
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -18,7 +18,7 @@
         }
         self.retries.record_attempt(&self.settings, self.now, self.calls[call_index].attempts);
         if self.slow_start_share(host) < 1.0 {
-            self.hosts[host].slow_start_budget -= 1.0;
+            self.hosts[host].slow_start_budget.attempts -= 1.0;
         }
         let timeout = self.attempt_timeout(call_index);
         self.traffic.recent_attempts += 1.0;
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -4,7 +4,7 @@
 use crate::domain::{Condition, Endpoint, ListUpdate, Span, Time};
 use crate::port::Port;
 use crate::state::endpoint_watch::{FIRST_FETCH_BACKOFF, request_spread};
-use crate::state::host::{Host, HostIndex};
+use crate::state::host::{Host, HostIndex, SlowStartBudget};
 use crate::state::remote_connections::remote_load_per_size;
 use crate::state::shared_draw::shared_draw;
 use crate::state::timers::WATCH_TIMER;
@@ -57,8 +57,7 @@
         let first_budget = self.first_budget(endpoint.host);
         let host = &mut self.hosts[host_index];
         if host.record_start(endpoint.up_since, self.settings.start_uncertainty, self.now) {
-            host.slow_start_budget = first_budget;
-            host.budget_updated_at = self.now;
+            host.slow_start_budget = SlowStartBudget::new(first_budget, self.now);
             host.remote_load = 0.0;
         }
         host.condition = endpoint.condition;
@@ -71,14 +70,14 @@
     /// The smoothed load of a new host starts at the others' mean. Unless it is cold, other nodes are assumed to have as
     /// much there for its size as elsewhere.
     fn add_host(&mut self, endpoint: &Endpoint) {
-        let smoothed_loads = self.hosts.iter().map(|host| host.smoothed_load).sum::<f64>();
+        let smoothed_loads = self.hosts.iter().map(|host| host.work.smoothed_rate).sum::<f64>();
         let mean_load = smoothed_loads / self.hosts.len().max(1) as f64;
         let host_index = self.hosts.len();
         self.host_index.insert(endpoint.host, host_index);
         let position = self.hosts_by_id.partition_point(|host| self.hosts[*host].id < endpoint.host);
         self.hosts_by_id.insert(position, host_index);
         let mut host = Host::new(endpoint, mean_load, self.now);
-        host.slow_start_budget = self.first_budget(endpoint.host);
+        host.slow_start_budget = SlowStartBudget::new(self.first_budget(endpoint.host), self.now);
         host.record_start(endpoint.up_since, self.settings.start_uncertainty, self.now);
         self.sizes.read_weight(&mut host, endpoint.weight, self.settings.weights);
         let remote_load = host.size.0 * remote_load_per_size(&self.hosts);
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -51,13 +51,13 @@
         self.hosts[host].pending_setups -= 1;
         self.record_setup_time(call_index, Some(took));
         self.setup_limit.in_progress -= 1;
-        self.hosts[host].reject_backoff = Span::ZERO;
+        self.hosts[host].outlier.reject_backoff = Span::ZERO;
         self.record_success(host);
         let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
         // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
         // long, a message is late too.
         if !self.settings.reports_message_times {
-            let excess = self.hosts[host].record_setup_excess(took.seconds() - allowed_time);
+            let excess = self.hosts[host].overload.record_setup_excess(took.seconds() - allowed_time);
             self.record_message_time(host, excess, port);
         }
     }
--- a/src/node/outlier_detection.rs
+++ b/src/node/outlier_detection.rs
@@ -74,10 +74,10 @@
         self.cut_load_limit(host_index, self.load(host_index));
         self.traffic.recent_breaks += 1.0;
         let host = &mut self.hosts[host_index];
-        host.broken_connections += 1;
-        let broken = host.broken_connections as usize;
+        host.outlier.broken_connections += 1;
+        let broken = host.outlier.broken_connections as usize;
         let is_large_part = broken * BREAK_DIVISOR >= host.calls.len() + broken;
-        if host.broken_connections >= MIN_BREAKS && is_large_part {
+        if host.outlier.broken_connections >= MIN_BREAKS && is_large_part {
             self.eject(host_index);
         }
     }
@@ -86,18 +86,18 @@
     fn back_off_after_reject(&mut self, host_index: HostIndex) {
         let jitter = self.jitter();
         let host = &mut self.hosts[host_index];
-        if host.rejecting_until <= self.now {
-            host.reject_backoff =
-                host.reject_backoff.times(2.0).clamp(MIN_REJECT_BACKOFF, MAX_REJECT_BACKOFF);
-            host.rejecting_until = self.now + host.reject_backoff.times(jitter);
+        if host.outlier.rejecting_until <= self.now {
+            host.outlier.reject_backoff =
+                host.outlier.reject_backoff.times(2.0).clamp(MIN_REJECT_BACKOFF, MAX_REJECT_BACKOFF);
+            host.outlier.rejecting_until = self.now + host.outlier.reject_backoff.times(jitter);
         }
     }
 
     /// Records a failed attempt or probe. A host that fails fast has few connections and would draw every call.
     pub(super) fn record_failure(&mut self, host_index: HostIndex) {
         let host = &mut self.hosts[host_index];
-        host.failure_rate += FAILURE_SMOOTHING * (1.0 - host.failure_rate);
-        if host.failure_rate > EJECTION_THRESHOLD {
+        host.outlier.failure_rate += FAILURE_SMOOTHING * (1.0 - host.outlier.failure_rate);
+        if host.outlier.failure_rate > EJECTION_THRESHOLD {
             self.eject(host_index);
         }
     }
@@ -105,11 +105,11 @@
     /// Records an attempt that was set up.
     pub(super) fn record_success(&mut self, host_index: HostIndex) {
         let host = &mut self.hosts[host_index];
-        host.failure_rate += FAILURE_SMOOTHING * (0.0 - host.failure_rate);
-        if host.trial_calls_left > 0 {
-            host.trial_calls_left -= 1;
-            if host.trial_calls_left == 0 {
-                host.ejection_time = Span::ZERO;
+        host.outlier.failure_rate += FAILURE_SMOOTHING * (0.0 - host.outlier.failure_rate);
+        if host.outlier.trial_calls_left > 0 {
+            host.outlier.trial_calls_left -= 1;
+            if host.outlier.trial_calls_left == 0 {
+                host.outlier.ejection_time = Span::ZERO;
             }
         }
     }
@@ -117,21 +117,21 @@
     fn eject(&mut self, host_index: HostIndex) {
         let jitter = self.jitter();
         let host = &mut self.hosts[host_index];
-        if host.ejection.is_some() {
+        if host.outlier.is_ejected() {
             return;
         }
-        host.ejection_time = host.ejection_time.times(2.0).clamp(MIN_EJECTION, MAX_EJECTION);
-        let next_probe = self.now + host.ejection_time.times(jitter);
-        host.ejection = Some(Ejection { next_probe, probe_successes: 0 });
+        host.outlier.ejection_time = host.outlier.ejection_time.times(2.0).clamp(MIN_EJECTION, MAX_EJECTION);
+        let next_probe = self.now + host.outlier.ejection_time.times(jitter);
+        host.outlier.ejection = Some(Ejection { next_probe, probe_successes: 0 });
         self.update_panic_mode();
     }
 
     /// Ends an ejection; the host is tried with one call at a time before it is trusted.
     fn readmit(&mut self, host_index: HostIndex) {
         let host = &mut self.hosts[host_index];
-        host.ejection = None;
-        host.trial_calls_left = TRIAL_CALLS;
-        host.failure_rate = TRIAL_FAILURE_RATE;
+        host.outlier.ejection = None;
+        host.outlier.trial_calls_left = TRIAL_CALLS;
+        host.outlier.failure_rate = TRIAL_FAILURE_RATE;
         self.update_panic_mode();
     }
 
@@ -142,14 +142,14 @@
         let mut ejected = 0;
         for host in self.hosts.iter().filter(|host| host.condition == Condition::Ready) {
             ready += 1;
-            ejected += usize::from(host.ejection.is_some());
+            ejected += usize::from(host.outlier.is_ejected());
         }
         self.is_in_panic_mode = ejected * 2 > ready;
     }
 
     /// Whether a host is ejected now; for operators and tests.
     pub fn is_ejected(&self, host: HostId) -> bool {
-        self.host_index.get(&host).is_some_and(|host| self.hosts[*host].ejection.is_some())
+        self.host_index.get(&host).is_some_and(|host| self.hosts[*host].outlier.is_ejected())
     }
 
     /// Probes ejected hosts that are due; where hosts cannot be probed, readmits them.
@@ -157,13 +157,13 @@
         for host_index in 0..self.hosts.len() {
             let jitter = self.jitter();
             let host = &mut self.hosts[host_index];
-            let Some(ejection) = &mut host.ejection else { continue };
+            let Some(ejection) = &mut host.outlier.ejection else { continue };
             if host.condition != Condition::Ready || ejection.next_probe > self.now {
                 continue;
             }
-            ejection.next_probe = self.now + host.ejection_time.times(jitter);
+            ejection.next_probe = self.now + host.outlier.ejection_time.times(jitter);
             if self.settings.can_probe {
-                host.slow_start_budget -= PROBE_COST;
+                host.slow_start_budget.attempts -= PROBE_COST;
                 port.probe(host.id);
             } else {
                 self.readmit(host_index);
@@ -181,9 +181,9 @@
         for _ in 0..by_rate.min(self.hosts.len()) {
             self.probe_cursor = (self.probe_cursor + 1) % self.hosts.len();
             let host = &mut self.hosts[self.probe_cursor];
-            let is_in_service = host.condition == Condition::Ready && host.ejection.is_none();
+            let is_in_service = host.condition == Condition::Ready && !host.outlier.is_ejected();
             if is_in_service && !host.calls.is_empty() {
-                host.slow_start_budget -= PROBE_COST;
+                host.slow_start_budget.attempts -= PROBE_COST;
                 port.probe(host.id);
             }
         }
@@ -200,7 +200,7 @@
     ) {
         self.now = now;
         let Some(host_index) = self.host_index.get(&host).copied() else { return };
-        if self.hosts[host_index].ejection.is_some() {
+        if self.hosts[host_index].outlier.is_ejected() {
             self.record_ejected_probe(host_index, outcome);
         } else {
             self.record_service_probe(host_index, outcome, took, port);
@@ -209,10 +209,10 @@
 
     fn record_ejected_probe(&mut self, host_index: HostIndex, outcome: AttemptOutcome) {
         let host = &mut self.hosts[host_index];
-        let Some(ejection) = &mut host.ejection else { return };
+        let Some(ejection) = &mut host.outlier.ejection else { return };
         if outcome != AttemptOutcome::Completed {
             ejection.probe_successes = 0;
-            host.ejection_time = host.ejection_time.times(2.0).min(MAX_EJECTION);
+            host.outlier.ejection_time = host.outlier.ejection_time.times(2.0).min(MAX_EJECTION);
             return;
         }
         ejection.probe_successes += 1;
@@ -234,7 +234,7 @@
         if outcome != AttemptOutcome::Completed {
             self.record_failure(host_index);
         } else if !self.settings.reports_message_times {
-            let multiple_of_usual = self.hosts[host_index].record_probe_time(took);
+            let multiple_of_usual = self.hosts[host_index].probe_times.record(took);
             let excess = self.settings.message_target_seconds() * (multiple_of_usual - 1.0);
             self.record_message_time(host_index, Span::from_seconds(excess), port);
         }
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -15,8 +15,6 @@
 const STANDSTILL_GROWTH: f64 = 0.8;
 /// Time in which what has piled up at a host is to be gone, in seconds.
 const CLEAR_TIME: f64 = 0.8;
-/// Reports older than this, in seconds, say nothing of the growth since.
-const MAX_REPORT_AGE: f64 = 1.5;
 /// Highest overload penalty.
 const MAX_PENALTY: f64 = 4.0;
 /// Part of the message target below which all is well. Shedding from a higher one lost far more.
@@ -46,11 +44,11 @@
         let target = self.settings.message_target_seconds();
         let took = took.seconds();
         let load = self.load(host_index);
-        let growth = self.message_time_growth(host_index, took);
+        let growth = self.hosts[host_index].overload.record_message_time(took, self.now);
         let stands_still = growth > STANDSTILL_GROWTH;
         let host = &mut self.hosts[host_index];
         let penalty = if stands_still { 0.0 } else { (took / target).min(MAX_PENALTY) };
-        host.overload_penalty = host.overload_penalty.max(penalty);
+        host.overload.penalty = host.overload.penalty.max(penalty);
         if took < HEALTHY_SHARE * target {
             return;
         }
@@ -64,16 +62,6 @@
         self.shed(host_index, load * share, port);
     }
 
-    /// By how many seconds a second the message time has grown since the report before.
-    fn message_time_growth(&mut self, host_index: HostIndex, took: f64) -> f64 {
-        let host = &mut self.hosts[host_index];
-        let age = self.now.since(host.message_time_at).seconds();
-        let previous = if age < MAX_REPORT_AGE { host.message_time } else { 0.0 };
-        host.message_time = took;
-        host.message_time_at = self.now;
-        (took - previous) / age.clamp(0.5, 1.0)
-    }
-
     /// Migrates connections until so much load, in connections, has left. What leaves counts as one connection at the
     /// least, or many light ones would leave for little. A remainder below one connection is decided by chance.
     fn shed(&mut self, host: HostIndex, excess_load: f64, port: &mut dyn Port) {
@@ -106,9 +94,10 @@
     /// what it can do, and a limit taken from that would keep it idle: so a second cuts it by three tenths at most.
     pub(super) fn cut_load_limit(&mut self, host_index: HostIndex, load: f64) {
         let host = &mut self.hosts[host_index];
-        host.load_limit = host.load_limit.min(load.max(MIN_LIMIT_SHARE * host.load_at_last_tick));
-        host.is_overloaded = true;
-        host.overloaded_until = self.now + CLOSED_AFTER_REPORT;
+        host.overload.load_limit =
+            host.overload.load_limit.min(load.max(MIN_LIMIT_SHARE * host.overload.load_at_last_tick));
+        host.overload.is_overloaded = true;
+        host.overload.closed_until = self.now + CLOSED_AFTER_REPORT;
     }
 
     /// A random connection; where much of the fleet is closed, of several drawn the one that earns least for its load,
@@ -142,11 +131,12 @@
             let load = self.load(host_index);
             let mean_load = MEAN_LOAD_MULTIPLE * self.fleet.local_load_per_size * self.size(host_index);
             let host = &mut self.hosts[host_index];
-            let was_overloaded = std::mem::take(&mut host.is_overloaded);
-            if !was_overloaded && host.load_limit.is_finite() {
-                host.load_limit += LIMIT_GROWTH * host.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
+            let was_overloaded = std::mem::take(&mut host.overload.is_overloaded);
+            if !was_overloaded && host.overload.load_limit.is_finite() {
+                host.overload.load_limit +=
+                    LIMIT_GROWTH * host.overload.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
             }
-            host.load_at_last_tick = load;
+            host.overload.load_at_last_tick = load;
         }
     }
 }
--- a/src/node/placement.rs
+++ b/src/node/placement.rs
@@ -68,15 +68,15 @@
     pub(super) fn is_available(&self, host_index: HostIndex) -> bool {
         let host = &self.hosts[host_index];
         host.condition == Condition::Ready
-            && (self.is_in_panic_mode || host.ejection.is_none())
-            && (host.trial_calls_left == 0 || host.pending_setups == 0)
-            && self.load(host_index) < host.load_limit
-            && host.rejecting_until.max(host.overloaded_until) <= self.now
+            && (self.is_in_panic_mode || !host.outlier.is_ejected())
+            && (host.outlier.trial_calls_left == 0 || host.pending_setups == 0)
+            && self.load(host_index) < host.overload.load_limit
+            && host.outlier.rejecting_until.max(host.overload.closed_until) <= self.now
     }
 
     /// Whether the host has room for the whole load of a connection that is known to be heavier than most.
     fn has_room(&self, call_index: CallIndex, host: HostIndex) -> bool {
         let beyond_mean = (self.expected_load(call_index) - 1.0).max(0.0);
-        self.load(host) + beyond_mean < self.hosts[host].load_limit
+        self.load(host) + beyond_mean < self.hosts[host].overload.load_limit
     }
 }
--- a/src/node/rebalancing.rs
+++ b/src/node/rebalancing.rs
@@ -57,7 +57,7 @@
         let upper = &self.hosts[highest.host];
         let lower = &self.hosts[lowest.host];
         let more_connections = upper.calls.len() as f64 - lower.calls.len() as f64;
-        let more_load = upper.smoothed_load - lower.smoothed_load;
+        let more_load = upper.work.smoothed_rate - lower.work.smoothed_rate;
         let is_heavier = self.loads.mean > 0.0 && more_load >= MIN_GAP * self.loads.mean;
         more_connections >= MIN_GAP || is_heavier
     }
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -15,7 +15,7 @@
     /// that list count as if every node had sent the same.
     fn score(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
-        let smoothed = if self.loads.mean > 0.0 { host.smoothed_load / self.loads.mean } else { 0.0 };
+        let smoothed = if self.loads.mean > 0.0 { host.work.smoothed_rate / self.loads.mean } else { 0.0 };
         let own = host.connections() + smoothed;
         let Some(remote) = self.sizes.remote_connections(host) else { return own };
         let node_count = f64::from(self.settings.nodes.max(1));
@@ -30,7 +30,7 @@
         let crossing_cost =
             if host.zone == self.settings.zone { 0.0 } else { self.settings.crossing_cost().min(1.0) };
         let score = self.score(host_index) + self.settings.remote_share() * host.score_offset;
-        (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload_penalty)
+        (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload.penalty)
     }
 
     /// Estimate of the other nodes' load for each unit of size, each with as much as this node in all. Nothing where the
--- a/src/node/slow_start.rs
+++ b/src/node/slow_start.rs
@@ -41,7 +41,7 @@
         let fair_part = self.fleet.local_load_per_size * self.size(host);
         let fair_part = fair_part.clamp(1.0 - self.settings.remote_share(), 1.0);
         let required = fair_part + self.settings.shared_limit_factor() * (1.0 - fair_part);
-        self.hosts[host].slow_start_budget >= if self.calm() >= 1.0 { required } else { 1.0 }
+        self.hosts[host].slow_start_budget.attempts >= if self.calm() >= 1.0 { required } else { 1.0 }
     }
 
     /// Half the allowed multiple of the usual arrivals over what wants a host now, as far as hosts are open; 1 at most.
@@ -95,7 +95,7 @@
         for host in 0..self.hosts.len() {
             if self.slow_start_share(host) < 1.0 {
                 let rate = self.budget_rate(host, nominal_size);
-                self.hosts[host].fill_budget(rate, window, self.now);
+                self.hosts[host].slow_start_budget.fill(rate, window, self.now);
             }
         }
     }
--- a/src/node/tick.rs
+++ b/src/node/tick.rs
@@ -49,10 +49,10 @@
     fn update_hosts(&mut self, elapsed: f64) {
         for host in &mut self.hosts {
             host.update_work(self.now, self.loads.mean);
-            host.smooth_load(LOAD_SMOOTHING, elapsed);
-            host.broken_connections = 0;
+            host.work.tick(LOAD_SMOOTHING, elapsed);
+            host.outlier.broken_connections = 0;
             let is_unseen = host.calls.is_empty();
-            host.overload_penalty *= if is_unseen { UNSEEN_PENALTY_DECAY } else { PENALTY_DECAY };
+            host.overload.penalty *= if is_unseen { UNSEEN_PENALTY_DECAY } else { PENALTY_DECAY };
         }
     }
 
@@ -69,7 +69,7 @@
                 continue;
             }
             let size = self.size(host_index);
-            let is_usable = host.ejection.is_none() && host.reject_backoff == Span::ZERO;
+            let is_usable = !host.outlier.is_ejected() && host.outlier.reject_backoff == Span::ZERO;
             if is_usable && host.zone == self.settings.zone {
                 local_load += self.load(host_index);
                 local_size += size;
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -1,5 +1,17 @@
 //! What a node knows of one host.
 
+mod outlier;
+mod overload;
+mod probe_times;
+mod slow_start_budget;
+mod work;
+
+pub(crate) use outlier::{Ejection, OutlierState};
+pub(crate) use overload::OverloadState;
+pub(crate) use probe_times::ProbeTimes;
+pub(crate) use slow_start_budget::SlowStartBudget;
+pub(crate) use work::WorkMeter;
+
 use crate::domain::{
     Cell, Condition, Endpoint, HostId, HostSnapshot, Kind, Size, SlowStart, Span, Time, Zone,
 };
@@ -8,20 +20,6 @@
 /// Index of a host in the node's table of hosts. Hosts are never removed.
 pub(crate) type HostIndex = usize;
 
-/// How long a host that a process before had ejected stays out at least.
-const RESTORED_EJECTION: Span = Span::ms(1000);
-/// The usual time of probes follows each by this share.
-const PROBE_TIME_SMOOTHING: f64 = 0.1;
-/// A probe counts as at most this many times the usual, so that the usual does not follow a slow spell.
-const MAX_PROBE_TIME_RATIO: f64 = 1.33;
-
-/// A host that gets no attempts until probes succeed.
-pub(crate) struct Ejection {
-    pub next_probe: Time,
-    /// Successful probes in a row.
-    pub probe_successes: u32,
-}
-
 /// A host with this node's connections on it.
 pub(crate) struct Host {
     pub id: HostId,
@@ -32,7 +30,7 @@
     pub size: Size,
     pub kind: Option<Kind>,
     /// When it last started, at the latest.
-    pub started_at: Option<Time>,
+    started_at: Option<Time>,
     /// When it last started, as listed.
     listed_start: Option<Time>,
     /// Connections a core that all nodes have here, as far as the list tells.
@@ -49,46 +47,13 @@
     pub reported_load: f64,
     /// How many connections here reported a load.
     pub reported_count: u32,
-    /// Work that connections here have asked for so far, in seconds.
-    work: f64,
-    work_updated_at: Time,
-    work_at_last_tick: f64,
-    /// Smoothed work a second.
-    pub smoothed_load: f64,
-    /// Smoothed share of failed attempts and probes.
-    pub failure_rate: f64,
-    pub ejection: Option<Ejection>,
-    /// How long the last ejection lasted; doubles from one to the next.
-    pub ejection_time: Span,
-    /// Calls that must succeed one at a time after an ejection.
-    pub trial_calls_left: u32,
-    /// By how much its score is raised while messages take long there.
-    pub overload_penalty: f64,
-    /// It was found overloaded since the last tick.
-    pub is_overloaded: bool,
-    /// It gets nothing new until then, since it was found overloaded.
-    pub overloaded_until: Time,
-    /// The most load it has coped with, in connections; infinite until that has shown.
-    pub load_limit: f64,
-    pub load_at_last_tick: f64,
-    /// What a message took when last reported, in seconds.
-    pub message_time: f64,
-    pub message_time_at: Time,
-    /// What probes usually take, in seconds; 0 before the first.
-    usual_probe_time: f64,
-    last_probe_time: f64,
-    /// By how many seconds the last setup took too long.
-    last_setup_excess: f64,
-    /// It gets nothing new until then, since it rejected an attempt.
-    pub rejecting_until: Time,
-    pub reject_backoff: Span,
-    /// Connections that broke since the last tick.
-    pub broken_connections: u32,
+    pub work: WorkMeter,
+    pub outlier: OutlierState,
+    pub overload: OverloadState,
+    pub probe_times: ProbeTimes,
+    pub slow_start_budget: SlowStartBudget,
     /// Part of a connection that this node's score of the host starts at, so that nodes begin at different hosts.
     pub score_offset: f64,
-    /// Attempts that may be sent here while it is cold.
-    pub slow_start_budget: f64,
-    pub budget_updated_at: Time,
     /// Estimate of other nodes' connections here; 1 is what a unit of size usually carries.
     pub remote_load: f64,
 }
@@ -112,30 +77,12 @@
             predecessor_connections: 0.0,
             reported_load: 0.0,
             reported_count: 0,
-            work: 0.0,
-            work_updated_at: now,
-            work_at_last_tick: 0.0,
-            smoothed_load,
-            failure_rate: 0.0,
-            ejection: None,
-            ejection_time: Span::ZERO,
-            trial_calls_left: 0,
-            overload_penalty: 0.0,
-            is_overloaded: false,
-            overloaded_until: Time(0),
-            load_limit: f64::INFINITY,
-            load_at_last_tick: 0.0,
-            message_time: 0.0,
-            message_time_at: Time(0),
-            usual_probe_time: 0.0,
-            last_probe_time: 0.0,
-            last_setup_excess: 0.0,
-            rejecting_until: now,
-            reject_backoff: Span::ZERO,
-            broken_connections: 0,
+            work: WorkMeter::new(smoothed_load, now),
+            outlier: OutlierState::new(now),
+            overload: OverloadState::default(),
+            probe_times: ProbeTimes::default(),
+            slow_start_budget: SlowStartBudget::new(0.0, now),
             score_offset: 0.0,
-            slow_start_budget: 0.0,
-            budget_updated_at: now,
             remote_load: 0.0,
         }
     }
@@ -156,16 +103,7 @@
     /// Brings the sum of work up to now. A connection that reported no load counts as the mean.
     pub fn update_work(&mut self, now: Time, mean_load: f64) {
         let unreported = self.connections() - f64::from(self.reported_count);
-        let elapsed = now.since(self.work_updated_at).seconds();
-        self.work += (self.reported_load + unreported * mean_load) * elapsed;
-        self.work_updated_at = now;
-    }
-
-    /// Updates the smoothed load by the work since the last tick, `elapsed` seconds ago.
-    pub fn smooth_load(&mut self, smoothing: f64, elapsed: f64) {
-        let work_since = self.work - self.work_at_last_tick;
-        self.smoothed_load = self.smoothed_load * (1.0 - smoothing) + work_since * smoothing / elapsed;
-        self.work_at_last_tick = self.work;
+        self.work.update(self.reported_load + unreported * mean_load, now);
     }
 
     /// Records the listed start; returns whether it differs from the one before. With clocks that differ, a host that
@@ -187,48 +125,18 @@
         slow_start.from + (1.0 - slow_start.from) * done.min(1.0)
     }
 
-    /// Adds to the slow-start budget at `rate` attempts a second. What is not used within the window lapses, or all
-    /// nodes would have a call ready for the same moment.
-    pub fn fill_budget(&mut self, rate: f64, window: Span, now: Time) {
-        self.slow_start_budget += rate * now.since(self.budget_updated_at).seconds();
-        if self.slow_start_budget > 1.0 + rate * window.seconds() {
-            self.slow_start_budget -= 1.0;
-        }
-        self.budget_updated_at = now;
-    }
-
-    /// Records by how many seconds a setup took too long; returns the mean of the last two, as a single one may have
-    /// met a pause.
-    pub fn record_setup_excess(&mut self, seconds: f64) -> Span {
-        let previous = self.last_setup_excess;
-        self.last_setup_excess = seconds.max(0.0);
-        Span::from_seconds(0.5 * (previous + self.last_setup_excess))
-    }
-
-    /// Records what a probe took; returns the mean of the last two as a multiple of the usual.
-    pub fn record_probe_time(&mut self, took: Span) -> f64 {
-        let took = took.seconds().max(1e-6);
-        let is_first = self.usual_probe_time <= 0.0;
-        let usual = if is_first { took } else { self.usual_probe_time };
-        let last = if is_first { took } else { self.last_probe_time };
-        let counted = took.min(MAX_PROBE_TIME_RATIO * usual);
-        self.usual_probe_time = usual + PROBE_TIME_SMOOTHING * (counted - usual);
-        self.last_probe_time = took;
-        0.5 * (took + last) / usual
-    }
-
     /// What the next process of the node has to know of this host.
     pub fn snapshot(&self) -> HostSnapshot {
         HostSnapshot {
             host: self.id,
             open: self.connections(),
-            smoothed: self.smoothed_load,
-            limit: Some(self.load_limit).filter(|limit| limit.is_finite()),
-            strain: self.overload_penalty,
-            aside: self.ejection.is_some(),
-            budget: self.slow_start_budget,
+            smoothed: self.work.smoothed_rate,
+            limit: Some(self.overload.load_limit).filter(|limit| limit.is_finite()),
+            strain: self.overload.penalty,
+            aside: self.outlier.is_ejected(),
+            budget: self.slow_start_budget.attempts,
             held: self.remote_load,
-            answers: self.usual_probe_time,
+            answers: self.probe_times.usual(),
             nominal: Some(self.size),
         }
     }
@@ -236,18 +144,15 @@
     /// Adopts what the process before knew. An ejected host stays ejected until it answers probes.
     pub fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
         self.predecessor_connections = snapshot.open;
-        self.smoothed_load = snapshot.smoothed;
-        self.overload_penalty = snapshot.strain;
-        self.load_limit = snapshot.limit.unwrap_or(f64::INFINITY);
-        self.load_at_last_tick = snapshot.open;
+        self.work.smoothed_rate = snapshot.smoothed;
+        self.overload.penalty = snapshot.strain;
+        self.overload.load_limit = snapshot.limit.unwrap_or(f64::INFINITY);
+        self.overload.load_at_last_tick = snapshot.open;
         self.remote_load = snapshot.held;
-        self.usual_probe_time = snapshot.answers;
-        self.last_probe_time = snapshot.answers;
-        self.slow_start_budget = snapshot.budget;
-        self.budget_updated_at = now;
+        self.probe_times = ProbeTimes::from_usual(snapshot.answers);
+        self.slow_start_budget = SlowStartBudget::new(snapshot.budget, now);
         if snapshot.aside {
-            self.ejection_time = RESTORED_EJECTION;
-            self.ejection = Some(Ejection { next_probe: now, probe_successes: 0 });
+            self.outlier.restore_ejection(now);
         }
     }
 }
--- a/tests/deploy_manifest.rs
+++ b/tests/deploy_manifest.rs
@@ -6,16 +6,26 @@
 /// Folders whose files all belong to the decisions.
 const DECISION_FOLDERS: [&str; 2] = ["src/node", "src/state"];
 
+/// Adds the paths of all files below a folder, relative to the repository's root.
+fn collect_files(folder: &str, files: &mut Vec<String>) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
+    for entry in std::fs::read_dir(path).expect("the folder exists") {
+        let entry = entry.expect("the folder can be read");
+        let name = entry.file_name().into_string().expect("file names are UTF-8");
+        let relative = format!("{folder}/{name}");
+        if entry.path().is_dir() {
+            collect_files(&relative, files);
+        } else {
+            files.push(relative);
+        }
+    }
+}
+
 #[test]
 fn manifest_names_every_file_of_the_decisions() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = vec!["src/node.rs".to_owned()];
     for folder in DECISION_FOLDERS {
-        let entries = std::fs::read_dir(root.join(folder)).expect("the folder exists");
-        for entry in entries {
-            let name = entry.expect("the folder can be read").file_name();
-            files.push(format!("{folder}/{}", name.to_str().expect("file names are UTF-8")));
-        }
+        collect_files(folder, &mut files);
     }
     for file in files {
         assert!(MANIFEST.contains(&format!("\"{file}\"")), "{file} is missing from the manifest");
