--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/world.rs
@@ -1,11 +1,14 @@
 //! Simulated hosts and clients around real nodes. Node 0 is lost.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod clients;
+mod hosts;
+
+use std::collections::BTreeMap;
 
 use glendeck::Node;
 use glendeck::domain::{
-    AttemptNumber, AttemptOutcome, Call, CallId, ClassId, Endpoint, GroupId, HostId, ListUpdate, News,
-    Settings, Span, SubjectId, TenantId, Time, TimerToken, WarmState,
+    AttemptNumber, AttemptOutcome, CallId, Endpoint, GroupId, HostId, ListUpdate, News, Settings, Span, Time,
+    TimerToken, WarmState,
 };
 use nanorand::{Rng, WyRand};
 
@@ -15,24 +18,11 @@
 const START: Time = Time(100_000_000_000_000);
 const DAY: Span = Span::ms(65_000);
 const LOSS_AT: Span = Span::ms(50_000);
-/// For how long after the loss service is measured.
-const MEASURED: Span = Span::ms(10_000);
 const LOST_NODE: usize = 0;
 /// Most homes and loads that a node's warm state has.
 const WARM_STATE_LIMIT: usize = 2_048;
 /// Clients that come first arrive within so long.
 const RAMP_MS: u64 = 15_000;
-/// A host's state advances in steps of this length.
-const STEP_MS: u64 = 100;
-const STEP_SECONDS: f64 = 0.1;
-/// Hosts report message times once in so many steps.
-const STEPS_PER_REPORT: u64 = 10;
-/// Backlog in seconds from which a host reports, and up to which clients are served well.
-const REPORTED_BACKLOG: f64 = 0.03;
-const GOOD_BACKLOG: f64 = 0.1;
-const MAX_BACKLOG: f64 = 2.0;
-/// What a setup in progress costs a host, in connections.
-const SETUP_LOAD: f64 = 0.2;
 
 type NodeIndex = usize;
 type ClientIndex = usize;
@@ -168,28 +158,6 @@
         self.service
     }
 
-    /// A new client arrives within so long.
-    fn add_client(&mut self, within_ms: u64) {
-        let heavy = self.shape.heavy_clients;
-        let mean = 1.0 + heavy.percent as f64 / 100.0 * (heavy.factor - 1.0);
-        let is_heavy = self.random_below(100) < heavy.percent;
-        let load = if is_heavy { heavy.factor / mean } else { 1.0 / mean };
-        let groups = self.shape.groups.count;
-        let group = (groups > 0).then(|| GroupId(1 + self.random_below(groups)));
-        let index = self.clients.len();
-        self.clients.push(Client {
-            load,
-            group,
-            request: None,
-            host: None,
-            is_open: false,
-            wants_service: true,
-            visits: 0,
-        });
-        let delay = self.random_below(within_ms);
-        self.schedule(delay, Event::ClientArrives(index));
-    }
-
     fn publish_list(&mut self) {
         let endpoints: Vec<Endpoint> =
             (0..self.shape.hosts).map(|index| usual_endpoint(HostId(index as u64 + 1))).collect();
@@ -259,57 +227,6 @@
         }
     }
 
-    /// What a setup takes at a host: longer the more it is used, and far longer once it is overloaded.
-    fn setup_time_ms(&self, host: HostIndex) -> u64 {
-        let utilisation = self.utilisation(host);
-        let by_use = if utilisation < 0.9 {
-            20.0 / (1.0 - utilisation)
-        } else {
-            200.0 + 2_000.0 * (utilisation - 0.9)
-        };
-        (by_use + 1_000.0 * self.hosts[host].backlog) as u64
-    }
-
-    fn utilisation(&self, host: HostIndex) -> f64 {
-        let host = &self.hosts[host];
-        (host.load + SETUP_LOAD * f64::from(host.pending_setups)) / self.shape.capacity
-    }
-
-    /// Sums the loads of connections and of the groups that have any there.
-    fn update_loads(&mut self) {
-        for host in &mut self.hosts {
-            host.load = 0.0;
-        }
-        let mut groups: BTreeSet<(HostIndex, GroupId)> = BTreeSet::new();
-        for client in self.clients.iter().filter(|client| client.is_open) {
-            let Some(host) = client.host else { continue };
-            self.hosts[host].load += client.load;
-            groups.extend(client.group.map(|group| (host, group)));
-        }
-        for (host, _) in groups {
-            self.hosts[host].load += self.shape.groups.cost;
-        }
-    }
-
-    /// A client's connection ends at its node and host.
-    fn end_connection(&mut self, client: ClientIndex, outcome: AttemptOutcome) {
-        let Some((node, call)) = self.clients[client].request else { return };
-        self.clients[client].disconnect();
-        if let Some(state) = self.calls[node].remove(&call) {
-            let attempt = AttemptNumber(state.attempts - 1);
-            self.notify(node, |node, now, port| {
-                node.attempt_ended(now, call, attempt, outcome, true, port);
-            });
-        }
-    }
-
-    fn client_returns(&mut self, client: ClientIndex) {
-        self.clients[client].disconnect();
-        self.clients[client].visits += 1;
-        let delay = 60 + self.random_below(540);
-        self.schedule(delay, Event::ClientArrives(client));
-    }
-
     fn handle(&mut self, event: Event) {
         match event {
             Event::Timer(node, token) => {
@@ -326,29 +243,6 @@
         }
     }
 
-    fn client_arrives(&mut self, client: ClientIndex) {
-        let first_node = usize::from(self.nodes[LOST_NODE].is_none());
-        let nodes = (self.nodes.len() - first_node) as u64;
-        let node = first_node + self.random_below(nodes) as usize;
-        self.last_call += 1;
-        let id = CallId(self.last_call);
-        let call = Call {
-            id,
-            traffic: ClassId(0),
-            tenant: TenantId(0),
-            subject: Some(SubjectId(client as u64)),
-            group: self.clients[client].group,
-            guard: self.now + Span::ms(3_000),
-            load: None,
-            returning: self.clients[client].visits > 0,
-            mid_flow: false,
-            before: None,
-        };
-        self.clients[client].request = Some((node, id));
-        self.calls[node].insert(id, CallState { client, attempts: 0, host: 0 });
-        self.notify(node, |node, now, port| node.call_arrived(now, call, port));
-    }
-
     /// The client and host of an attempt, if that is the call's last one.
     fn client_and_host(&self, key: AttemptKey) -> Option<(ClientIndex, HostIndex)> {
         let state = self.calls[key.node].get(&key.call)?;
@@ -373,11 +267,6 @@
         }
     }
 
-    fn release_setup(&mut self, host: HostIndex) {
-        let pending_setups = &mut self.hosts[host].pending_setups;
-        *pending_setups = pending_setups.saturating_sub(1);
-    }
-
     fn report_load(&mut self, key: AttemptKey) {
         let Some(state) = self.calls[key.node].get(&key.call) else { return };
         let load = self.clients[state.client].load;
@@ -394,61 +283,6 @@
         });
     }
 
-    /// Another client takes its place, somewhere else, soon.
-    fn client_leaves(&mut self, client: ClientIndex, visit: u32) {
-        if self.clients[client].visits == visit && self.clients[client].is_open {
-            self.end_connection(client, AttemptOutcome::Completed);
-            self.clients[client].wants_service = false;
-            self.add_client(500);
-        }
-    }
-
-    fn hosts_step(&mut self) {
-        self.update_loads();
-        let steps = self.now.0 / Span::ms(STEP_MS).0;
-        let mut reports = Vec::new();
-        for host in 0..self.hosts.len() {
-            let utilisation = self.utilisation(host);
-            let backlog = self.hosts[host].backlog + STEP_SECONDS * (utilisation - 1.0);
-            let backlog = backlog.clamp(0.0, MAX_BACKLOG);
-            self.hosts[host].backlog = backlog;
-            if backlog > REPORTED_BACKLOG && steps.is_multiple_of(STEPS_PER_REPORT) {
-                reports.push((host, backlog));
-            }
-        }
-        for (host, backlog) in reports {
-            for node in 0..self.nodes.len() {
-                self.report_message_time(node, host, backlog);
-            }
-        }
-        self.measure_service();
-        self.schedule(STEP_MS, Event::HostsStep);
-    }
-
-    /// A host tells a node what a message takes, on one of the node's connections there.
-    fn report_message_time(&mut self, node: NodeIndex, host: HostIndex, backlog: f64) {
-        let is_open_there = |state: &CallState| state.host == host && self.clients[state.client].is_open;
-        let Some((call, state)) = self.calls[node].iter().find(|(_, state)| is_open_there(state)) else {
-            return;
-        };
-        let call = *call;
-        let attempt = AttemptNumber(state.attempts - 1);
-        let news = News::MessageTime(Span::from_seconds(backlog));
-        self.notify(node, |node, now, port| node.attempt_report(now, call, attempt, news, port));
-    }
-
-    fn measure_service(&mut self) {
-        if self.lost_at.is_none_or(|lost_at| self.now >= lost_at + MEASURED) {
-            return;
-        }
-        for client in self.clients.iter().filter(|client| client.wants_service) {
-            let is_well = |host: HostIndex| self.hosts[host].backlog <= GOOD_BACKLOG;
-            let is_served = client.is_open && client.host.is_some_and(is_well);
-            self.service.wanted += STEP_SECONDS;
-            self.service.served += if is_served { STEP_SECONDS } else { 0.0 };
-        }
-    }
-
     fn node_lost(&mut self) {
         self.lost_at = Some(self.now);
         let node = self.nodes[LOST_NODE].as_ref().expect("the node was there until now");
--- /dev/null
+++ b/tests/lost_node/world/hosts.rs
@@ -0,0 +1,107 @@
+//! Simulated hosts: their load and backlog, and how well they serve clients.
+
+use std::collections::BTreeSet;
+
+use glendeck::domain::{AttemptNumber, GroupId, News, Span};
+
+use super::{CallState, Event, HostIndex, NodeIndex, World};
+
+/// For how long after the loss service is measured.
+const MEASURED: Span = Span::ms(10_000);
+/// A host's state advances in steps of this length.
+const STEP_MS: u64 = 100;
+const STEP_SECONDS: f64 = 0.1;
+/// Hosts report message times once in so many steps.
+const STEPS_PER_REPORT: u64 = 10;
+/// Backlog in seconds from which a host reports message times.
+const REPORTED_BACKLOG: f64 = 0.03;
+/// Backlog in seconds up to which clients are served well.
+const GOOD_BACKLOG: f64 = 0.1;
+const MAX_BACKLOG: f64 = 2.0;
+/// What a setup in progress costs a host, in connections.
+const SETUP_LOAD: f64 = 0.2;
+
+impl World {
+    /// What a setup takes at a host: longer the more it is used, and far longer once it is overloaded.
+    pub(super) fn setup_time_ms(&self, host: HostIndex) -> u64 {
+        let utilisation = self.utilisation(host);
+        let by_use = if utilisation < 0.9 {
+            20.0 / (1.0 - utilisation)
+        } else {
+            200.0 + 2_000.0 * (utilisation - 0.9)
+        };
+        (by_use + 1_000.0 * self.hosts[host].backlog) as u64
+    }
+
+    pub(super) fn utilisation(&self, host: HostIndex) -> f64 {
+        let host = &self.hosts[host];
+        (host.load + SETUP_LOAD * f64::from(host.pending_setups)) / self.shape.capacity
+    }
+
+    /// Sums the loads of connections and of the groups that have any there.
+    pub(super) fn update_loads(&mut self) {
+        for host in &mut self.hosts {
+            host.load = 0.0;
+        }
+        let mut groups: BTreeSet<(HostIndex, GroupId)> = BTreeSet::new();
+        for client in self.clients.iter().filter(|client| client.is_open) {
+            let Some(host) = client.host else { continue };
+            self.hosts[host].load += client.load;
+            groups.extend(client.group.map(|group| (host, group)));
+        }
+        for (host, _) in groups {
+            self.hosts[host].load += self.shape.groups.cost;
+        }
+    }
+
+    pub(super) fn release_setup(&mut self, host: HostIndex) {
+        let pending_setups = &mut self.hosts[host].pending_setups;
+        *pending_setups = pending_setups.saturating_sub(1);
+    }
+
+    pub(super) fn hosts_step(&mut self) {
+        self.update_loads();
+        let steps = self.now.0 / Span::ms(STEP_MS).0;
+        let mut reports = Vec::new();
+        for host in 0..self.hosts.len() {
+            let utilisation = self.utilisation(host);
+            let backlog = self.hosts[host].backlog + STEP_SECONDS * (utilisation - 1.0);
+            let backlog = backlog.clamp(0.0, MAX_BACKLOG);
+            self.hosts[host].backlog = backlog;
+            if backlog > REPORTED_BACKLOG && steps.is_multiple_of(STEPS_PER_REPORT) {
+                reports.push((host, backlog));
+            }
+        }
+        for (host, backlog) in reports {
+            for node in 0..self.nodes.len() {
+                self.report_message_time(node, host, backlog);
+            }
+        }
+        self.measure_service();
+        self.schedule(STEP_MS, Event::HostsStep);
+    }
+
+    /// A host tells a node what a message takes, on one of the node's connections there.
+    pub(super) fn report_message_time(&mut self, node: NodeIndex, host: HostIndex, backlog: f64) {
+        let is_open_there = |state: &CallState| state.host == host && self.clients[state.client].is_open;
+        let Some((call, state)) = self.calls[node].iter().find(|(_, state)| is_open_there(state)) else {
+            return;
+        };
+        let call = *call;
+        let attempt = AttemptNumber(state.attempts - 1);
+        let news = News::MessageTime(Span::from_seconds(backlog));
+        self.notify(node, |node, now, port| node.attempt_report(now, call, attempt, news, port));
+    }
+
+    pub(super) fn measure_service(&mut self) {
+        if self.lost_at.is_none_or(|lost_at| self.now >= lost_at + MEASURED) {
+            return;
+        }
+        for client in self.clients.iter().filter(|client| client.wants_service) {
+            let is_well = |host: HostIndex| self.hosts[host].backlog <= GOOD_BACKLOG;
+            let is_served = client.is_open && client.host.is_some_and(is_well);
+            self.service.wanted += STEP_SECONDS;
+            self.service.served += if is_served { STEP_SECONDS } else { 0.0 };
+        }
+    }
+}
