--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -51,8 +51,7 @@
         self.hosts[host].pending_setups -= 1;
         self.record_setup_time(call_index, Some(took));
         self.setup_limit.in_progress -= 1;
-        self.hosts[host].outlier.reject_backoff = Span::ZERO;
-        self.record_success(host);
+        self.hosts[host].outlier.record_success();
         let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
         // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
         // long, a message is late too.
--- a/src/node/outlier_detection.rs
+++ b/src/node/outlier_detection.rs
@@ -6,30 +6,10 @@
 use crate::domain::{AttemptOutcome, Condition, HostId, Span, Time};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
-use crate::state::host::{Ejection, HostIndex};
+use crate::state::host::HostIndex;
 
-/// The failure rate follows each result by this share. With the threshold, two failures in a row eject a host that was
-/// well before, and one a host on trial.
-const FAILURE_SMOOTHING: f64 = 0.3;
-/// Failure rate above which a failing host is ejected.
-const EJECTION_THRESHOLD: f64 = 0.5;
-/// Failure rate of a host that returns from an ejection.
-const TRIAL_FAILURE_RATE: f64 = 0.3;
-/// Calls that a returning host gets one at a time.
-const TRIAL_CALLS: u32 = 3;
-/// Successful probes in a row that end an ejection.
-const PROBES_TO_READMIT: u32 = 2;
-const MIN_EJECTION: Span = Span::ms(1000);
-const MAX_EJECTION: Span = Span::ms(8000);
-/// Wait after a probe that succeeded.
-const NEXT_PROBE_AFTER_SUCCESS: Span = Span::ms(500);
 /// Part of an attempt that a probe counts as for a cold host.
 const PROBE_COST: f64 = 0.1;
-/// Breaks within a second, and their part of the host's connections as a divisor, that are no coincidence.
-const MIN_BREAKS: u32 = 3;
-const BREAK_DIVISOR: usize = 3;
-const MIN_REJECT_BACKOFF: Span = Span::ms(200);
-const MAX_REJECT_BACKOFF: Span = Span::ms(8000);
 /// Probes of hosts in service for each new client.
 const PROBES_PER_NEW_CLIENT: f64 = 3.0;
 
@@ -68,70 +48,38 @@
         ControlFlow::Continue(())
     }
 
-    /// A host that died takes all its connections along, and the list tells seconds later: several that break within a
-    /// second and are a large part of the host's eject it.
+    /// A host that died takes all its connections along, and the list tells seconds later.
     fn record_broken_connection(&mut self, host_index: HostIndex) {
         self.cut_load_limit(host_index, self.load(host_index));
         self.traffic.recent_breaks += 1.0;
         let host = &mut self.hosts[host_index];
-        host.outlier.broken_connections += 1;
-        let broken = host.outlier.broken_connections as usize;
-        let is_large_part = broken * BREAK_DIVISOR >= host.calls.len() + broken;
-        if host.outlier.broken_connections >= MIN_BREAKS && is_large_part {
+        if host.outlier.record_broken_connection(host.calls.len()) {
             self.eject(host_index);
         }
     }
 
-    /// A host that turns calls away at once empties, scores low and would draw every call: it rests, longer each time.
     fn back_off_after_reject(&mut self, host_index: HostIndex) {
         let jitter = self.jitter();
-        let host = &mut self.hosts[host_index];
-        if host.outlier.rejecting_until <= self.now {
-            host.outlier.reject_backoff =
-                host.outlier.reject_backoff.times(2.0).clamp(MIN_REJECT_BACKOFF, MAX_REJECT_BACKOFF);
-            host.outlier.rejecting_until = self.now + host.outlier.reject_backoff.times(jitter);
-        }
+        self.hosts[host_index].outlier.back_off_after_reject(self.now, jitter);
     }
 
     /// Records a failed attempt or probe. A host that fails fast has few connections and would draw every call.
-    pub(super) fn record_failure(&mut self, host_index: HostIndex) {
-        let host = &mut self.hosts[host_index];
-        host.outlier.failure_rate += FAILURE_SMOOTHING * (1.0 - host.outlier.failure_rate);
-        if host.outlier.failure_rate > EJECTION_THRESHOLD {
+    fn record_failure(&mut self, host_index: HostIndex) {
+        if self.hosts[host_index].outlier.record_failure() {
             self.eject(host_index);
         }
     }
 
-    /// Records an attempt that was set up.
-    pub(super) fn record_success(&mut self, host_index: HostIndex) {
-        let host = &mut self.hosts[host_index];
-        host.outlier.failure_rate += FAILURE_SMOOTHING * (0.0 - host.outlier.failure_rate);
-        if host.outlier.trial_calls_left > 0 {
-            host.outlier.trial_calls_left -= 1;
-            if host.outlier.trial_calls_left == 0 {
-                host.outlier.ejection_time = Span::ZERO;
-            }
-        }
-    }
-
     fn eject(&mut self, host_index: HostIndex) {
         let jitter = self.jitter();
-        let host = &mut self.hosts[host_index];
-        if host.outlier.is_ejected() {
-            return;
+        if self.hosts[host_index].outlier.eject(self.now, jitter) {
+            self.update_panic_mode();
         }
-        host.outlier.ejection_time = host.outlier.ejection_time.times(2.0).clamp(MIN_EJECTION, MAX_EJECTION);
-        let next_probe = self.now + host.outlier.ejection_time.times(jitter);
-        host.outlier.ejection = Some(Ejection { next_probe, probe_successes: 0 });
-        self.update_panic_mode();
     }
 
     /// Ends an ejection; the host is tried with one call at a time before it is trusted.
     fn readmit(&mut self, host_index: HostIndex) {
-        let host = &mut self.hosts[host_index];
-        host.outlier.ejection = None;
-        host.outlier.trial_calls_left = TRIAL_CALLS;
-        host.outlier.failure_rate = TRIAL_FAILURE_RATE;
+        self.hosts[host_index].outlier.readmit();
         self.update_panic_mode();
     }
 
@@ -157,11 +105,9 @@
         for host_index in 0..self.hosts.len() {
             let jitter = self.jitter();
             let host = &mut self.hosts[host_index];
-            let Some(ejection) = &mut host.outlier.ejection else { continue };
-            if host.condition != Condition::Ready || ejection.next_probe > self.now {
+            if host.condition != Condition::Ready || !host.outlier.schedule_probe(self.now, jitter) {
                 continue;
             }
-            ejection.next_probe = self.now + host.outlier.ejection_time.times(jitter);
             if self.settings.can_probe {
                 host.slow_start_budget.attempts -= PROBE_COST;
                 port.probe(host.id);
@@ -200,24 +146,10 @@
     ) {
         self.now = now;
         let Some(host_index) = self.host_index.get(&host).copied() else { return };
-        if self.hosts[host_index].outlier.is_ejected() {
-            self.record_ejected_probe(host_index, outcome);
-        } else {
+        let outlier = &mut self.hosts[host_index].outlier;
+        if !outlier.is_ejected() {
             self.record_service_probe(host_index, outcome, took, port);
-        }
-    }
-
-    fn record_ejected_probe(&mut self, host_index: HostIndex, outcome: AttemptOutcome) {
-        let host = &mut self.hosts[host_index];
-        let Some(ejection) = &mut host.outlier.ejection else { return };
-        if outcome != AttemptOutcome::Completed {
-            ejection.probe_successes = 0;
-            host.outlier.ejection_time = host.outlier.ejection_time.times(2.0).min(MAX_EJECTION);
-            return;
-        }
-        ejection.probe_successes += 1;
-        ejection.next_probe = self.now + NEXT_PROBE_AFTER_SUCCESS;
-        if ejection.probe_successes >= PROBES_TO_READMIT {
+        } else if outlier.record_probe(outcome == AttemptOutcome::Completed, now) {
             self.readmit(host_index);
         }
     }
--- a/src/node/tick.rs
+++ b/src/node/tick.rs
@@ -50,7 +50,7 @@
         for host in &mut self.hosts {
             host.update_work(self.now, self.loads.mean);
             host.work.tick(LOAD_SMOOTHING, elapsed);
-            host.outlier.broken_connections = 0;
+            host.outlier.tick();
             let is_unseen = host.calls.is_empty();
             host.overload.penalty *= if is_unseen { UNSEEN_PENALTY_DECAY } else { PENALTY_DECAY };
         }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -6,7 +6,7 @@
 mod slow_start_budget;
 mod work;
 
-pub(crate) use outlier::{Ejection, OutlierState};
+pub(crate) use outlier::OutlierState;
 pub(crate) use overload::OverloadState;
 pub(crate) use probe_times::ProbeTimes;
 pub(crate) use slow_start_budget::SlowStartBudget;
