--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -15,21 +15,10 @@
 const STANDSTILL_GROWTH: f64 = 0.8;
 /// Time in which what has piled up at a host is to be gone, in seconds.
 const CLEAR_TIME: f64 = 0.8;
-/// Highest overload penalty.
-const MAX_PENALTY: f64 = 4.0;
 /// Part of the message target below which all is well. Shedding from a higher one lost far more.
 const HEALTHY_SHARE: f64 = 0.3;
 /// Largest part of a host's load that is shed at once, unless it stands still.
 const MAX_SHED_SHARE: f64 = 0.5;
-/// What remains at least of the load at the last tick when a limit is cut.
-const MIN_LIMIT_SHARE: f64 = 0.7;
-/// How long an overloaded host gets nothing new: a little longer than the second between reports.
-const CLOSED_AFTER_REPORT: Span = Span::ms(1200);
-/// Growth of a limit a second.
-const LIMIT_GROWTH: f64 = 0.02;
-/// Load from which limits grow at least, in connections: where all broke, limit and mean are nothing, and nothing grows
-/// from that.
-const MIN_GROWTH_BASE: f64 = 0.1;
 /// Multiple of the mean load from which limits grow at least.
 const MEAN_LOAD_MULTIPLE: f64 = 1.5;
 /// Open share of the fleet below which the connection that earns least for its load leaves first.
@@ -46,9 +35,9 @@
         let load = self.load(host_index);
         let growth = self.hosts[host_index].overload.record_message_time(took, self.now);
         let stands_still = growth > STANDSTILL_GROWTH;
-        let host = &mut self.hosts[host_index];
-        let penalty = if stands_still { 0.0 } else { (took / target).min(MAX_PENALTY) };
-        host.overload.penalty = host.overload.penalty.max(penalty);
+        if !stands_still {
+            self.hosts[host_index].overload.raise_penalty(took / target);
+        }
         if took < HEALTHY_SHARE * target {
             return;
         }
@@ -90,14 +79,9 @@
         self.calls[call_index].load.filter(|_| mean > 0.0).map_or(1.0, |load| load / mean)
     }
 
-    /// Lowers a host's limit and closes it for a moment. While a host empties, its load of the moment says nothing of
-    /// what it can do, and a limit taken from that would keep it idle: so a second cuts it by three tenths at most.
-    pub(super) fn cut_load_limit(&mut self, host_index: HostIndex, load: f64) {
-        let host = &mut self.hosts[host_index];
-        host.overload.load_limit =
-            host.overload.load_limit.min(load.max(MIN_LIMIT_SHARE * host.overload.load_at_last_tick));
-        host.overload.is_overloaded = true;
-        host.overload.closed_until = self.now + CLOSED_AFTER_REPORT;
+    /// Lowers a host's limit to a load and closes it for a moment.
+    pub(super) fn cut_load_limit(&mut self, host: HostIndex, load: f64) {
+        self.hosts[host].overload.cut_limit(load, self.now);
     }
 
     /// A random connection; where much of the fleet is closed, of several drawn the one that earns least for its load,
@@ -130,13 +114,7 @@
         for host_index in 0..self.hosts.len() {
             let load = self.load(host_index);
             let mean_load = MEAN_LOAD_MULTIPLE * self.fleet.local_load_per_size * self.size(host_index);
-            let host = &mut self.hosts[host_index];
-            let was_overloaded = std::mem::take(&mut host.overload.is_overloaded);
-            if !was_overloaded && host.overload.load_limit.is_finite() {
-                host.overload.load_limit +=
-                    LIMIT_GROWTH * host.overload.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
-            }
-            host.overload.load_at_last_tick = load;
+            self.hosts[host_index].overload.grow_limit(load, mean_load);
         }
     }
 }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -145,9 +145,7 @@
     pub fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
         self.predecessor_connections = snapshot.open;
         self.work.smoothed_rate = snapshot.smoothed;
-        self.overload.penalty = snapshot.strain;
-        self.overload.load_limit = snapshot.limit.unwrap_or(f64::INFINITY);
-        self.overload.load_at_last_tick = snapshot.open;
+        self.overload.restore(snapshot.strain, snapshot.limit, snapshot.open);
         self.remote_load = snapshot.held;
         self.probe_times = ProbeTimes::from_usual(snapshot.answers);
         self.slow_start_budget = SlowStartBudget::new(snapshot.budget, now);
