--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -5,7 +5,7 @@
 use super::Node;
 use crate::domain::{Condition, GroupId};
 use crate::state::call::CallIndex;
-use crate::state::host::Host;
+use crate::state::host::{Host, HostIndex};
 use crate::state::shared_draw::shared_draw;
 
 /// A node's few connections say little of one group: this many that are like its groups in the mean count beside them.
@@ -13,11 +13,20 @@
 /// Hosts of one zone that a group has to fill to get homes in each zone: a smaller group costs more in each zone than
 /// its crossings do, and gets homes over all zones.
 const MIN_HOSTS_FOR_ZONE_HOMES: f64 = 0.25;
-/// Homes are rounded up from this share of a host on.
+/// Added to the number of expected homes before it is rounded down.
 const HOME_ROUNDING: f64 = 0.75;
 /// Open share of the fleet below which calls wait for a home, for a node of many.
 const WAIT_BELOW_OPEN_SHARE: f64 = 0.95;
 
+/// What weighs hosts while the homes of one group are drawn.
+struct HomeWeights {
+    /// Weight of hosts in other zones; those of this node's zone have 1.
+    remote_zone: f64,
+    /// How far a cold host counts with its full size. In a large fleet, drawn by what it can do now, it would be nobody's
+    /// home while it warms up.
+    full_size: f64,
+}
+
 impl Node {
     /// Whether the call waits for a home, or a host that has some of its group. When homes are closed, calls that go
     /// anywhere would make every host pay for every group. So they wait unless nearly all is open; more so, the less a
@@ -34,12 +43,11 @@
         order.clear();
         if let Some(group) = self.calls[call_index].call.group {
             let traffic_share = self.group_traffic_share(group);
-            let remote_zone_factor = self.remote_zone_factor(traffic_share);
-            let keys = self.hosts.iter().enumerate().map(|(index, host)| {
-                let zone_factor = if host.zone == self.settings.zone { 1.0 } else { remote_zone_factor };
-                self.home_key(group, index, host, zone_factor)
-            });
-            order.keys.extend(keys);
+            let weights = HomeWeights {
+                remote_zone: self.remote_zone_weight(traffic_share),
+                full_size: self.settings.large_fleet_factor(),
+            };
+            order.keys.extend((0..self.hosts.len()).map(|host| self.home_key(group, host, &weights)));
             let usable_hosts = order.keys.iter().filter(|key| !key.is_infinite()).count() as u32;
             let expected_homes = self.fleet.open_share * traffic_share * f64::from(usable_hosts);
             order.set_home_count(1 + (expected_homes + HOME_ROUNDING) as usize);
@@ -57,7 +65,7 @@
     }
 
     /// Weight of hosts in other zones when homes are drawn; those of this zone have 1.
-    fn remote_zone_factor(&self, traffic_share: f64) -> f64 {
+    fn remote_zone_weight(&self, traffic_share: f64) -> f64 {
         let is_local = |host: &&Host| host.zone == self.settings.zone && host.condition == Condition::Ready;
         let local_hosts = self.hosts.iter().filter(is_local).count();
         if traffic_share * (local_hosts as f64) < MIN_HOSTS_FOR_ZONE_HOMES {
@@ -68,12 +76,12 @@
         by_price.max(by_displaced).clamp(0.0, 1.0)
     }
 
-    /// A host's key in the group's order; infinite if it cannot be a home. In a large fleet a cold host counts with its
-    /// full size: drawn by what it can do now it would be nobody's home while it warms up.
-    fn home_key(&self, group: GroupId, index: usize, host: &Host, zone_factor: f64) -> f64 {
-        let large_fleet = self.settings.large_fleet_factor();
-        let share = large_fleet + (1.0 - large_fleet) * self.slow_start_share(index);
-        let weight = zone_factor * host.size.0 * share;
+    /// A host's key in the group's order; infinite if it cannot be a home.
+    fn home_key(&self, group: GroupId, host_index: HostIndex, weights: &HomeWeights) -> f64 {
+        let host = &self.hosts[host_index];
+        let zone_weight = if host.zone == self.settings.zone { 1.0 } else { weights.remote_zone };
+        let size_share = weights.full_size + (1.0 - weights.full_size) * self.slow_start_share(host_index);
+        let weight = zone_weight * host.size.0 * size_share;
         if host.condition != Condition::Ready || host.outlier.is_ejected() || weight <= 0.0 {
             return f64::INFINITY;
         }
