--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -9,6 +9,11 @@
 use crate::state::call::{AttemptEnd, AttemptSlot, CallIndex, PossibleRun};
 use crate::state::host::HostIndex;
 
+/// An attempt may take this part of what is left, so that another has room.
+const TIMEOUT_SHARE: f64 = 0.5;
+/// An attempt may take so many times what setups take of late.
+const SETUP_TIME_MULTIPLE: f64 = 3.0;
+
 impl Node {
     /// Sends an attempt to the host that was chosen.
     pub(super) fn send(&mut self, call_index: CallIndex, port: &mut dyn Port) -> StageResult {
@@ -57,8 +62,8 @@
             return time_left;
         }
         let setup_target = self.settings.traffic[call.class_index()].setup_target;
-        let recent_setups = Span::from_seconds(3.0 * self.traffic.setup_time);
-        time_left.times(0.5).max(setup_target).max(recent_setups).min(time_left)
+        let recent_setups = Span::from_seconds(SETUP_TIME_MULTIPLE * self.traffic.setup_time);
+        time_left.times(TIMEOUT_SHARE).max(setup_target).max(recent_setups).min(time_left)
     }
 
     /// Books an attempt at a host.
--- a/src/node/eligibility.rs
+++ b/src/node/eligibility.rs
@@ -7,6 +7,10 @@
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 
+/// Ticks kept back before a deadline: what happens at the deadline itself is seen a tick later, and the answer must still
+/// be in time.
+const RESERVED_TICKS: f64 = 2.0;
+
 impl Node {
     /// Ends a call that cannot succeed any more; lets it wait while too many setups are in progress.
     pub(super) fn check_eligibility(&mut self, call_index: CallIndex, _: &mut dyn Port) -> StageResult {
@@ -44,10 +48,9 @@
         self.calls[call_index].attempts == 0 || self.retries.allows_retry(&self.settings, self.now)
     }
 
-    /// Time for another attempt. Two ticks are kept back: what happens at the deadline itself is seen a tick later, and
-    /// the answer must still be in time.
+    /// Time for another attempt.
     pub(super) fn time_left(&self, call_index: CallIndex) -> Span {
-        let reserve = self.settings.tick.times(2.0);
+        let reserve = self.settings.tick.times(RESERVED_TICKS);
         (self.calls[call_index].call.guard - reserve).since(self.now)
     }
 }
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -7,6 +7,14 @@
 
 /// What a host pays once for a group, in connections. Deployments do not tell; 1 to 9 were tried.
 const GROUP_COST: f64 = 5.0;
+/// Other nodes' connections count twice where the list tells them: as connections, and as the load that comes with them,
+/// which the list does not tell.
+const REMOTE_CONNECTION_WEIGHT: f64 = 2.0;
+/// Least size of a host, so that sizes can be divided by.
+const MIN_SIZE: f64 = 1e-6;
+/// Least load of a call, as a part of the mean, when its worth is judged.
+const MIN_LOAD_SHARE: f64 = 0.1;
+
 impl Node {
     /// Own connections plus smoothed load, in connections of the mean load.
     ///
@@ -20,7 +28,7 @@
         let Some(remote) = self.sizes.remote_connections(host) else { return own };
         let node_count = f64::from(self.settings.nodes.max(1));
         let since_list = host.attempts_since_list[0] + host.attempts_since_list[1];
-        (own + 2.0 * remote) / node_count + self.settings.remote_share() * since_list
+        (own + REMOTE_CONNECTION_WEIGHT * remote) / node_count + self.settings.remote_share() * since_list
     }
 
     /// The score for each unit of size, raised while the host is overloaded. Hosts of another zone carry load of their
@@ -93,7 +101,7 @@
 
     /// What the host can do by now.
     pub(super) fn size(&self, host: HostIndex) -> f64 {
-        self.hosts[host].size.0.max(1e-6) * self.slow_start_share(host)
+        self.hosts[host].size.0.max(MIN_SIZE) * self.slow_start_share(host)
     }
 
     /// What the host carries for this node now, in connections of the mean load.
@@ -117,7 +125,7 @@
         let call = &self.calls[call_index];
         let class = call.class_index();
         let known_load = call.load.unwrap_or(self.loads.mean_by_class[class]);
-        let load = known_load.max(0.1 * self.loads.mean).max(1e-9);
+        let load = known_load.max(MIN_LOAD_SHARE * self.loads.mean).max(1e-9);
         self.settings.traffic[class].revenue / load
     }
 }
--- a/src/node/tick.rs
+++ b/src/node/tick.rs
@@ -57,7 +57,7 @@
     }
 
     /// Refreshes the sums over the fleet.
-    pub(super) fn update_fleet_estimate(&mut self) {
+    fn update_fleet_estimate(&mut self) {
         let mut local_load = 0.0;
         let mut local_size = 0.0;
         let mut open_size = 0.0;
