--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 use glendeck_fleet::consensus::Voter;
-use glendeck_fleet::hosts::{EndpointState, HostLine};
+use glendeck_fleet::hosts::{EndpointState, HostUpdate, ListedHost};
 use glendeck_fleet::message::{
     DurableMark, Echo, Envelope, Heartbeat, HeartbeatReply, Hello, LogPosition, LogStep, LogUpdate, Message,
     VERSION, VoterStatus,
@@ -58,6 +58,10 @@
     Place { zone: "z1".into(), cell: "3".into(), kind: "large".into() }
 }
 
+fn listed(endpoint_state: EndpointState) -> Option<ListedHost> {
+    Some(ListedHost { place: place(), endpoint_state })
+}
+
 fn commands() -> Vec<(&'static str, Command)> {
     vec![
         ("found", Command::Bootstrap(Box::new(policy()))),
@@ -85,11 +89,11 @@
         (
             "hosts",
             Command::UpdateHosts {
-                lines: vec![
-                    HostLine { host: unit("h1"), said: Some((place(), EndpointState::Ready)) },
-                    HostLine { host: unit("h2"), said: Some((place(), EndpointState::Draining)) },
-                    HostLine { host: unit("h3"), said: Some((place(), EndpointState::Gone)) },
-                    HostLine { host: unit("h4"), said: None },
+                updates: vec![
+                    HostUpdate { host: unit("h1"), listed: listed(EndpointState::Ready) },
+                    HostUpdate { host: unit("h2"), listed: listed(EndpointState::Draining) },
+                    HostUpdate { host: unit("h3"), listed: listed(EndpointState::Gone) },
+                    HostUpdate { host: unit("h4"), listed: None },
                 ],
             },
         ),
@@ -320,3 +324,29 @@
     }
     assert_eq!(SHOWN.lines().count(), now.lines().count(), "as played now:\n{now}");
 }
+
+/// Each is what the older program wrote for the defaults, and for every other word that the keys take.
+const PLANS: [&str; 2] = [
+    r#"{"version":"v2","units":[],"waves":[1,"10%","100%"],"watch_s":10,"unit_limit_s":120,"act":"exit","on_halt":"hold","gates":{"failures_per_thousand":20,"busy_per_thousand":100,"least_calls":20,"most_lost":0,"waiting":null,"hosts_down":null}}"#,
+    r#"{"version":"v2","units":["a"],"waves":["12.5%",3],"watch_s":3,"unit_limit_s":30,"act":"drain","on_halt":"return","gates":{"failures_per_thousand":1,"busy_per_thousand":2,"least_calls":3,"most_lost":4,"waiting":5,"hosts_down":6}}"#,
+];
+
+#[test]
+fn release_plans_keep_their_keys_and_words() {
+    let minimal: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("only the version is needed");
+    assert_eq!(serde_json::to_string(&minimal).expect("a plan is plain"), PLANS[0]);
+    for recorded in PLANS {
+        let plan: Plan = serde_json::from_str(recorded).expect("a recorded plan is read");
+        assert_eq!(serde_json::to_string(&plan).expect("a plan is plain"), recorded);
+    }
+}
+
+#[test]
+fn plan_files_keep_their_keys() {
+    for (act, on_halt) in [("exit", "hold"), ("drain", "return")] {
+        let text = format!(r#"{{"version": "v2", "act": "{act}", "on_halt": "{on_halt}"}}"#);
+        let plan: Plan = serde_json::from_str(&text).expect("the documented keys are read");
+        let written = serde_json::to_value(&plan).expect("a plan is plain");
+        assert_eq!((&written["act"], &written["on_halt"]), (&act.into(), &on_halt.into()));
+    }
+}
