--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -1,10 +1,11 @@
 //! What happens to calls and attempts, as the host of the node reports it.
 
-use super::{Node, QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
+use super::Node;
 use crate::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, News, Span, Time, TimerToken};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 use crate::state::host::HostIndex;
+use crate::state::timers::{QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
 
 /// A queue timer that fires so much early counts as due.
 const TIMER_TOLERANCE: Span = Span(1000);
@@ -50,13 +51,12 @@
         self.hosts[host].pending_setups -= 1;
         self.record_setup_time(call_index, Some(took));
         self.setup_limit.in_progress -= 1;
-        self.hosts[host].reject_backoff = Span::ZERO;
-        self.record_success(host);
+        self.hosts[host].outlier.record_success();
         let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
         // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
         // long, a message is late too.
         if !self.settings.reports_message_times {
-            let excess = self.hosts[host].record_setup_excess(took.seconds() - allowed_time);
+            let excess = self.hosts[host].overload.record_setup_excess(took.seconds() - allowed_time);
             self.record_message_time(host, excess, port);
         }
     }
