--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! The core protocol in all its orders: two nodes, two replicas, one client with one once-only work. Words come in any
-//! order, get lost or come twice; the first node dies, or the client leaves it too early; a replica forgets; the first
-//! node is called lost, and each hears of that at a moment of its own; time passes at any moment.
+//! The core of the protocol in all orders of events: two nodes, two replicas, one client with one non-idempotent work.
+//! Messages arrive in any order, get lost or arrive twice; the first node dies, or the client leaves it too early; a replica
+//! restarts; the first node is declared lost, and each node learns of that at a time of its own; time passes at any moment.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -18,35 +18,35 @@
 const B: usize = 1;
 const REPLICAS: [usize; 2] = [2, 3];
 const CALL: u64 = 1;
-const RECALL: u64 = 4_000;
-const LONGEST: u64 = 1_500;
+const RETENTION_MS: u64 = 4_000;
+const LONGEST_CALL_MS: u64 = 1_500;
 /// One step of time: longer than a record is left alone.
-const PASSES: u64 = 700;
+const TIME_STEP_MS: u64 = 700;
 
 fn name(at: usize) -> UnitName {
     UnitName(NAMES[at].into())
 }
 
 #[derive(Clone)]
-struct Spot {
+struct State {
     now: u64,
     nodes: Vec<Option<Takeover>>,
-    /// From, to, word.
+    /// Sender, receiver, message.
     net: Vec<(usize, usize, ReplicaMessage)>,
     term: u64,
     /// What each knows of it.
-    heard: Vec<u64>,
+    known_terms: Vec<u64>,
     /// Which nodes have the call in hand, and whether an attempt may have run there.
     in_hand: BTreeMap<usize, bool>,
-    came_again: bool,
+    has_repeated: bool,
     ran: u32,
     answered: Vec<(usize, &'static str)>,
     lost: u32,
-    doubled: u32,
-    forgot: u32,
+    duplicated: u32,
+    restart_count: u32,
 }
 
-impl Spot {
+impl State {
     fn text(&self) -> String {
         let mut net: Vec<String> = self.net.iter().map(|message| format!("{message:?}")).collect();
         net.sort();
@@ -55,14 +55,14 @@
             self.now,
             self.nodes,
             self.term,
-            self.heard,
+            self.known_terms,
             self.in_hand,
-            self.came_again,
+            self.has_repeated,
             self.ran,
             self.answered,
             self.lost,
-            self.doubled,
-            self.forgot
+            self.duplicated,
+            self.restart_count
         )
     }
 
@@ -75,11 +75,11 @@
             voter_slots: REPLICAS.map(name).to_vec(),
             version: 0,
             hears_leader: true,
-            terms: [(name(A), self.heard[at])].into(),
+            terms: [(name(A), self.known_terms[at])].into(),
         }
     }
 
-    fn act(&mut self, at: usize) {
+    fn carry_out(&mut self, at: usize) {
         let Some(takeover) = &mut self.nodes[at] else { return };
         let now = Timestamp::ms(self.now);
         for action in takeover.take_actions() {
@@ -92,33 +92,33 @@
                     self.ran += 1;
                     self.in_hand.insert(at, true);
                 }
-                Action::Admit(_, None) => self.intend(at),
+                Action::Admit(_, None) => self.replicate_intent(at),
                 Action::InFlightElsewhere(_) => {
                     if let Some(takeover) = &mut self.nodes[at] {
-                        takeover.call_repeated(now, CALL, WorkId(1), LONGEST);
+                        takeover.call_repeated(now, CALL, WorkId(1), LONGEST_CALL_MS);
                     }
-                    self.act(at);
+                    self.carry_out(at);
                 }
                 // Once-only: what may have run is released.
-                Action::Admit(_, Some(_)) | Action::Fail(_) => self.answer(at, "released"),
-                Action::NotReplicated(_) => self.answer(at, "busy"),
+                Action::Admit(_, Some(_)) | Action::Fail(_) => self.answer(at, "failed"),
+                Action::NotReplicated(_) => self.answer(at, "rejected"),
             }
         }
     }
 
-    fn intend(&mut self, at: usize) {
+    fn replicate_intent(&mut self, at: usize) {
         let now = self.timestamp();
         let attempt = Attempt {
             work: WorkId(1),
             host: 7,
             prior: None,
-            remaining_ms: LONGEST,
-            send_before: now.plus_ms(LONGEST),
+            remaining_ms: LONGEST_CALL_MS,
+            send_before: now.plus_ms(LONGEST_CALL_MS),
         };
         if let Some(takeover) = &mut self.nodes[at] {
             takeover.replicate_intent(now, CALL, attempt);
         }
-        self.act(at);
+        self.carry_out(at);
     }
 
     fn answer(&mut self, at: usize, what: &'static str) {
@@ -129,25 +129,25 @@
         if let Some(takeover) = &mut self.nodes[at] {
             takeover.call_ended(now, CALL, outcome);
         }
-        self.act(at);
+        self.carry_out(at);
     }
 }
 
-impl PartialEq for Spot {
-    fn eq(&self, other: &Spot) -> bool {
+impl PartialEq for State {
+    fn eq(&self, other: &State) -> bool {
         self.text() == other.text()
     }
 }
 
-impl Eq for Spot {}
+impl Eq for State {}
 
-impl Hash for Spot {
+impl Hash for State {
     fn hash<H: Hasher>(&self, to: &mut H) {
         self.text().hash(to);
     }
 }
 
-impl std::fmt::Debug for Spot {
+impl std::fmt::Debug for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} s, ran {}, answered {:?}", self.now as f64 / 1e3, self.ran, self.answered)
     }
@@ -155,171 +155,181 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Event {
-    Arrives(usize),
-    Lost(usize),
-    Twice(usize),
-    Passes,
+    MessageArrives(usize),
+    MessageLost(usize),
+    Duplicated(usize),
+    TimePasses,
     /// The first node answers what its attempt brought.
     Answers,
     Dies,
     /// The client leaves the first node, which does not notice, and comes to the second.
-    ComesAgain,
-    Forgets(usize),
-    IntentVerdict,
-    Hears(usize),
+    ClientRepeats,
+    Restarts(usize),
+    DeclaredLost,
+    LearnsTerm(usize),
 }
 
 struct Core {
     fault: Option<InjectedFault>,
     steps_of_time: u64,
     losses: u32,
-    doubles: u32,
-    forgets: u32,
-    verdicts: u64,
+    duplicates: u32,
+    restarts: u32,
+    losses_of_node: u64,
 }
 
 impl Model for Core {
-    type State = Spot;
+    type State = State;
     type Action = Event;
 
-    fn init_states(&self) -> Vec<Spot> {
+    fn init_states(&self) -> Vec<State> {
         inject(self.fault);
-        // Keepers have been there for long.
+        // Replicas have been up for long.
         let start = Timestamp::ms(90_000_000);
         let nodes = (0..4).map(|at| {
-            Some(Takeover::new(start, name(at), Incarnation(at as u64 + 1), at as u64, RECALL, LONGEST))
+            Some(Takeover::new(
+                start,
+                name(at),
+                Incarnation(at as u64 + 1),
+                at as u64,
+                RETENTION_MS,
+                LONGEST_CALL_MS,
+            ))
         });
-        let mut spot = Spot {
+        let mut state = State {
             now: 90_060_000,
             nodes: nodes.collect(),
             net: vec![],
             term: 0,
-            heard: vec![0; 4],
+            known_terms: vec![0; 4],
             in_hand: [(A, false)].into(),
-            came_again: false,
+            has_repeated: false,
             ran: 0,
             answered: vec![],
             lost: 0,
-            doubled: 0,
-            forgot: 0,
+            duplicated: 0,
+            restart_count: 0,
         };
         for at in 0..4 {
-            let view = spot.view(at);
-            // Their seats were given at the beginning.
-            spot.nodes[at].as_mut().unwrap().membership_changed(start, view);
+            let view = state.view(at);
+            // They have held their voter slots from the start.
+            state.nodes[at].as_mut().unwrap().membership_changed(start, view);
         }
-        spot.intend(A);
-        vec![spot]
+        state.replicate_intent(A);
+        vec![state]
     }
 
-    fn actions(&self, spot: &Spot, actions: &mut Vec<Event>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Event>) {
         inject(self.fault);
-        for at in 0..spot.net.len() {
-            // The same word from the same node to the same is the same event.
-            if spot.net[..at].contains(&spot.net[at]) {
+        for at in 0..state.net.len() {
+            // Equal messages between the same nodes are the same event.
+            if state.net[..at].contains(&state.net[at]) {
                 continue;
             }
-            actions.push(Event::Arrives(at));
-            if spot.lost < self.losses {
-                actions.push(Event::Lost(at));
+            actions.push(Event::MessageArrives(at));
+            if state.lost < self.losses {
+                actions.push(Event::MessageLost(at));
             }
-            if spot.doubled < self.doubles {
-                actions.push(Event::Twice(at));
+            if state.duplicated < self.duplicates {
+                actions.push(Event::Duplicated(at));
             }
         }
-        if spot.now < 90_060_000 + self.steps_of_time * PASSES {
-            actions.push(Event::Passes);
+        if state.now < 90_060_000 + self.steps_of_time * TIME_STEP_MS {
+            actions.push(Event::TimePasses);
         }
-        if spot.nodes[A].is_some() {
+        if state.nodes[A].is_some() {
             actions.push(Event::Dies);
-            if spot.in_hand.get(&A) == Some(&true) {
+            if state.in_hand.get(&A) == Some(&true) {
                 actions.push(Event::Answers);
             }
         }
-        if !spot.came_again {
-            actions.push(Event::ComesAgain);
+        if !state.has_repeated {
+            actions.push(Event::ClientRepeats);
         }
         // Where both may forget, only after something has run: there are too many orders else.
-        if spot.forgot < self.forgets && (self.forgets < 2 || spot.ran > 0 && spot.nodes[A].is_none()) {
-            actions.extend(REPLICAS.map(Event::Forgets));
+        if state.restart_count < self.restarts
+            && (self.restarts < 2 || state.ran > 0 && state.nodes[A].is_none())
+        {
+            actions.extend(REPLICAS.map(Event::Restarts));
         }
-        if spot.term < self.verdicts {
-            actions.push(Event::IntentVerdict);
+        if state.term < self.losses_of_node {
+            actions.push(Event::DeclaredLost);
         }
-        actions.extend((0..4).filter(|at| spot.heard[*at] < spot.term).map(Event::Hears));
+        actions.extend((0..4).filter(|at| state.known_terms[*at] < state.term).map(Event::LearnsTerm));
     }
 
-    fn next_state(&self, last: &Spot, event: Event) -> Option<Spot> {
+    fn next_state(&self, last: &State, event: Event) -> Option<State> {
         inject(self.fault);
-        let mut spot = last.clone();
-        let now = spot.timestamp();
+        let mut state = last.clone();
+        let now = state.timestamp();
         match event {
-            Event::Arrives(at) => {
-                let (from, to, message) = spot.net.remove(at);
-                if let Some(takeover) = &mut spot.nodes[to] {
+            Event::MessageArrives(at) => {
+                let (from, to, message) = state.net.remove(at);
+                if let Some(takeover) = &mut state.nodes[to] {
                     takeover.message_received(now, &name(from), message);
                 }
-                spot.act(to);
+                state.carry_out(to);
             }
-            Event::Lost(at) => {
-                spot.net.remove(at);
-                spot.lost += 1;
+            Event::MessageLost(at) => {
+                state.net.remove(at);
+                state.lost += 1;
             }
-            Event::Twice(at) => {
-                let message = spot.net[at].clone();
-                spot.net.push(message);
-                spot.doubled += 1;
+            Event::Duplicated(at) => {
+                let message = state.net[at].clone();
+                state.net.push(message);
+                state.duplicated += 1;
             }
-            Event::Passes => {
-                spot.now += PASSES;
-                let now = spot.timestamp();
+            Event::TimePasses => {
+                state.now += TIME_STEP_MS;
+                let now = state.timestamp();
                 for at in 0..4 {
-                    if let Some(takeover) = &mut spot.nodes[at] {
+                    if let Some(takeover) = &mut state.nodes[at] {
                         takeover.tick(now);
                     }
-                    spot.act(at);
+                    state.carry_out(at);
                 }
             }
-            Event::Answers => spot.answer(A, "up"),
+            Event::Answers => state.answer(A, "up"),
             Event::Dies => {
-                spot.nodes[A] = None;
-                spot.in_hand.remove(&A);
+                state.nodes[A] = None;
+                state.in_hand.remove(&A);
             }
-            Event::ComesAgain => {
-                spot.came_again = true;
-                spot.in_hand.insert(B, false);
-                if let Some(takeover) = &mut spot.nodes[B] {
-                    takeover.call_repeated(now, CALL, WorkId(1), LONGEST);
+            Event::ClientRepeats => {
+                state.has_repeated = true;
+                state.in_hand.insert(B, false);
+                if let Some(takeover) = &mut state.nodes[B] {
+                    takeover.call_repeated(now, CALL, WorkId(1), LONGEST_CALL_MS);
                 }
-                spot.act(B);
+                state.carry_out(B);
             }
-            Event::Forgets(at) => {
+            Event::Restarts(at) => {
                 let incarnation = Incarnation(100 + at as u64);
-                let mut fresh = Takeover::new(now, name(at), incarnation, at as u64, RECALL, LONGEST);
-                fresh.membership_changed(now, spot.view(at));
-                spot.nodes[at] = Some(fresh);
-                spot.forgot += 1;
+                let mut fresh =
+                    Takeover::new(now, name(at), incarnation, at as u64, RETENTION_MS, LONGEST_CALL_MS);
+                fresh.membership_changed(now, state.view(at));
+                state.nodes[at] = Some(fresh);
+                state.restart_count += 1;
             }
-            Event::IntentVerdict => spot.term = 1,
-            Event::Hears(at) => {
-                spot.heard[at] = spot.term;
-                let view = spot.view(at);
-                if let Some(takeover) = &mut spot.nodes[at] {
+            Event::DeclaredLost => state.term = 1,
+            Event::LearnsTerm(at) => {
+                state.known_terms[at] = state.term;
+                let view = state.view(at);
+                if let Some(takeover) = &mut state.nodes[at] {
                     takeover.membership_changed(now, view);
                 }
             }
         }
-        Some(spot)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("once", |_, spot: &Spot| spot.ran <= 1),
-            Property::sometimes("the second node serves it", |_, spot: &Spot| {
-                spot.ran == 1 && spot.in_hand.get(&B) == Some(&true)
+            Property::always("once", |_, state: &State| state.ran <= 1),
+            Property::sometimes("the second node serves it", |_, state: &State| {
+                state.ran == 1 && state.in_hand.get(&B) == Some(&true)
             }),
-            Property::sometimes("the second node releases it", |_, spot: &Spot| {
-                spot.answered.contains(&(B, "released"))
+            Property::sometimes("the second node fails it", |_, state: &State| {
+                state.answered.contains(&(B, "failed"))
             }),
         ]
     }
@@ -335,14 +345,15 @@
     (states, breach)
 }
 
-const SOUND: Core = Core { fault: None, steps_of_time: 0, losses: 0, doubles: 0, forgets: 0, verdicts: 0 };
+const SOUND: Core =
+    Core { fault: None, steps_of_time: 0, losses: 0, duplicates: 0, restarts: 0, losses_of_node: 0 };
 
 #[test_case(Core { steps_of_time: 2, ..SOUND }; "time passes")]
-#[test_case(Core { steps_of_time: 1, losses: 1, ..SOUND }; "a word is lost")]
-#[test_case(Core { doubles: 1, ..SOUND }; "a word comes twice")]
-#[test_case(Core { steps_of_time: 1, forgets: 1, ..SOUND }; "a keeper forgets")]
-#[test_case(Core { steps_of_time: 1, verdicts: 1, ..SOUND }; "a node is called lost")]
-fn in_every_order_of_events_the_work_runs_once(core: Core) {
+#[test_case(Core { steps_of_time: 1, losses: 1, ..SOUND }; "a message is lost")]
+#[test_case(Core { duplicates: 1, ..SOUND }; "a message arrives twice")]
+#[test_case(Core { steps_of_time: 1, restarts: 1, ..SOUND }; "a replica restarts")]
+#[test_case(Core { steps_of_time: 1, losses_of_node: 1, ..SOUND }; "a node is declared lost")]
+fn the_work_runs_once_in_every_order_of_events(core: Core) {
     let (states, breach) = states(core);
     println!("{states} states");
     assert!(!breach && states > 500, "{states} states, breach {breach}");
@@ -351,8 +362,8 @@
 #[test_case(InjectedFault::SendBeforeReplicated, SOUND)]
 #[test_case(InjectedFault::SingleReplicaSuffices, SOUND)]
 #[test_case(InjectedFault::ConflictAccepted, SOUND)]
-#[test_case(InjectedFault::AnswersWithoutHistory, Core { forgets: 2, ..SOUND })]
-fn without_its_guards_it_runs_twice(fault: InjectedFault, core: Core) {
+#[test_case(InjectedFault::AnswersWithoutHistory, Core { restarts: 2, ..SOUND })]
+fn the_work_runs_twice_with_an_injected_fault(fault: InjectedFault, core: Core) {
     let breach = states(Core { fault: Some(fault), ..core }).1;
     inject(None);
     assert!(breach, "{fault:?}");
--- a/crates/takeover/tests/schedules.rs
+++ b/crates/takeover/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Days of faults in simulated time: nodes that keep intents at each other, hosts that run what they are sent, clients
-//! that come again elsewhere. What is true is what hosts ran and clients heard.
+//! Days of faults in simulated time: nodes that replicate intents, hosts that run what they are sent, clients that repeat
+//! calls at other nodes. The truth is what hosts ran and what clients were answered.
 
 mod world;
 
@@ -38,13 +38,13 @@
     world
 }
 
-/// `SEEDS=from..to` plays others, `LOOK=seed` tells one day in full.
+/// `SEEDS=from..to` plays others, `LOOK=seed` prints the log of one day.
 #[test]
-fn drawn_days() {
+fn no_work_runs_twice_on_drawn_days() {
     if let Some(seed) = std::env::var("LOOK").ok().and_then(|seed| seed.parse().ok()) {
         let world = play(seed, true);
-        world.log.iter().for_each(|line| println!("{line}"));
-        return println!("{:?} {:?}", world.broken, world.seen);
+        world.log_lines.iter().for_each(|line| println!("{line}"));
+        return println!("{:?} {:?}", world.violation, world.totals);
     }
     let given = std::env::var("SEEDS").ok();
     let (from, to) = given
@@ -54,7 +54,7 @@
         .unwrap_or((0, 3_000));
     let days = in_parallel(from, to, |seed| {
         let world = play(seed, false);
-        Some((world.broken.clone(), world.seen))
+        Some((world.violation.clone(), world.totals))
     });
     let broken: Vec<_> = days.iter().filter_map(|(seed, (why, _))| Some((seed, why.as_ref()?))).collect();
     assert!(
@@ -64,7 +64,7 @@
         to - from,
         &broken[..broken.len().min(8)]
     );
-    let mut all = world::Seen::default();
+    let mut all = world::Totals::default();
     days.iter().for_each(|(_, (_, seen))| all.add(seen));
     println!("{} days: {all:?}", to - from);
     // A checker that sees nothing happen proves nothing.
@@ -72,16 +72,16 @@
 }
 
 /// Each injected fault is caught on a drawn day.
-#[test_case(InjectedFault::SendBeforeReplicated; "a leg that goes before its intent is kept")]
-#[test_case(InjectedFault::SingleReplicaSuffices; "one keeper's word is enough")]
-#[test_case(InjectedFault::SendAfterWindow; "what was kept long ago lets a leg go")]
-#[test_case(InjectedFault::NoFencing; "intents of older terms are taken")]
+#[test_case(InjectedFault::SendBeforeReplicated; "an attempt sent before its intent is replicated")]
+#[test_case(InjectedFault::SingleReplicaSuffices; "one replica is taken for a majority")]
+#[test_case(InjectedFault::SendAfterWindow; "an intent replicated long ago lets an attempt be sent")]
+#[test_case(InjectedFault::NoFencing; "intents of older terms are accepted")]
 #[test_case(InjectedFault::RecordDroppedOnAnswer; "a record dropped with its answer")]
-#[test_case(InjectedFault::AnswersWithoutHistory; "a keeper that began just now answers for repeats")]
-#[test_case(InjectedFault::ConflictAccepted; "two that come at once are both taken")]
+#[test_case(InjectedFault::AnswersWithoutHistory; "a replica that just started answers queries")]
+#[test_case(InjectedFault::ConflictAccepted; "two repeats at once are both accepted")]
 #[test_case(InjectedFault::OpenRecordTakenOver; "a record taken over while it is open")]
 #[test_case(InjectedFault::WindowFromRepeat; "a window that counts from the repeat")]
-fn is_injected(fault: InjectedFault) {
+fn an_injected_fault_is_caught(fault: InjectedFault) {
     let caught = std::sync::atomic::AtomicBool::new(false);
     let found = in_parallel(0, 6_000, |seed| {
         if caught.load(std::sync::atomic::Ordering::Relaxed) {
@@ -89,7 +89,7 @@
         }
         inject(Some(fault));
         // What is done twice counts here, not what is late.
-        let broken = play(seed, false).broken.filter(|why| !why.contains("parked"));
+        let broken = play(seed, false).violation.filter(|why| !why.contains("parked"));
         inject(None);
         caught.fetch_or(broken.is_some(), std::sync::atomic::Ordering::Relaxed);
         broken
@@ -98,33 +98,33 @@
     assert!(!found.is_empty(), "{fault:?} is not caught");
 }
 
-/// Bits turned over between nodes: with sums such words are lost, without them works are done twice.
+/// Messages with flipped bits: with checksums they are lost, without them works run twice.
 #[test_case(true, 1_000)]
 #[test_case(false, 3_000)]
-fn words_are_damaged(sums: bool, days: u64) {
+fn flipped_bits_do_harm_only_without_checksums(sums: bool, days: u64) {
     let broken = in_parallel(0, days, |seed| {
         let mut world = World::new(seed, Day::draw(seed));
         world.damaged = (10, sums);
         world.run();
-        world.broken.filter(|why| !why.contains("parked"))
+        world.violation.filter(|why| !why.contains("parked"))
     });
     println!("sums {sums}: {} of {days} days broken, {:?}", broken.len(), broken.first());
     assert_eq!(broken.is_empty(), sums, "{:?}", broken.first());
 }
 
 #[test]
-fn the_same_events_give_the_same_day() {
-    let trace = || play(11, true).log;
+fn the_same_seed_gives_the_same_log() {
+    let trace = || play(11, true).log_lines;
     assert_eq!(trace(), trace());
 }
 
-/// Without faults every call is served, and nothing is kept for longer than it may matter.
+/// Without faults every call is served, and no record outlives its retention.
 #[test]
-fn a_calm_day_serves_all_and_forgets() {
+fn a_calm_day_serves_all_calls_and_all_records_expire() {
     let mut world = World::new(1, Day::calm());
     world.run();
-    assert_eq!(world.broken, None);
-    assert!(world.seen.up == 70 && world.seen.released == 0, "{:?}", world.seen);
+    assert_eq!(world.violation, None);
+    assert!(world.totals.up == 70 && world.totals.released == 0, "{:?}", world.totals);
     world.idle(60_000);
-    assert_eq!(world.held(), 0);
+    assert_eq!(world.record_count(), 0);
 }
--- a/crates/takeover/tests/warm_state.rs
+++ b/crates/takeover/tests/warm_state.rs
@@ -16,7 +16,7 @@
 use test_case::test_case;
 
 const NODES: usize = 6;
-const SEATS: usize = 3;
+const VOTERS: usize = 3;
 /// A link that brings nothing is given up after so long, in ms.
 const SILENT: u64 = 3_500;
 /// This group stands for no group: its host counts what its node has said.
@@ -24,7 +24,7 @@
 
 enum Event {
     Tick,
-    WarmStateMessage(usize, u64, usize, WarmStateMessage),
+    MessageArrives(usize, u64, usize, WarmStateMessage),
     Fault(Fault),
 }
 
@@ -32,18 +32,18 @@
 enum Fault {
     Kill(usize),
     Start(usize),
-    Part(usize),
+    Drain(usize),
     /// Nothing comes through until then; or the link is reset.
     Cut(usize, usize, u64),
     Reset(usize, usize),
 }
 
 struct Node {
-    warm_states: Option<WarmStateExchange>,
+    exchange: Option<WarmStateExchange>,
     incarnation: u64,
     since: u64,
-    parting: bool,
-    next_tell: u64,
+    is_draining: bool,
+    next_publish_at: u64,
     hints: Hints,
     said: u64,
 }
@@ -65,7 +65,7 @@
     told: BTreeMap<(usize, u64, usize, u64), u64>,
     kills: Vec<(u64, usize, u64)>,
     heard: u64,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 fn name(at: usize) -> UnitName {
@@ -77,7 +77,7 @@
 }
 
 fn view() -> View {
-    View { voter_slots: (0..SEATS).map(name).collect(), hears_leader: true, ..View::default() }
+    View { voter_slots: (0..VOTERS).map(name).collect(), hears_leader: true, ..View::default() }
 }
 
 /// Of which process it is, and the so-manieth that it said.
@@ -95,11 +95,11 @@
 impl World {
     fn new(seed: u64, noise: [u64; 2], faults: Vec<(u64, Fault)>) -> World {
         let fresh = |_| Node {
-            warm_states: None,
+            exchange: None,
             incarnation: 0,
             since: 0,
-            parting: false,
-            next_tell: 0,
+            is_draining: false,
+            next_publish_at: 0,
             hints: Hints::new(),
             said: 0,
         };
@@ -117,11 +117,11 @@
             told: BTreeMap::new(),
             kills: Vec::new(),
             heard: 0,
-            broken: None,
+            violation: None,
         };
         (0..NODES).for_each(|at| world.start(at));
-        faults.into_iter().for_each(|(at, fault)| world.at(at, Event::Fault(fault)));
-        world.at(0, Event::Tick);
+        faults.into_iter().for_each(|(at, fault)| world.schedule(at, Event::Fault(fault)));
+        world.schedule(0, Event::Tick);
         world
     }
 
@@ -133,7 +133,7 @@
             let (at, one, other) =
                 (8_000 + roll(40_000), roll(NODES as u64) as usize, roll(NODES as u64) as usize);
             match roll(6) {
-                0 => faults.push((at, Fault::Part(one))),
+                0 => faults.push((at, Fault::Drain(one))),
                 1 if one != other => faults.push((at, Fault::Cut(one, other, 500 + roll(8_000)))),
                 2 if one != other => faults.push((at, Fault::Reset(one, other))),
                 _ => {
@@ -150,7 +150,7 @@
         self.chance.generate_range(0..below)
     }
 
-    fn at(&mut self, ms: u64, event: Event) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.seq += 1;
         self.queue.push(Reverse((self.now + ms, self.seq)));
         self.events.insert(self.seq, event);
@@ -160,21 +160,21 @@
         Timestamp(self.now * 1_000_000)
     }
 
-    fn break_rule(&mut self, text: String) {
+    fn report_violation(&mut self, text: String) {
         let at = self.now - 90_000_000;
-        self.broken.get_or_insert(format!("at {at} ms: {text}"));
+        self.violation.get_or_insert(format!("at {at} ms: {text}"));
     }
 
     fn start(&mut self, at: usize) {
-        if self.nodes[at].warm_states.is_some() {
+        if self.nodes[at].exchange.is_some() {
             return;
         }
         let (timestamp, first) = (self.timestamp(), self.now + self.roll(1_000));
         let node = &mut self.nodes[at];
         node.incarnation += 1;
         let incarnation = Incarnation(node.incarnation * 10 + at as u64);
-        node.warm_states = Some(WarmStateExchange::new(timestamp, name(at), incarnation));
-        (node.since, node.parting, node.next_tell) = (self.now, false, first);
+        node.exchange = Some(WarmStateExchange::new(timestamp, name(at), incarnation));
+        (node.since, node.is_draining, node.next_publish_at) = (self.now, false, first);
         (node.hints, node.said) = (Hints::new(), 0);
     }
 
@@ -183,13 +183,13 @@
         let cut = self.cuts.get(&pair(at, to)).copied().unwrap_or_default();
         let seen = cut.0 <= self.now || self.now < cut.1 + SILENT;
         at != to
-            && (at < SEATS || to < SEATS)
-            && self.nodes[to].warm_states.is_some()
+            && (at < VOTERS || to < VOTERS)
+            && self.nodes[to].exchange.is_some()
             && self.now >= cut.1
             && seen
     }
 
-    fn links(&self, at: usize) -> BTreeSet<UnitName> {
+    fn linked_nodes(&self, at: usize) -> BTreeSet<UnitName> {
         (0..NODES).filter(|to| self.linked(at, *to)).map(name).collect()
     }
 
@@ -200,31 +200,31 @@
             self.now = at;
             match self.events.remove(&seq) {
                 Some(Event::Tick) => self.tick(),
-                Some(Event::WarmStateMessage(to, incarnation, from, said))
+                Some(Event::MessageArrives(to, incarnation, from, said))
                     if self.nodes[to].incarnation == incarnation =>
                 {
                     let timestamp = self.timestamp();
-                    let Some(warm_states) = &mut self.nodes[to].warm_states else { continue };
-                    let acts = warm_states.message_received(timestamp, &name(from), said, &view());
-                    self.act(to, acts);
+                    let Some(exchange) = &mut self.nodes[to].exchange else { continue };
+                    let actions = exchange.message_received(timestamp, &name(from), said, &view());
+                    self.carry_out(to, actions);
                 }
-                Some(Event::Fault(fault)) => self.strike(fault),
+                Some(Event::Fault(fault)) => self.apply_fault(fault),
                 _ => {}
             }
         }
         self.now = until;
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(at) => {
                 let node = &mut self.nodes[at];
-                if node.warm_states.take().is_some() && !node.parting && self.now > node.since + 7_000 {
+                if node.exchange.take().is_some() && !node.is_draining && self.now > node.since + 7_000 {
                     self.kills.push((self.now, at, node.incarnation));
                 }
             }
             Fault::Start(at) => self.start(at),
-            Fault::Part(at) => self.nodes[at].parting = true,
+            Fault::Drain(at) => self.nodes[at].is_draining = true,
             Fault::Cut(one, other, ms) => drop(self.cuts.insert(pair(one, other), (self.now + ms, self.now))),
             // It is back within a tenth of a second.
             Fault::Reset(one, other) => drop(self.cuts.insert(pair(one, other), (0, self.now + 100))),
@@ -234,30 +234,32 @@
     fn tick(&mut self) {
         let timestamp = self.timestamp();
         for at in 0..NODES {
-            let (linked, tells) = (self.links(at), self.now >= self.nodes[at].next_tell);
-            if self.nodes[at].warm_states.is_none() {
+            let (linked, is_publish_due) =
+                (self.linked_nodes(at), self.now >= self.nodes[at].next_publish_at);
+            if self.nodes[at].exchange.is_none() {
                 continue;
             }
-            let mut acts = Vec::new();
-            if tells {
-                self.learn(at);
+            let mut actions = Vec::new();
+            if is_publish_due {
+                self.change_hints(at);
                 let node = &mut self.nodes[at];
-                node.next_tell = self.now + 1_000;
-                if let Some(warm_states) = &mut node.warm_states {
-                    acts = warm_states.publish(timestamp, node.hints.clone(), node.parting, &view(), &linked);
+                node.next_publish_at = self.now + 1_000;
+                if let Some(exchange) = &mut node.exchange {
+                    actions =
+                        exchange.publish(timestamp, node.hints.clone(), node.is_draining, &view(), &linked);
                 }
             }
-            if let Some(warm_states) = &mut self.nodes[at].warm_states {
-                acts.extend(warm_states.tick(timestamp, &linked));
+            if let Some(exchange) = &mut self.nodes[at].exchange {
+                actions.extend(exchange.tick(timestamp, &linked));
             }
-            self.act(at, acts);
+            self.carry_out(at, actions);
         }
-        self.check_keepers();
+        self.check_replicas();
         self.check_kills();
-        self.at(100, Event::Tick);
+        self.schedule(100, Event::Tick);
     }
 
-    fn learn(&mut self, at: usize) {
+    fn change_hints(&mut self, at: usize) {
         for _ in 0..self.roll(4) {
             let (incarnation, which, load) =
                 (self.nodes[at].incarnation, self.roll(20), self.roll(900) as u32);
@@ -277,22 +279,22 @@
         self.history.insert((at, node.incarnation, node.said), node.hints.clone());
     }
 
-    fn act(&mut self, at: usize, acts: Vec<WarmStateAction>) {
-        for act in acts {
+    fn carry_out(&mut self, at: usize, actions: Vec<WarmStateAction>) {
+        for act in actions {
             match act {
                 WarmStateAction::Send(to, said) => self.send(at, number(&to), said),
                 WarmStateAction::Adopt { node, hints } => {
                     let of = number(&node);
                     let hints: Hints = hints.into_iter().map(|known| (known.hint, known.value)).collect();
                     let Some((incarnation, said)) = mark(hints.keys().copied()) else {
-                        self.break_rule(format!("n{at} is told of n{of} what nobody said"));
+                        self.report_violation(format!("n{at} is told of n{of} what nobody said"));
                         continue;
                     };
                     self.heard += 1;
                     self.check_whole(at, of, &hints);
                     let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     if self.told.get(&mine).is_some_and(|before| self.now < before + 4_000) {
-                        self.break_rule(format!("n{at} is told twice of n{of}, said {said}"));
+                        self.report_violation(format!("n{at} is told twice of n{of}, said {said}"));
                     }
                     self.told.insert(mine, self.now);
                 }
@@ -309,10 +311,10 @@
         let (ms, incarnation) = (1 + self.roll(5), self.nodes[to].incarnation);
         if self.roll(100) < twice {
             let later = ms + self.roll(2_500);
-            self.at(later, Event::WarmStateMessage(to, incarnation, from, said.clone()));
+            self.schedule(later, Event::MessageArrives(to, incarnation, from, said.clone()));
         }
         if self.roll(100) >= lost {
-            self.at(ms, Event::WarmStateMessage(to, incarnation, from, said));
+            self.schedule(ms, Event::MessageArrives(to, incarnation, from, said));
         }
     }
 
@@ -323,15 +325,15 @@
         let was = mark(hints.keys().copied())
             .and_then(|(incarnation, said)| self.history.get(&(of, incarnation, said)));
         if was != Some(hints) {
-            self.break_rule(format!("n{at} has of n{of} what it never knew at one moment: {hints:?}"));
+            self.report_violation(format!("n{at} has of n{of} what it never knew at one moment: {hints:?}"));
         }
     }
 
-    fn check_keepers(&mut self) {
-        for at in 0..SEATS {
+    fn check_replicas(&mut self) {
+        for at in 0..VOTERS {
             for of in 0..NODES {
-                let Some(warm_states) = &self.nodes[at].warm_states else { continue };
-                let kept = warm_states.stored_hints(&name(of)).cloned();
+                let Some(exchange) = &self.nodes[at].exchange else { continue };
+                let kept = exchange.stored_hints(&name(of)).cloned();
                 if let Some(hints) = &kept {
                     self.check_whole(at, of, hints);
                 }
@@ -340,7 +342,7 @@
                     let mine = (at, self.nodes[at].incarnation, of, incarnation);
                     let before = self.marks.insert(mine, said);
                     if before.is_some_and(|before| before > said) {
-                        self.break_rule(format!("n{at} goes back from {before:?} to {said} of n{of}"));
+                        self.report_violation(format!("n{at} goes back from {before:?} to {said} of n{of}"));
                     }
                 }
                 // In peace a replica has what was said within the last two seconds, once it has had time to hear all.
@@ -348,14 +350,14 @@
                 let quiet = self.now > one.since.max(other.since) + 7_000
                     && self.cuts.get(&pair(at, of)).is_none_or(|cut| self.now > cut.0.max(cut.1) + 7_000);
                 let keeps = replicas_of(&view(), &name(of)).contains(&name(at));
-                let well = self.noise == [0, 0] && quiet && keeps && other.warm_states.is_some();
+                let well = self.noise == [0, 0] && quiet && keeps && other.exchange.is_some();
                 if well
                     && had.is_none_or(|(incarnation, said)| {
                         incarnation != other.incarnation || said + 2 < other.said
                     })
                 {
                     let (incarnation, said) = (other.incarnation, other.said);
-                    self.break_rule(format!(
+                    self.report_violation(format!(
                         "n{at} has {had:?} of n{of}, whose process {incarnation} said {said}"
                     ));
                 }
@@ -371,23 +373,23 @@
         for (killed, of, incarnation) in due {
             // Back within that, or an uneasy time: nothing is asked.
             let uneasy = self.noise != [0, 0]
-                || self.nodes[of].warm_states.is_some()
+                || self.nodes[of].exchange.is_some()
                 || self.nodes[of].incarnation != incarnation
                 || self.cuts.values().any(|cut| !quiet(cut.0.max(cut.1), killed));
             let replica = replicas_of(&view(), &name(of))
                 .iter()
                 .map(number)
-                .find(|at| self.nodes[*at].warm_states.is_some() && quiet(self.nodes[*at].since, killed));
+                .find(|at| self.nodes[*at].exchange.is_some() && quiet(self.nodes[*at].since, killed));
             let Some(replica) = replica.filter(|_| !uneasy) else { continue };
             for at in (0..NODES).filter(|at| *at != of) {
                 let node = &self.nodes[at];
-                let there = node.warm_states.is_some() && quiet(node.since, killed);
+                let there = node.exchange.is_some() && quiet(node.since, killed);
                 let told = self
                     .told
                     .get(&(at, node.incarnation, of, incarnation))
                     .is_some_and(|told| *told >= killed);
                 if there && !told {
-                    self.break_rule(format!(
+                    self.report_violation(format!(
                         "n{at} is not told of n{of}, killed at {killed}, which n{replica} keeps"
                     ));
                 }
@@ -400,13 +402,13 @@
     let mut world = World::drawn(seed);
     world.run(60_000);
     // All but one replica end: what it keeps of them goes.
-    (1..NODES).for_each(|at| world.strike(Fault::Kill(at)));
+    (1..NODES).for_each(|at| world.apply_fault(Fault::Kill(at)));
     world.start(0);
     world.run(90_000);
     let held =
-        world.nodes[0].warm_states.as_ref().map(|exchange| (exchange.node_count(), exchange.hint_count()));
+        world.nodes[0].exchange.as_ref().map(|exchange| (exchange.node_count(), exchange.hint_count()));
     if held != Some((0, 0)) {
-        world.break_rule(format!("n0 still keeps {held:?}"));
+        world.report_violation(format!("n0 still keeps {held:?}"));
     }
     world
 }
@@ -419,7 +421,7 @@
 
 /// `SEEDS=from..to` plays others.
 #[test]
-fn drawn_days() {
+fn hints_stay_whole_and_losses_are_announced_on_drawn_days() {
     let (seeds, heard) = (seeds(), std::sync::atomic::AtomicU64::new(0));
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get() as u64);
     std::thread::scope(|scope| {
@@ -428,7 +430,7 @@
             scope.spawn(move || {
                 for seed in seeds.filter(|seed| seed % threads == first) {
                     let world = play(seed);
-                    assert_eq!(world.broken, None, "seed {seed}");
+                    assert_eq!(world.violation, None, "seed {seed}");
                     heard.fetch_add(world.heard, std::sync::atomic::Ordering::Relaxed);
                 }
             });
@@ -439,15 +441,15 @@
     assert!(heard > 1_000);
 }
 
-#[test_case(InjectedFault::AnyBaseAccepted; "changes taken in whatever they changed from")]
+#[test_case(InjectedFault::AnyBaseAccepted; "changes applied whatever they are based on")]
 #[test_case(InjectedFault::IncarnationsMixed; "two processes taken for one")]
-#[test_case(InjectedFault::NeverResynchronized; "a keeper that missed something is not told all")]
-#[test_case(InjectedFault::StaleUpdateAccepted; "a late word undoes a later one")]
-#[test_case(InjectedFault::DuplicateNoticeAccepted; "both keepers' words count")]
-#[test_case(InjectedFault::HintsNeverExpire; "what is kept never goes")]
-fn is_injected(fault: InjectedFault) {
+#[test_case(InjectedFault::NeverResynchronized; "a replica that missed an update is never sent the whole")]
+#[test_case(InjectedFault::StaleUpdateAccepted; "a late update undoes a later one")]
+#[test_case(InjectedFault::DuplicateNoticeAccepted; "the notices of both replicas count")]
+#[test_case(InjectedFault::HintsNeverExpire; "hints never expire")]
+fn an_injected_fault_is_caught(fault: InjectedFault) {
     inject(Some(fault));
-    let caught = (0..400).find_map(|seed| play(seed).broken.map(|why| (seed, why)));
+    let caught = (0..400).find_map(|seed| play(seed).violation.map(|why| (seed, why)));
     inject(None);
     println!("{fault:?}: {caught:?}");
     assert!(caught.is_some(), "{fault:?} is not caught");
