--- /dev/null
+++ b/crates/store/tests/stored_format.rs
@@ -0,0 +1,137 @@
+//! The store's file as earlier versions wrote it: `tests/fixtures/store.txt` holds the bytes of one, its rows of
+//! bytes that are not empty, as hexadecimal digits.
+
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
+use glendeck_store::{StoreError, open};
+
+const RECORDED: &str = include_str!("fixtures/store.txt");
+
+const STORE_FILE: &str = "fleet.redb";
+
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Bytes in a line of the fixture.
+const ROW_BYTES: usize = 32;
+
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("glendeck-store-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder for the test");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn writes() -> Vec<StoreWrite> {
+    let mut writes: Vec<StoreWrite> = StoreKey::ALL
+        .iter()
+        .map(|key| StoreWrite::Put(*key, vec![*key as u8 + 1; 5 + *key as usize]))
+        .collect();
+    writes.extend((0..6).map(|index| StoreWrite::Log(index, vec![0xa0 + index as u8; 12 + index as usize])));
+    writes.push(StoreWrite::Cut(4));
+    writes.push(StoreWrite::Remove(StoreKey::Decided));
+    writes
+}
+
+fn expected() -> StoredState {
+    let mut expected = StoredState::default();
+    expected.take(&writes());
+    expected
+}
+
+/// A line for the length, then one for each run of equal rows: the first one's number, how many there are, and the bytes of
+/// one without the zeros at its end. Empty rows are left out.
+fn to_text(bytes: &[u8]) -> String {
+    let rows: Vec<&[u8]> = bytes.chunks(ROW_BYTES).collect();
+    let mut text = format!("length {}\n", bytes.len());
+    let mut number = 0;
+    for run in rows.chunk_by(|row, next| row == next) {
+        let used = run[0].iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+        if used > 0 {
+            let digits: String = run[0][..used].iter().map(|byte| format!("{byte:02x}")).collect();
+            text.push_str(&format!("{number} {} {digits}\n", run.len()));
+        }
+        number += run.len();
+    }
+    text
+}
+
+fn from_text(text: &str) -> Vec<u8> {
+    let mut lines = text.lines();
+    let length = lines.next().and_then(|line| line.strip_prefix("length ")).expect("a length");
+    let mut bytes = vec![0; length.parse().expect("a number")];
+    for line in lines {
+        let [first, count, digits] = line.split(' ').collect::<Vec<_>>()[..] else {
+            panic!("three fields: {line}")
+        };
+        let first: usize = first.parse().expect("a row's number");
+        let count: usize = count.parse().expect("a number of rows");
+        let row = from_digits(digits);
+        for number in first..first + count {
+            let start = number * ROW_BYTES;
+            bytes[start..start + row.len()].copy_from_slice(&row);
+        }
+    }
+    bytes
+}
+
+fn from_digits(digits: &str) -> Vec<u8> {
+    let pairs = (0..digits.len()).step_by(2).map(|start| &digits[start..start + 2]);
+    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
+}
+
+/// What the store holds, once the thread that wrote it has closed it.
+fn saved_once_free(folder: &Path) -> (StoredState, Option<String>) {
+    let opened = loop {
+        match open(folder, None) {
+            Err(StoreError::InUse(_)) => std::thread::sleep(POLL_INTERVAL),
+            other => break other.expect("the store opens"),
+        }
+    };
+    (opened.saved.clone(), opened.spoilt.clone())
+}
+
+#[test]
+fn a_recorded_store_is_read_as_it_was_written() {
+    let folder = Folder::new("recorded");
+    std::fs::write(folder.0.join(STORE_FILE), from_text(RECORDED)).expect("the recorded file is laid out");
+    assert_eq!(saved_once_free(&folder.0), (expected(), None));
+}
+
+#[test]
+fn rows_as_text_are_read_back() {
+    let mut bytes = vec![0; 3 * ROW_BYTES];
+    bytes[7] = 1;
+    bytes[2 * ROW_BYTES + 5] = 0xfe;
+    assert_eq!(from_text(&to_text(&bytes)), bytes);
+}
+
+/// With `RECORD_STORE=path`, the bytes are written there, as a fixture for a new form of the store.
+#[test]
+fn a_store_written_now_holds_the_recorded_values() {
+    let folder = Folder::new("written");
+    let opened = open(&folder.0, None).expect("the store opens");
+    let (wake, _waiting) = UnixStream::pair().expect("a pair of sockets");
+    let store = opened.start(wake).expect("the thread starts");
+    assert!(store.write(1, writes()));
+    while store.outcome().is_none() {
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    drop(store);
+    assert_eq!(saved_once_free(&folder.0), (expected(), None));
+    if let Ok(path) = std::env::var("RECORD_STORE") {
+        let bytes = std::fs::read(folder.0.join(STORE_FILE)).expect("the store's file");
+        std::fs::write(path, to_text(&bytes)).expect("the fixture is written");
+    }
+}
