--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -130,10 +130,10 @@
     };
     let Some(folder) = &settings.folder else { return Ok((setup, None)) };
     let opened = glendeck_store::open(folder, faults)?;
-    if let Some(why) = &opened.spoilt {
+    if let Some(why) = &opened.unreadable {
         error!(%why, "the store cannot be read: set aside, this node votes only under a new seat");
     }
-    (setup.saved, setup.spoilt) = (Some(opened.saved.clone()), opened.spoilt.is_some());
+    (setup.saved, setup.spoilt) = (Some(opened.saved.clone()), opened.unreadable.is_some());
     let (wake, from) = UnixStream::pair()?;
     wake.set_nonblocking(true)?;
     let store = opened.start(from)?;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -8,36 +8,49 @@
 use redb::StorageBackend;
 use redb::backends::FileBackend;
 
-/// What is done in place of the real thing.
+/// What is done in place of a write or sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Instead {
-    /// The real thing.
+    /// Nothing else: the operation is carried out.
     Nothing,
-    /// Nothing is done, and it is said that it was.
+    /// The operation is left out, and reported as done.
     Pretend,
 }
 
-/// A disk's misbehaviour, told before each operation. The product has none.
+/// A disk's misbehaviour, asked for before each operation. Only tests have one.
 pub trait Faults: Debug + Send + Sync {
+    /// Before a write of `data` at `offset`, and with no data before the file's length is set to `offset`.
+    ///
     /// # Errors
     /// What the disk is to answer.
     fn writes(&self, offset: u64, data: &[u8]) -> io::Result<Instead>;
 
+    /// Before a sync.
+    ///
     /// # Errors
     /// What the disk is to answer.
     fn syncs(&self) -> io::Result<Instead>;
 }
 
+/// A file that may misbehave.
 #[derive(Debug)]
-pub struct Disk {
+pub(crate) struct Disk {
     file: FileBackend,
     faults: Option<Arc<dyn Faults>>,
 }
 
 impl Disk {
-    pub fn new(file: File, faults: Option<Arc<dyn Faults>>) -> Result<Disk, redb::Error> {
+    pub(crate) fn new(file: File, faults: Option<Arc<dyn Faults>>) -> Result<Disk, redb::Error> {
         Ok(Disk { file: FileBackend::new(file)?, faults })
     }
+
+    fn before_write(&self, offset: u64, data: &[u8]) -> io::Result<Instead> {
+        self.faults.as_ref().map_or(Ok(Instead::Nothing), |faults| faults.writes(offset, data))
+    }
+
+    fn before_sync(&self) -> io::Result<Instead> {
+        self.faults.as_ref().map_or(Ok(Instead::Nothing), |faults| faults.syncs())
+    }
 }
 
 impl StorageBackend for Disk {
@@ -45,28 +58,28 @@
         self.file.len()
     }
 
-    fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.file.read(offset, out)
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> io::Result<()> {
+        self.file.read(offset, buffer)
     }
 
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        match self.faults.as_ref().map(|faults| faults.writes(len, &[])).transpose()? {
-            Some(Instead::Pretend) => Ok(()),
-            _ => self.file.set_len(len),
+    fn set_len(&self, length: u64) -> io::Result<()> {
+        match self.before_write(length, &[])? {
+            Instead::Pretend => Ok(()),
+            Instead::Nothing => self.file.set_len(length),
         }
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        match self.faults.as_ref().map(|faults| faults.syncs()).transpose()? {
-            Some(Instead::Pretend) => Ok(()),
-            _ => self.file.sync_data(),
+        match self.before_sync()? {
+            Instead::Pretend => Ok(()),
+            Instead::Nothing => self.file.sync_data(),
         }
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        match self.faults.as_ref().map(|faults| faults.writes(offset, data)).transpose()? {
-            Some(Instead::Pretend) => Ok(()),
-            _ => self.file.write(offset, data),
+        match self.before_write(offset, data)? {
+            Instead::Pretend => Ok(()),
+            Instead::Nothing => self.file.write(offset, data),
         }
     }
 
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -1,4 +1,4 @@
-//! A store on disks that fail: each fault brought about on a real file, the verdict by what is read back.
+//! A store on disks that fail: each fault is injected into a real file, and judged by what is read back.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
-use glendeck_store::{Faults, Instead, Outcome, Store, StoreError, open};
+use glendeck_store::{Faults, Instead, Outcome, ReadError, Store, StoreError, open};
 use test_case::test_case;
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
@@ -56,10 +56,10 @@
     }
 }
 
-fn start(folder: &Folder, faults: Option<Arc<dyn Faults>>) -> (Store, StoredState, Option<String>) {
+fn start(folder: &Folder, faults: Option<Arc<dyn Faults>>) -> (Store, StoredState, Option<ReadError>) {
     let until = Instant::now() + Duration::from_secs(5);
     let opened = loop {
-        // The thread of the store before lets go of it soon after its owner has.
+        // The thread of the previous store closes it soon after its owner is gone.
         match open(&folder.0, faults.clone()) {
             Err(StoreError::InUse(_)) if Instant::now() < until => {
                 std::thread::sleep(Duration::from_millis(5))
@@ -67,10 +67,10 @@
             other => break other.unwrap(),
         }
     };
-    let (wake, _kept) = UnixStream::pair().unwrap();
-    let (saved, spoilt) = (opened.saved.clone(), opened.spoilt.clone());
-    std::mem::forget(_kept);
-    (opened.start(wake).unwrap(), saved, spoilt)
+    let (wake, waiting) = UnixStream::pair().unwrap();
+    let (saved, unreadable) = (opened.saved.clone(), opened.unreadable.clone());
+    std::mem::forget(waiting);
+    (opened.start(wake).unwrap(), saved, unreadable)
 }
 
 fn outcome(store: &Store) -> Outcome {
@@ -84,7 +84,7 @@
     }
 }
 
-fn some(number: u8) -> Vec<StoreWrite> {
+fn writes(number: u8) -> Vec<StoreWrite> {
     vec![
         StoreWrite::Put(StoreKey::Stamp, vec![number; 8]),
         StoreWrite::Log(u64::from(number), vec![number; 400]),
@@ -93,36 +93,36 @@
 }
 
 #[test]
-fn what_was_written_is_there() {
+fn a_reopened_store_holds_what_was_written() {
     let folder = Folder::new();
     let (store, saved, _) = start(&folder, None);
     assert_eq!(saved, StoredState::default());
-    let mut want = StoredState::default();
+    let mut expected = StoredState::default();
     for number in 0..20 {
-        assert!(store.write(u64::from(number), some(number)));
+        assert!(store.write(u64::from(number), writes(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
-        want.take(&some(number));
+        expected.take(&writes(number));
     }
     for writes in
         [vec![StoreWrite::Cut(12)], vec![StoreWrite::Log(10, vec![1]), StoreWrite::Remove(StoreKey::Promise)]]
     {
-        want.take(&writes);
+        expected.take(&writes);
         assert!(store.write(99, writes));
         assert_eq!(outcome(&store), Outcome::Written(99));
     }
     drop(store);
-    let (_store, saved, spoilt) = start(&folder, None);
-    assert_eq!((saved, spoilt), (want, None));
+    let (_store, saved, unreadable) = start(&folder, None);
+    assert_eq!((saved, unreadable), (expected, None));
 }
 
 #[test_case(|switch| &switch.fails; "a sync that fails")]
 #[test_case(|switch| &switch.full; "a full disk")]
-fn the_first_failure_is_the_end(of: fn(&Switch) -> &AtomicBool) {
+fn a_store_is_dead_after_the_first_failure(fault: fn(&Switch) -> &AtomicBool) {
     let (folder, switch) = (Folder::new(), Arc::new(Switch::default()));
     let (store, _, _) = start(&folder, Some(switch.clone()));
-    assert!(store.write(1, some(0)));
+    assert!(store.write(1, writes(0)));
     assert_eq!(outcome(&store), Outcome::Written(1));
-    of(&switch).store(true, Ordering::Relaxed);
+    fault(&switch).store(true, Ordering::Relaxed);
     // A full disk shows once the file has to grow.
     let mut batch = 2;
     let dead = loop {
@@ -131,34 +131,34 @@
             Outcome::Dead(why) => break why,
             Outcome::Written(_) => batch += 1,
         }
-        assert!(batch < 40, "it goes on without a word");
+        assert!(batch < 40, "no write fails");
     };
     assert!(!dead.is_empty());
-    of(&switch).store(false, Ordering::Relaxed);
+    fault(&switch).store(false, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(!store.write(batch + 1, some(2)), "a dead store takes nothing, whatever the disk says by now");
+    assert!(!store.write(batch + 1, writes(2)), "a dead store takes nothing, whatever the disk says by now");
 }
 
 #[test]
-fn a_stall_keeps_nobody_who_writes() {
+fn a_stalled_disk_does_not_block_the_writer_of_a_batch() {
     let (folder, switch) = (Folder::new(), Arc::new(Switch::default()));
     let (store, _, _) = start(&folder, Some(switch.clone()));
     switch.stalls.store(true, Ordering::Relaxed);
     let began = Instant::now();
-    assert!(store.write(1, some(0)));
+    assert!(store.write(1, writes(0)));
     assert_eq!(store.outcome(), None);
     assert!(began.elapsed() < Duration::from_millis(300), "took {:?}", began.elapsed());
     assert_eq!(outcome(&store), Outcome::Written(1));
     assert!(began.elapsed() >= Duration::from_millis(700));
 }
 
-/// What a torn write, a flipped bit or a lost end leave is found out; nothing of it is taken for true.
+/// Torn writes, flipped bits and lost ends are detected; nothing of them is taken for what was written.
 #[test]
-fn damage_is_found_out() {
+fn damage_is_detected() {
     let folder = Folder::new();
     let (store, _, _) = start(&folder, None);
     for number in 0..20 {
-        assert!(store.write(u64::from(number), some(number)));
+        assert!(store.write(u64::from(number), writes(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
     }
     drop(store);
@@ -171,16 +171,16 @@
     let spots = (0..bytes.len()).step_by(bytes.len() / 150 + 1).chain((0..320).step_by(16));
     for (at, cut) in spots.map(|at| (at, false)).chain([(bytes.len() / 2, true), (4_096, true), (100, true)])
     {
-        let mut spoilt = bytes.clone();
+        let mut damaged = bytes.clone();
         if cut {
-            spoilt.truncate(at)
+            damaged.truncate(at)
         } else {
-            spoilt[at] ^= 1 << (at % 8)
+            damaged[at] ^= 1 << (at % 8)
         }
-        std::fs::write(&file, &spoilt).unwrap();
+        std::fs::write(&file, &damaged).unwrap();
         let _ = std::fs::remove_file(folder.0.join("fleet.redb.unreadable"));
         let opened = open(&folder.0, None).unwrap();
-        match &opened.spoilt {
+        match &opened.unreadable {
             Some(_) => found += 1,
             // The bit was in no use. Anything else is what was never written, and must not be taken for true.
             None => {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn faults_are_said_clearly() {
+fn a_store_that_cannot_be_opened_says_why() {
     let folder = Folder::new();
     let missing = folder.0.join("none");
     assert!(matches!(open(&missing, None), Err(StoreError::NoFolder(_))));
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
-use glendeck_store::{StoreError, open};
+use glendeck_store::{ReadError, StoreError, open};
 
 const RECORDED: &str = include_str!("fixtures/store.txt");
 
@@ -92,14 +92,14 @@
 }
 
 /// What the store holds, once the thread that wrote it has closed it.
-fn saved_once_free(folder: &Path) -> (StoredState, Option<String>) {
+fn saved_once_free(folder: &Path) -> (StoredState, Option<ReadError>) {
     let opened = loop {
         match open(folder, None) {
             Err(StoreError::InUse(_)) => std::thread::sleep(POLL_INTERVAL),
             other => break other.expect("the store opens"),
         }
     };
-    (opened.saved.clone(), opened.spoilt.clone())
+    (opened.saved.clone(), opened.unreadable.clone())
 }
 
 #[test]
