--- /dev/null
+++ b/crates/settings/src/decode.rs
@@ -0,0 +1,162 @@
+//! From settings by path to typed settings, a function for each section.
+
+use glendeck::domain::{
+    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, Weights, Zone,
+};
+
+use crate::error::SettingsError;
+use crate::map::SettingsMap;
+
+const BUDGET_FREE: &str = "safety.budgetFree";
+const BUDGET_RATIO: &str = "safety.repeatRatio";
+const BUDGET_SPAN: &str = "safety.budgetSpanMs";
+const MEMBERSHIP_MODE: &str = "membershipMode";
+const REPORT_SOURCE: &str = "loadReport.source";
+const WEIGHT_KIND: &str = "weightKind";
+
+/// Decodes all settings that the decisions use, and checks those that they do not use.
+///
+/// # Errors
+/// The first setting that is missing or makes no sense.
+pub fn settings(map: &SettingsMap) -> Result<Settings, SettingsError> {
+    let traffic = traffic_classes(map)?;
+    let poll_interval = poll_interval(map)?;
+    check_load_reports(map)?;
+    check_unused(map)?;
+    let retry_after = retry_after(map)?;
+    Ok(Settings {
+        traffic,
+        zone: Zone(map.whole_number("myZone")?),
+        me: map.whole_number("me")?,
+        nodes: map.whole_number("fleetSize")?,
+        tick: map.span("tickMs")?,
+        max_attempts: map.whole_number("caps.maxLegs")?,
+        can_probe: map.flag("caps.mayProbe")?,
+        can_cancel: map.flag("caps.mayCancel")?,
+        weights: weights(map)?,
+        reports_message_times: map.flag_or("extra.tellsDelay", false)?,
+        retry_after,
+        poll_interval,
+        slow_start: slow_start(map)?,
+        retry_budget: retry_budget(map)?,
+        start_uncertainty: map.span_or("safety.startDriftMs", Span::ZERO)?,
+        cross_zone_price: map.number_or("prices.crossZone", 0.0)?,
+        whole_weight: whole_weight(map)?,
+    })
+}
+
+fn traffic_classes(map: &SettingsMap) -> Result<Vec<TrafficClass>, SettingsError> {
+    let message_targets = map.spans("extra.messageAimMs")?;
+    let count: usize = map.whole_number("trafficTypes.count")?;
+    let class = |index: usize| traffic_class(map, index, message_targets.get(index).copied().flatten());
+    (0..count).map(class).collect()
+}
+
+fn traffic_class(
+    map: &SettingsMap,
+    index: usize,
+    message_target: Option<Span>,
+) -> Result<TrafficClass, SettingsError> {
+    let key = |name: &str| format!("trafficTypes.{index}.{name}");
+    Ok(TrafficClass {
+        idempotency: idempotency(map, key)?,
+        setup_target: map.span(&key("setupTargetMs"))?,
+        message_target,
+        revenue: map.number(&key("revenue"))?,
+    })
+}
+
+/// `key` gives the path of a class's setting by its name.
+fn idempotency(map: &SettingsMap, key: impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
+    match map.text(&key("effect"))? {
+        "retryable" => Ok(Idempotency::Idempotent),
+        "fragile" => Ok(Idempotency::NonIdempotent),
+        "dedup" => {
+            let scope = key_scope(map, &key("group"))?;
+            Ok(Idempotency::Keyed { scope, window: map.span(&key("windowMs"))? })
+        }
+        other => Err(SettingsError::invalid(&key("effect"), other, "retryable, dedup or fragile")),
+    }
+}
+
+fn key_scope(map: &SettingsMap, key: &str) -> Result<Scope, SettingsError> {
+    match map.text(key)? {
+        "all" => Ok(Scope::All),
+        "zone" => Ok(Scope::Zone),
+        "cell" => Ok(Scope::Cell),
+        other => Err(SettingsError::invalid(key, other, "all, zone or cell")),
+    }
+}
+
+/// How often the endpoint list is polled; `None` if it is pushed.
+fn poll_interval(map: &SettingsMap) -> Result<Option<Span>, SettingsError> {
+    match map.text(MEMBERSHIP_MODE)? {
+        "on_request" => Ok(Some(map.span("safety.askWithinMs")?)),
+        "pushed" => Ok(None),
+        other => Err(SettingsError::invalid(MEMBERSHIP_MODE, other, "pushed or on_request")),
+    }
+}
+
+/// The longest time that a rejected client may be told to wait, if it may be told at all.
+fn retry_after(map: &SettingsMap) -> Result<Option<Span>, SettingsError> {
+    if map.flag("caps.retryAfter")? { Ok(Some(map.span("caps.maxRetryAfterMs")?)) } else { Ok(None) }
+}
+
+/// Deployments from before there was the key send sizes.
+fn weights(map: &SettingsMap) -> Result<Weights, SettingsError> {
+    match map.optional_text(WEIGHT_KIND) {
+        None | Some("none" | "nominal" | "rough") => Ok(Weights::Sizes),
+        Some("live") => Ok(Weights::Live),
+        Some(other) => Err(SettingsError::invalid(WEIGHT_KIND, other, "none, nominal, rough or live")),
+    }
+}
+
+fn slow_start(map: &SettingsMap) -> Result<SlowStart, SettingsError> {
+    Ok(SlowStart {
+        from: map.number("safety.coldFrom")?,
+        after: map.span("safety.warmAfterMs")?,
+        multiple: map.number("safety.fallMultiple")?,
+        window: map.span("safety.fallMs")?,
+    })
+}
+
+/// All of it or nothing: a budget with a part missing would be another budget.
+pub(crate) fn retry_budget(map: &SettingsMap) -> Result<Option<RetryBudget>, SettingsError> {
+    let is_given = [BUDGET_FREE, BUDGET_RATIO, BUDGET_SPAN].iter().any(|key| map.contains(key));
+    if !is_given {
+        return Ok(None);
+    }
+    let span = map.span(BUDGET_SPAN)?;
+    if span < Span::ms(1) {
+        return Err(SettingsError::invalid(BUDGET_SPAN, map.text(BUDGET_SPAN)?, "a millisecond or more"));
+    }
+    Ok(Some(RetryBudget { free: map.number(BUDGET_FREE)?, part: map.number(BUDGET_RATIO)?, span }))
+}
+
+/// The weight of the whole service in the score, against the worst class; all of it if neither has a weight.
+fn whole_weight(map: &SettingsMap) -> Result<f64, SettingsError> {
+    let whole = map.number_or("scoreParts.whole", 1.0)?;
+    let worst_class = map.number_or("scoreParts.worstClass", 0.0)?;
+    if whole + worst_class > 0.0 { Ok(whole / (whole + worst_class)) } else { Ok(1.0) }
+}
+
+/// The decisions do not read load reports, but what is said of them has to make sense.
+fn check_load_reports(map: &SettingsMap) -> Result<(), SettingsError> {
+    match map.optional_text(REPORT_SOURCE) {
+        None | Some("none" | "answers") => Ok(()),
+        Some("probe") if map.flag("caps.mayProbe")? => Ok(()),
+        Some(source @ "probe") => {
+            let expected = "another source where caps.mayProbe is false";
+            Err(SettingsError::invalid(REPORT_SOURCE, source, expected))
+        }
+        Some(other) => Err(SettingsError::invalid(REPORT_SOURCE, other, "none, answers or probe")),
+    }
+}
+
+/// The decisions do not use what these settings allow, but they have to make sense: nothing new goes to a host that is gone,
+/// drained or not, and an answer is given by the deadline as it was told.
+fn check_unused(map: &SettingsMap) -> Result<(), SettingsError> {
+    map.flag_or("safety.droppedStayOpen", false)?;
+    map.span_or("safety.budgetErrorMs", Span::ZERO)?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/settings/src/error.rs
@@ -0,0 +1,31 @@
+//! Why settings cannot be read.
+
+/// A setting that is missing or makes no sense.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// A required setting is missing.
+    #[error("setting {0} is missing")]
+    Missing(String),
+    /// A setting has a value that cannot be used.
+    #[error("setting {key} has the value {value:?}, expected {expected}")]
+    Invalid {
+        /// The setting's path.
+        key: String,
+        /// Its value as text.
+        value: String,
+        /// What would be accepted.
+        expected: &'static str,
+    },
+    /// A line is not of the form `path=value`.
+    #[error("line {line} of the settings is no path=value pair")]
+    NotAPair {
+        /// The number of the line, from 1.
+        line: usize,
+    },
+}
+
+impl SettingsError {
+    pub(crate) fn invalid(key: &str, value: &str, expected: &'static str) -> SettingsError {
+        SettingsError::Invalid { key: key.to_owned(), value: value.to_owned(), expected }
+    }
+}
