--- /dev/null
+++ b/crates/simulator-adapter/src/event.rs
@@ -0,0 +1,197 @@
+//! Events: their codes, and the places of their fields.
+
+use glendeck::domain::{
+    Call, CallId, Cell, ClassId, Condition, Endpoint, GroupId, Kind, ListUpdate, News, Span, SubjectId,
+    TenantId, Weight, Zone,
+};
+
+use crate::error::WireError;
+use crate::record::{EventRecord, HOST_BYTES, host_id};
+use crate::units::{MICROS_PER_SECOND, MS_PER_SECOND, time_from_ms};
+
+/// Bytes of an entry in the endpoint list.
+const ENDPOINT_BYTES: usize = 25;
+
+/// The place of a call's id in the records of all events that have one.
+const CALL_ID: usize = 5;
+
+/// The place of the reference to an endpoint list.
+const ENDPOINT_LIST: usize = 10;
+
+// The bits of a call's flags.
+/// The load that the call asks for is given.
+const HAS_LOAD: u16 = 1;
+/// The client marks the call as a repeat.
+const IS_REPEAT: u16 = 2;
+/// Packets of an open connection reach this instance now.
+const IS_MID_FLOW: u16 = 8;
+/// The client has come back after a break or a move.
+const HAS_RETURNED: u16 = 16;
+
+/// What happened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EventKind {
+    /// An instance starts.
+    InstanceStarted,
+    /// The endpoint list has changed, or its watch has failed.
+    EndpointsChanged,
+    /// A call arrives.
+    CallArrived,
+    /// An attempt's connection is up.
+    AttemptEstablished,
+    /// An attempt has ended.
+    AttemptEnded,
+    /// A call's client has gone.
+    ClientLeft,
+    /// A timer has fired.
+    TimerFired,
+    /// A probe has ended.
+    ProbeFinished,
+    /// Another instance has sent a message.
+    MessageReceived,
+    /// An instance ends.
+    InstanceStopped,
+    /// A connection stands from before the instance's start.
+    ConnectionInherited,
+    /// A host reports on a connection.
+    ConnectionReported,
+}
+
+impl EventKind {
+    /// The kind of a record's event.
+    pub fn decode(record: &EventRecord) -> Result<EventKind, WireError> {
+        match record.u8(0) {
+            1 => Ok(EventKind::InstanceStarted),
+            2 => Ok(EventKind::EndpointsChanged),
+            3 => Ok(EventKind::CallArrived),
+            4 => Ok(EventKind::AttemptEstablished),
+            5 => Ok(EventKind::AttemptEnded),
+            6 => Ok(EventKind::ClientLeft),
+            7 => Ok(EventKind::TimerFired),
+            8 => Ok(EventKind::ProbeFinished),
+            9 => Ok(EventKind::MessageReceived),
+            10 => Ok(EventKind::InstanceStopped),
+            11 => Ok(EventKind::ConnectionInherited),
+            12 => Ok(EventKind::ConnectionReported),
+            _ => Err(record.code_error(0, "event")),
+        }
+    }
+}
+
+/// The places of a call's fields, which differ between new calls and open connections.
+struct CallLayout {
+    class: usize,
+    deadline: usize,
+    flags: usize,
+    group: usize,
+    tenant: usize,
+    subject: usize,
+    load: usize,
+}
+
+const ARRIVED: CallLayout =
+    CallLayout { class: 25, deadline: 26, flags: 34, group: 36, tenant: 21, subject: 13, load: 44 };
+
+const INHERITED: CallLayout =
+    CallLayout { class: 57, deadline: 23, flags: 13, group: 31, tenant: 39, subject: 15, load: 43 };
+
+/// A call's id.
+pub fn call_id(record: &EventRecord) -> CallId {
+    CallId(record.u64(CALL_ID))
+}
+
+/// The call of [`EventKind::CallArrived`], of an instance with so many classes.
+pub fn arrived_call(record: &EventRecord, class_count: usize) -> Result<Call, WireError> {
+    call(record, &ARRIVED, class_count)
+}
+
+/// The call of [`EventKind::ConnectionInherited`], of an instance with so many classes.
+pub fn inherited_call(record: &EventRecord, class_count: usize) -> Result<Call, WireError> {
+    call(record, &INHERITED, class_count)
+}
+
+fn call(record: &EventRecord, layout: &CallLayout, class_count: usize) -> Result<Call, WireError> {
+    let flags = record.u16(layout.flags);
+    let load = if flags & HAS_LOAD != 0 {
+        Some(record.load(layout.load, record.f64(layout.load), MS_PER_SECOND)?)
+    } else {
+        None
+    };
+    let call = Call {
+        id: call_id(record),
+        traffic: ClassId(record.u8(layout.class)),
+        tenant: TenantId(record.u32(layout.tenant)),
+        subject: Some(SubjectId(record.u64(layout.subject))).filter(|subject| subject.0 != 0),
+        group: Some(GroupId(record.u64(layout.group))).filter(|group| group.0 != 0),
+        guard: record.time(layout.deadline)?,
+        load,
+        returning: flags & (IS_REPEAT | HAS_RETURNED) != 0,
+        mid_flow: flags & IS_MID_FLOW != 0,
+        before: None,
+    };
+    if usize::from(call.traffic.0) >= class_count {
+        return Err(record.code_error(layout.class, "traffic type"));
+    }
+    Ok(call)
+}
+
+/// How [`EventKind::EndpointsChanged`] changes the list; `None` if the watch has failed.
+pub fn list_update(record: &EventRecord) -> Result<Option<ListUpdate>, WireError> {
+    match record.u8(5) {
+        1 => Ok(None),
+        2 => Ok(Some(ListUpdate::Complete)),
+        3 => Ok(Some(ListUpdate::Cached)),
+        4 => Ok(Some(ListUpdate::Delta)),
+        _ => Err(record.code_error(5, "list form")),
+    }
+}
+
+/// Replaces `endpoints` by those of [`EventKind::EndpointsChanged`].
+pub fn read_endpoints(record: &EventRecord, endpoints: &mut Vec<Endpoint>) -> Result<(), WireError> {
+    endpoints.clear();
+    let entries = record.tail(ENDPOINT_LIST, ENDPOINT_BYTES, "the host list")?;
+    for entry in entries.chunks_exact(ENDPOINT_BYTES) {
+        endpoints.push(endpoint(record, entry)?);
+    }
+    Ok(())
+}
+
+fn endpoint(record: &EventRecord, entry: &[u8]) -> Result<Endpoint, WireError> {
+    let word = |at: usize| u16::from_be_bytes([entry[at], entry[at + 1]]);
+    let condition = match entry[14] {
+        0 => Condition::Gone,
+        1 => Condition::Ready,
+        2 => Condition::Draining,
+        other => return Err(record.code_error_with(ENDPOINT_LIST, "host condition", other)),
+    };
+    let started_ms = f64::from_be_bytes(std::array::from_fn(|index| entry[17 + index]));
+    let started = time_from_ms(started_ms)
+        .ok_or_else(|| record.value_error(ENDPOINT_LIST, "start time in the host list", started_ms))?;
+    let weight = f64::from(f32::from_be_bytes(std::array::from_fn(|index| entry[index])));
+    if !weight.is_finite() || weight < 0.0 {
+        return Err(record.value_error(ENDPOINT_LIST, "share in the host list", weight));
+    }
+    let address: [u8; HOST_BYTES] = std::array::from_fn(|index| entry[8 + index]);
+    Ok(Endpoint {
+        host: host_id(address),
+        zone: Zone(word(6)),
+        cell: Cell(word(4)),
+        condition,
+        weight: Weight(weight),
+        kind: Some(Kind(u64::from(word(15)))),
+        up_since: Some(started).filter(|started| started.0 != 0),
+    })
+}
+
+/// What [`EventKind::ConnectionReported`] reports.
+pub fn report(record: &EventRecord) -> Result<News, WireError> {
+    const VALUE: usize = 20;
+    match record.u8(13) {
+        1 => Ok(News::Load(record.load(VALUE, record.f32(VALUE), MICROS_PER_SECOND)?)),
+        2 => {
+            let seconds = record.load(VALUE, record.f32(VALUE), MS_PER_SECOND)?;
+            Ok(News::MessageTime(Span::from_seconds(seconds)))
+        }
+        _ => Err(record.code_error(13, "note")),
+    }
+}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,27 +1,41 @@
 //! Hosts many instances of the decisions on the simulator's wire: standard input to standard output.
+//!
+//! A batch of events comes in as one frame and is answered by one frame with the actions of all instances. Both are binary,
+//! big-endian and packed; the events' and actions' codes and fields are those of the simulator's protocol.
 
-mod wire;
+mod action;
+mod error;
+mod event;
+mod frame;
+mod instances;
+mod record;
+mod units;
 
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
+use error::WireError;
+use frame::FrameReader;
+use instances::Instances;
+
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("glendeck-simulator-adapter: {fault}");
+        Err(error) => {
+            eprintln!("glendeck-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Answers batch after batch until the input ends between two of them.
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), wire::WireError> {
-    let mut tier = wire::Tier::default();
-    let (mut head, mut body, mut reply) = ([0u8; wire::HEADER], Vec::new(), Vec::new());
-    while let Some(frame) = wire::read_frame(&mut input, &mut head, &mut body)? {
+fn serve(input: impl Read, mut output: impl Write) -> Result<(), WireError> {
+    let mut frames = FrameReader::new(input);
+    let mut instances = Instances::default();
+    let mut reply = Vec::new();
+    while let Some(frame) = frames.read()? {
         reply.clear();
-        tier.answer(&frame, &body, &mut reply)?;
+        instances.answer(&frame, &mut reply)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
