--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -127,7 +127,7 @@
             client_id = %format_args!("{:016x}", client_id.0),
             subject_id = %format_args!("{:x}", call.subject.map_or(0, |subject| subject.0)),
             group_id = call.group.map_or(0, |group| group.0),
-            class_id = call.traffic.0,
+            class_id = call.class.0,
             returning = call.returning,
             previous_host = ?previous_host.map(|host| host.0),
             "call received"
@@ -158,14 +158,14 @@
     };
     Call {
         id: CallId(0),
-        traffic: request.traffic,
+        class: request.traffic,
         tenant: request.tenant,
         subject: request.subject,
         group: request.group,
-        guard: sent_at + wait - DEADLINE_MARGIN.min(wait.times(0.5)),
+        deadline: sent_at + wait - DEADLINE_MARGIN.min(wait.times(0.5)),
         load: request.load,
         returning: request.is_returning(),
         mid_flow: false,
-        before: None,
+        prior_attempt: None,
     }
 }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -113,13 +113,13 @@
         let types = merge(&mut self.names.traffic, new.names.traffic);
         merge(&mut self.names.tenants, new.names.tenants);
         self.names.groups = new.names.groups;
-        let mut traffic = self.settings.traffic.clone();
-        for (at, of) in types.into_iter().zip(new.settings.traffic) {
+        let mut traffic = self.settings.classes.clone();
+        for (at, of) in types.into_iter().zip(new.settings.classes) {
             if at < traffic.len() { traffic[at] = of } else { traffic.push(of) }
         }
         let zone =
             zones.get(usize::from(new.settings.zone.0)).map_or(new.settings.zone, |at| Zone(*at as u16));
-        self.settings = Settings { traffic, zone, ..new.settings };
+        self.settings = Settings { classes: traffic, zone, ..new.settings };
         self.list_is_pushed = new.list_is_pushed;
         self.connect_limit = new.connect_limit;
         // Calls in hand keep the deadline that they came with.
--- a/crates/node/src/endpoint_list/decode.rs
+++ b/crates/node/src/endpoint_list/decode.rs
@@ -71,7 +71,7 @@
         condition,
         weight: Weight(amount(entry, "weight", 1.0)?),
         kind: text("type").map(|kind| Kind(hash_name(kind))),
-        up_since: Some(Time((since_ms * NANOSECONDS_PER_MILLISECOND) as u64)).filter(|up| up.0 > 0),
+        started_at: Some(Time((since_ms * NANOSECONDS_PER_MILLISECOND) as u64)).filter(|up| up.0 > 0),
     };
     Ok((endpoint, address))
 }
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -175,16 +175,16 @@
     fn adopted_call(&self, handover: &CallHandover) -> Result<Call, AdoptError> {
         Ok(Call {
             id: CallId(0),
-            traffic: self.adopted_class(handover)?,
+            class: self.adopted_class(handover)?,
             tenant: TenantId(handover.tenant),
             subject: handover.subject.map(SubjectId),
             group: handover.group.map(GroupId),
-            guard: self.now,
+            deadline: self.now,
             load: handover.load,
             // It did not come from elsewhere.
             returning: false,
             mid_flow: false,
-            before: None,
+            prior_attempt: None,
         })
     }
 
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -144,20 +144,20 @@
         let endpoints = state.list.lines.iter().zip(addresses);
         let loads = node.loads.iter().take(MAX_LOADS);
         StateMessage {
-            arrival: node.arrival,
+            arrival: node.new_client_rate,
             drained: state.drained,
-            held: node.held,
+            held: node.connections_per_size,
             hosts: node.hosts.iter().map(HostMessage::from).collect(),
             index: state.list.index,
             list: endpoints.map(|(endpoint, address)| EndpointMessage::new(endpoint, address)).collect(),
             loads: loads.map(|(subject, load)| (subject.0, *load)).collect(),
             mean_load: node.mean_load,
-            class_loads: node.of_type.clone(),
-            setup: node.setup,
-            size: node.size,
+            class_loads: node.mean_load_by_class.clone(),
+            setup: node.setup_time,
+            size: node.ready_size,
             classes: Some(state.classes.clone()),
-            usual_connections: node.usual_conns,
-            usual_size: node.usual_size,
+            usual_connections: node.usual_connections,
+            usual_size: node.usual_ready_size,
             zones: Some(state.zones.clone()),
         }
     }
@@ -182,13 +182,13 @@
             hosts: self.hosts.into_iter().map(HostSnapshot::from).collect(),
             loads: self.loads.into_iter().map(|(subject, load)| (SubjectId(subject), load)).collect(),
             mean_load: self.mean_load,
-            of_type,
-            arrival: self.arrival,
-            held: self.held,
-            usual_conns: self.usual_connections,
-            size: self.size,
-            usual_size: self.usual_size,
-            setup: self.setup,
+            mean_load_by_class: of_type,
+            new_client_rate: self.arrival,
+            connections_per_size: self.held,
+            usual_connections: self.usual_connections,
+            ready_size: self.size,
+            usual_ready_size: self.usual_size,
+            setup_time: self.setup,
         };
         Ok(HandoverState {
             list,
@@ -221,7 +221,7 @@
             host: endpoint.host.0,
             kind: endpoint.kind.map(|kind| kind.0),
             weight: endpoint.weight.0,
-            up_since: endpoint.up_since.map(|up_since| up_since.0),
+            up_since: endpoint.started_at.map(|up_since| up_since.0),
             zone: endpoint.zone.0,
         }
     }
@@ -240,7 +240,7 @@
             },
             weight: Weight(self.weight),
             kind: self.kind.map(Kind),
-            up_since: self.up_since.map(Time),
+            started_at: self.up_since.map(Time),
         })
     }
 }
@@ -258,16 +258,16 @@
 impl From<&HostSnapshot> for HostMessage {
     fn from(host: &HostSnapshot) -> HostMessage {
         HostMessage {
-            answers: host.answers,
-            aside: host.aside,
-            budget: host.budget,
-            held: host.held,
+            answers: host.usual_probe_time,
+            aside: host.is_ejected,
+            budget: host.slow_start_budget,
+            held: host.remote_load,
             host: host.host.0,
-            limit: host.limit,
-            nominal: host.nominal.map(|size| size.0),
-            open: host.open,
-            smoothed: host.smoothed,
-            strain: host.strain,
+            limit: host.load_limit,
+            nominal: host.size.map(|size| size.0),
+            open: host.connections,
+            smoothed: host.smoothed_load,
+            strain: host.overload_penalty,
         }
     }
 }
@@ -276,15 +276,15 @@
     fn from(message: HostMessage) -> HostSnapshot {
         HostSnapshot {
             host: HostId(message.host),
-            open: message.open,
-            smoothed: message.smoothed,
-            limit: message.limit,
-            strain: message.strain,
-            aside: message.aside,
-            budget: message.budget,
-            held: message.held,
-            answers: message.answers,
-            nominal: message.nominal.map(Size),
+            connections: message.open,
+            smoothed_load: message.smoothed,
+            load_limit: message.limit,
+            overload_penalty: message.strain,
+            is_ejected: message.aside,
+            slow_start_budget: message.budget,
+            remote_load: message.held,
+            usual_probe_time: message.answers,
+            size: message.nominal.map(Size),
         }
     }
 }
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -254,8 +254,8 @@
             load: call.load,
             subject: call.subject.map(|subject| subject.0),
             tenant: call.tenant.0,
-            class: call.traffic.0,
-            class_name: self.config.names.traffic.get(usize::from(call.traffic.0)).cloned(),
+            class: call.class.0,
+            class_name: self.config.names.traffic.get(usize::from(call.class.0)).cloned(),
         };
         Some(OutgoingCall {
             message: PredecessorMessage::Call(Box::new(handover)),
--- a/crates/node/src/handover/tests.rs
+++ b/crates/node/src/handover/tests.rs
@@ -27,25 +27,25 @@
         condition: Condition::Draining,
         weight: Weight(1.5),
         kind: Some(Kind(7)),
-        up_since: Some(Time(9)),
+        started_at: Some(Time(9)),
     };
     let snapshot = HostSnapshot {
         host,
-        open: 3.0,
-        smoothed: 0.5,
-        limit: None,
-        strain: 0.1,
-        aside: true,
-        budget: -0.5,
-        held: 1.0,
-        answers: 0.001,
-        nominal: Some(Size(2.5)),
+        connections: 3.0,
+        smoothed_load: 0.5,
+        load_limit: None,
+        overload_penalty: 0.1,
+        is_ejected: true,
+        slow_start_budget: -0.5,
+        remote_load: 1.0,
+        usual_probe_time: 0.001,
+        size: Some(Size(2.5)),
     };
     let node = NodeSnapshot {
-        hosts: vec![snapshot, HostSnapshot { limit: Some(4.0), ..snapshot }],
+        hosts: vec![snapshot, HostSnapshot { load_limit: Some(4.0), ..snapshot }],
         loads: vec![(SubjectId(u64::MAX), 0.25)],
-        of_type: vec![0.1, 0.2],
-        arrival: 2.0,
+        mean_load_by_class: vec![0.1, 0.2],
+        new_client_rate: 2.0,
         ..NodeSnapshot::default()
     };
     let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
@@ -65,17 +65,17 @@
         condition: Condition::Ready,
         weight: Weight(2.0),
         kind: None,
-        up_since: None,
+        started_at: None,
     });
     state.list.addresses.push((host, "[::1]:5000".parse().unwrap()));
-    state.node.hosts[1].nominal = None;
-    state.node.hosts[1].aside = false;
+    state.node.hosts[1].size = None;
+    state.node.hosts[1].is_ejected = false;
     state.node.mean_load = 0.75;
-    state.node.held = 1e-9;
-    state.node.usual_conns = 12.5;
-    state.node.size = 3.0;
-    state.node.usual_size = 4.25;
-    state.node.setup = 0.015625;
+    state.node.connections_per_size = 1e-9;
+    state.node.usual_connections = 12.5;
+    state.node.ready_size = 3.0;
+    state.node.usual_ready_size = 4.25;
+    state.node.setup_time = 0.015625;
     state
 }
 
@@ -177,7 +177,7 @@
     assert_eq!(decode(&[], &names(["chat", "pay"])).list.lines[0].zone, Zone(0));
     // Another order, and more of them.
     let read = decode(&names(["y", "z", "x"]), &names(["fax", "pay", "chat"]));
-    assert_eq!((read.list.lines[0].zone, read.node.of_type), (Zone(0), vec![0.0, 0.2, 0.1]));
+    assert_eq!((read.list.lines[0].zone, read.node.mean_load_by_class), (Zone(0), vec![0.0, 0.2, 0.1]));
 }
 
 /// Half a message taken for a whole one would be hosts taken for empty.
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -183,7 +183,7 @@
         let Some(in_flight) = self.calls.get(id.0) else { return };
         if !outcome.never_ran() {
             self.answer_call(id, Answer::Error);
-        } else if in_flight.call.guard > self.now + RETURN_RETRY {
+        } else if in_flight.call.deadline > self.now + RETURN_RETRY {
             self.timers.set(self.now + RETURN_RETRY, TimerEvent::RetryReturn(id));
         } else {
             self.answer_call(id, Answer::Busy(None));
@@ -203,7 +203,7 @@
             return;
         };
         let host = *host;
-        let time_left = call.guard.since(self.now);
+        let time_left = call.deadline.since(self.now);
         if !self.client_waits(id) {
             self.forget_call(id);
             return;
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -1,6 +1,6 @@
 //! What hosts send: answers to attempts, and lines that are relayed to clients.
 
-use glendeck::domain::{AttemptOutcome, CallId, News};
+use glendeck::domain::{AttemptOutcome, AttemptReport, CallId};
 use tracing::{debug, trace, warn};
 
 use super::SEND_AWAY;
@@ -90,7 +90,7 @@
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.as_ref()) else { return };
         let number = attempt.number;
         let now = self.now;
-        self.tell(|node, port| node.attempt_report(now, call, number, News::Load(load), port));
+        self.tell(|node, port| node.attempt_report(now, call, number, AttemptReport::Load(load), port));
     }
 
     /// The host's `UP`: from now on the connection is the client's and the host's.
@@ -113,7 +113,7 @@
         let host = attempt.host;
         let setup_time = self.now.since(attempt.opened_at);
         let decided_call = in_flight.call;
-        self.metrics.count(decided_call.traffic, Outcome::Success);
+        self.metrics.count(decided_call.class, Outcome::Success);
         let setup_ms = setup_time.0 / 1_000_000;
         debug!(call_id = call.0, attempt = number.0, host_id = host.0, setup_ms, "call established");
         if let Some(socket) = self.sockets.get_mut(client.0) {
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -189,7 +189,7 @@
         self.work_ended(id, in_flight.kept.as_ref());
         if !in_flight.stage.is_established() {
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
-            self.metrics.count(in_flight.call.traffic, outcome);
+            self.metrics.count(in_flight.call.class, outcome);
         }
         self.ids.remove(&in_flight.client_id);
         Some(in_flight)
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -161,7 +161,7 @@
     pub fn work_of(&self, opening: &OpenRequest) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let traffic = usize::from(opening.traffic.0);
-        let lasting = self.config.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
+        let lasting = self.config.settings.classes.get(traffic)?.idempotency != Idempotency::Idempotent;
         if !lasting || opening.previous_host.is_some() {
             return None;
         }
@@ -284,7 +284,7 @@
         let Some(held) = self.calls.get_mut(call.0) else { return };
         let Some(kept) = &mut held.kept else { return };
         kept.looks = true;
-        let (work, left) = (kept.work, held.call.guard.since(self.now));
+        let (work, left) = (kept.work, held.call.deadline.since(self.now));
         if let Some(work) = self.work() {
             work.counts.looked += 1;
         }
@@ -296,13 +296,14 @@
         let Some(held) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (held.kept, &held.attempt) else { return };
         let traffic =
-            self.config.settings.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.idempotency);
-        let first = held.call.before.or(kept.ran);
+            self.config.settings.classes.get(usize::from(held.call.class.0)).map(|of| of.idempotency);
+        let first = held.call.prior_attempt.or(kept.ran);
         let recalled = match (traffic, first) {
             (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
             _ => attempt.deadline,
         };
-        let latest = (recalled.min(attempt.deadline) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
+        let latest =
+            (recalled.min(attempt.deadline) - LEAST, held.call.deadline.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
         let prior = kept.ran.map(|(host, at)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(at) });
         let send_before = self.timestamp_of(latest.0);
@@ -360,7 +361,7 @@
             work.counts.unkept += 1;
         }
         let Some(held) = self.calls.get_mut(call.0) else { return };
-        let ran = held.call.before.is_some() || held.kept.is_some_and(|kept| kept.ran.is_some());
+        let ran = held.call.prior_attempt.is_some() || held.kept.is_some_and(|kept| kept.ran.is_some());
         let answer = if ran { Answer::Error } else { Answer::Busy(None) };
         let client = held.client.take();
         held.outcome =
@@ -404,7 +405,7 @@
         if let Some(kept) = &mut held.kept {
             kept.looks = false;
         }
-        held.call.before = before;
+        held.call.prior_attempt = before;
         debug!(call = call.0, before = ?before.map(|(host, _)| host.0), "comes again");
         let call = held.call;
         self.tell(|node, port| node.call_arrived(now, call, port));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -149,10 +149,10 @@
     let retry_after =
         pairs.flag("caps.retryAfter")?.then(|| pairs.span("caps.maxRetryAfterMs")).transpose()?;
     Ok(Settings {
-        traffic,
+        classes: traffic,
         zone: Zone(pairs.parse("myZone", "a whole number")?),
-        me: pairs.parse("me", "a whole number")?,
-        nodes: pairs.parse("fleetSize", "a whole number")?,
+        node_index: pairs.parse("me", "a whole number")?,
+        node_count: pairs.parse("fleetSize", "a whole number")?,
         tick: pairs.span("tickMs")?,
         max_attempts: pairs.parse("caps.maxLegs", "a whole number")?,
         can_probe: pairs.flag("caps.mayProbe")?,
@@ -167,8 +167,8 @@
         retry_after,
         poll_interval,
         slow_start: SlowStart {
-            from: pairs.number("safety.coldFrom")?,
-            after: pairs.span("safety.warmAfterMs")?,
+            initial_share: pairs.number("safety.coldFrom")?,
+            duration: pairs.span("safety.warmAfterMs")?,
             multiple: pairs.number("safety.fallMultiple")?,
             window: pairs.span("safety.fallMs")?,
         },
@@ -203,7 +203,7 @@
     if span < Span::ms(1) {
         return Err(bad(keys[2], pairs.text(keys[2])?, "a millisecond or more"));
     }
-    Ok(Some(RetryBudget { free: pairs.number(keys[0])?, part: pairs.number(keys[1])?, span }))
+    Ok(Some(RetryBudget { min_retries: pairs.number(keys[0])?, ratio: pairs.number(keys[1])?, window: span }))
 }
 
 /// Load reports are not read by the decisions, but what is said of them has to make sense.
@@ -257,7 +257,7 @@
     fn a_budget_is_whole_or_none() {
         assert_eq!(budget("").unwrap(), None);
         let whole = "safety.budgetFree=5\nsafety.repeatRatio=0.03\nsafety.budgetSpanMs=10000";
-        let expected = RetryBudget { free: 5.0, part: 0.03, span: Span::ms(10_000) };
+        let expected = RetryBudget { min_retries: 5.0, ratio: 0.03, window: Span::ms(10_000) };
         assert_eq!(budget(whole).unwrap(), Some(expected));
         let missing = budget("safety.budgetFree=5\nsafety.budgetSpanMs=10000").unwrap_err();
         assert!(missing.to_string().contains("safety.repeatRatio"), "{missing}");
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -207,15 +207,15 @@
         };
         Ok(Call {
             id: CallId(self.u64(5)),
-            traffic: ClassId(self.u8(lane)),
+            class: ClassId(self.u8(lane)),
             tenant: TenantId(self.u32(org)),
             subject: Some(SubjectId(self.u64(subject))).filter(|subject| subject.0 != 0),
             group: Some(GroupId(self.u64(team))).filter(|group| group.0 != 0),
-            guard: self.time(guard)?,
+            deadline: self.time(guard)?,
             load,
             returning: marked & (2 | 16) != 0,
             mid_flow: marked & 8 != 0,
-            before: None,
+            prior_attempt: None,
         })
     }
 
@@ -246,7 +246,7 @@
                 condition,
                 weight: Weight(weight),
                 kind: Some(Kind(u64::from(word(15)))),
-                up_since: Some(up).filter(|up| up.0 != 0),
+                started_at: Some(up).filter(|up| up.0 != 0),
             });
         }
         Ok(())
@@ -293,7 +293,7 @@
                 SettingsMap::from_lines(text).and_then(|pairs| glendeck_settings::settings(&pairs));
             let settings =
                 settings.map_err(|fault| WireError::Profile { batch, record: number, instance, fault })?;
-            let types = settings.traffic.len();
+            let types = settings.classes.len();
             self.nodes.insert(instance, Some((types, Node::start(settings, record.u64(5), now, out))));
             return Ok(());
         }
@@ -305,7 +305,7 @@
             return Ok(());
         }
         let Some((types, node)) = slot else { return Ok(()) };
-        let knows = |call: &Call| usize::from(call.traffic.0) < *types;
+        let knows = |call: &Call| usize::from(call.class.0) < *types;
         let (call, attempt) = (CallId(record.u64(5)), |at| AttemptNumber(record.u16(at)));
         match record.u8(0) {
             2 => {
@@ -349,8 +349,12 @@
             }
             12 => {
                 let news = match record.u8(13) {
-                    1 => News::Load(record.load(20, record.f32(20), 1e6)?),
-                    2 => News::MessageTime(Span::from_seconds(record.load(20, record.f32(20), 1e3)?)),
+                    1 => AttemptReport::Load(record.load(20, record.f32(20), 1e6)?),
+                    2 => AttemptReport::MessageTime(Span::from_seconds(record.load(
+                        20,
+                        record.f32(20),
+                        1e3,
+                    )?)),
                     _ => return Err(record.code(13, "note")),
                 };
                 node.attempt_report(now, call, attempt(24), news, out);
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -7,7 +7,7 @@
 mod snapshot;
 mod time;
 
-pub use call::{AttemptOutcome, Call, Idempotency, News, Scope};
+pub use call::{AttemptOutcome, AttemptReport, Call, Idempotency, Scope};
 pub use endpoint::{Condition, Endpoint, ListUpdate, Size, Weight, Weights};
 pub use ids::{
     AttemptNumber, CallId, Cell, ClassId, GroupId, HostId, Kind, SubjectId, TenantId, TimerToken, Zone,
--- a/src/domain/call.rs
+++ b/src/domain/call.rs
@@ -8,7 +8,7 @@
     /// Id of the call.
     pub id: CallId,
     /// Its traffic class.
-    pub traffic: ClassId,
+    pub class: ClassId,
     /// The customer it belongs to.
     pub tenant: TenantId,
     /// What it concerns; remembered for the client's return.
@@ -16,7 +16,7 @@
     /// The group whose work it shares.
     pub group: Option<GroupId>,
     /// When its final answer is due.
-    pub guard: Time,
+    pub deadline: Time,
     /// Expected load in seconds of work a second.
     pub load: Option<f64>,
     /// The client has been here before: it tries again, or returns after a break or a migration.
@@ -24,7 +24,7 @@
     /// Packets of a connection that is already open on some host.
     pub mid_flow: bool,
     /// An attempt that may have run before the call came here: its host, and when it was sent at the earliest.
-    pub before: Option<(HostId, Time)>,
+    pub prior_attempt: Option<(HostId, Time)>,
 }
 
 /// What running a call twice would do.
@@ -84,7 +84,7 @@
 
 /// A host's report on an attempt that is outstanding.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum AttemptReport {
     /// The connection's load now, in seconds of work a second.
     Load(f64),
     /// What a message takes at the host now.
--- a/src/domain/endpoint.rs
+++ b/src/domain/endpoint.rs
@@ -18,7 +18,7 @@
     /// Hosts of one kind are of one nominal size; `None` where the list names none.
     pub kind: Option<Kind>,
     /// When it last started; `None` is long ago.
-    pub up_since: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// Whether a host may get new connections.
--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -18,13 +18,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The traffic classes, by index.
-    pub traffic: Vec<TrafficClass>,
+    pub classes: Vec<TrafficClass>,
     /// The node's own zone.
     pub zone: Zone,
     /// Index of this node in its fleet.
-    pub me: u32,
+    pub node_index: u32,
     /// Nodes of the fleet.
-    pub nodes: u32,
+    pub node_count: u32,
     /// Granularity of the instance's clock.
     pub tick: Span,
     /// Attempts that a call may have.
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
     /// Share of its capacity that a host has when it starts.
-    pub from: f64,
+    pub initial_share: f64,
     /// When it has all of it.
-    pub after: Span,
+    pub duration: Span,
     /// Multiple of what fills a host once that it may be sent while it warms up.
     pub multiple: f64,
     /// Window in which attempts to a cold host are counted.
@@ -94,17 +94,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries allowed without any call.
-    pub free: f64,
+    pub min_retries: f64,
     /// Retries allowed for each call.
-    pub part: f64,
+    pub ratio: f64,
     /// Length of the span.
-    pub span: Span,
+    pub window: Span,
 }
 
 impl Settings {
     /// Part of the traffic that other nodes place: 0 for a node alone, towards 1 for many.
     pub fn remote_share(&self) -> f64 {
-        1.0 - 1.0 / f64::from(self.nodes.max(1))
+        1.0 - 1.0 / f64::from(self.node_count.max(1))
     }
 
     /// Near 0 for a few nodes, near 1 for hundreds.
@@ -121,7 +121,7 @@
     /// stay far below the limit; 1 for 12 to 30; 0 from 120 on, where a node sees a call in so few windows that it hardly
     /// uses what it may.
     pub fn shared_limit_factor(&self) -> f64 {
-        let beyond = f64::from(self.nodes) - SHARED_LIMIT_FULL_NODES;
+        let beyond = f64::from(self.node_count) - SHARED_LIMIT_FULL_NODES;
         (1.0 - self.small_fleet_factor()) * (1.0 - beyond / SHARED_LIMIT_FADE_NODES).clamp(0.0, 1.0)
     }
 
@@ -133,7 +133,7 @@
     /// These settings with the classes' revenue raised to the power of the whole run's weight. Choosing by revenue alone
     /// starves the class that earns least: the more the worst-served class weighs, the less revenue counts.
     pub(crate) fn with_tempered_revenue(mut self) -> Settings {
-        for class in &mut self.traffic {
+        for class in &mut self.classes {
             class.revenue = class.revenue.powf(self.whole_weight);
         }
         self
@@ -141,7 +141,7 @@
 
     /// The shortest message target of any traffic class, in seconds.
     pub fn message_target_seconds(&self) -> f64 {
-        let targets = self.traffic.iter().filter_map(|class| class.message_target);
+        let targets = self.classes.iter().filter_map(|class| class.message_target);
         targets.min().unwrap_or(DEFAULT_MESSAGE_TARGET).seconds().max(1e-3)
     }
 }
--- a/src/domain/snapshot.rs
+++ b/src/domain/snapshot.rs
@@ -8,23 +8,23 @@
     /// Id of the host.
     pub host: HostId,
     /// Connections that are still open there.
-    pub open: f64,
+    pub connections: f64,
     /// Smoothed load, in seconds of work a second.
-    pub smoothed: f64,
+    pub smoothed_load: f64,
     /// Load limit in connections of the mean load; `None` where none has shown.
-    pub limit: Option<f64>,
+    pub load_limit: Option<f64>,
     /// Overload penalty.
-    pub strain: f64,
+    pub overload_penalty: f64,
     /// It is ejected until it answers probes.
-    pub aside: bool,
+    pub is_ejected: bool,
     /// Slow-start budget, in attempts.
-    pub budget: f64,
+    pub slow_start_budget: f64,
     /// Estimate of other nodes' connections; 1 is what a unit of size usually carries.
-    pub held: f64,
+    pub remote_load: f64,
     /// What its answers to probes usually take, in seconds.
-    pub answers: f64,
+    pub usual_probe_time: f64,
     /// Nominal size; `None` where a process before told none.
-    pub nominal: Option<Size>,
+    pub size: Option<Size>,
 }
 
 /// What one process of a node leaves to the next.
@@ -37,19 +37,19 @@
     /// Mean load of a connection.
     pub mean_load: f64,
     /// Mean load by traffic class.
-    pub of_type: Vec<f64>,
+    pub mean_load_by_class: Vec<f64>,
     /// New clients a second.
-    pub arrival: f64,
+    pub new_client_rate: f64,
     /// Connections for each unit of the ready hosts' size.
-    pub held: f64,
+    pub connections_per_size: f64,
     /// Connections that the node usually has.
-    pub usual_conns: f64,
+    pub usual_connections: f64,
     /// Size of all ready hosts.
-    pub size: f64,
+    pub ready_size: f64,
     /// Size of all ready hosts as a rule.
-    pub usual_size: f64,
+    pub usual_ready_size: f64,
     /// What a setup usually takes, in seconds.
-    pub setup: f64,
+    pub setup_time: f64,
 }
 
 /// What a node that was lost knew, for those to whom its clients come: hints, never promises.
--- a/src/node.rs
+++ b/src/node.rs
@@ -125,7 +125,7 @@
             sizes: SizeEstimator::default(),
             setup_limit: ConcurrencyLimit::new(),
             waiting: WaitingQueue::default(),
-            loads: LoadStats::new(settings.traffic.len()),
+            loads: LoadStats::new(settings.classes.len()),
             load_cache: LoadCache::default(),
             traffic: TrafficStats::default(),
             retries: RetryCounter::default(),
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -28,7 +28,7 @@
         let local_load = call.load.or_else(|| self.load_cache.local_load(call.subject?));
         let is_displaced = call.returning && local_load.is_none();
         let load = local_load.or_else(|| self.load_cache.lost_node_load(call.subject?));
-        let first_run = call.before.and_then(|(host, sent_at)| {
+        let first_run = call.prior_attempt.and_then(|(host, sent_at)| {
             let host = *self.host_index.get(&host)?;
             Some(PossibleRun { host, sent_at })
         });
@@ -71,7 +71,7 @@
             return false;
         }
         let connections = self.hosts.iter().map(Host::connections).sum::<f64>();
-        shared_draw(call.id.0, self.settings.me.into()) < self.settings.large_fleet_factor()
+        shared_draw(call.id.0, self.settings.node_index.into()) < self.settings.large_fleet_factor()
             && connections + self.random() > remaining_part * self.traffic.usual_connections.max(1.0)
     }
 
@@ -174,7 +174,7 @@
     /// Adapts the limit of setups to one that took so long, or failed (`None`).
     pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
         let class = self.calls[call_index].class_index();
-        let target = self.settings.traffic[class].setup_target.seconds();
+        let target = self.settings.classes[class].setup_target.seconds();
         let share_of_target = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
         self.setup_limit.record(share_of_target);
     }
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -61,7 +61,7 @@
         if call.attempts + 1 >= self.settings.max_attempts {
             return time_left;
         }
-        let setup_target = self.settings.traffic[call.class_index()].setup_target;
+        let setup_target = self.settings.classes[call.class_index()].setup_target;
         let recent_setups = Span::from_seconds(SETUP_TIME_MULTIPLE * self.traffic.setup_time);
         time_left.times(TIMEOUT_SHARE).max(setup_target).max(recent_setups).min(time_left)
     }
--- a/src/node/eligibility.rs
+++ b/src/node/eligibility.rs
@@ -15,7 +15,7 @@
     /// Ends a call that cannot succeed any more; lets it wait while too many setups are in progress.
     pub(super) fn check_eligibility(&mut self, call_index: CallIndex, _: &mut dyn Port) -> StageResult {
         let call = &self.calls[call_index];
-        let setup_target = self.settings.traffic[call.class_index()].setup_target;
+        let setup_target = self.settings.classes[call.class_index()].setup_target;
         let time_left = self.time_left(call_index);
         let is_hopeless = time_left < Span::from_seconds(self.traffic.setup_time).min(setup_target);
         let is_exhausted = call.attempts >= self.settings.max_attempts
@@ -51,6 +51,6 @@
     /// Time for another attempt.
     pub(super) fn time_left(&self, call_index: CallIndex) -> Span {
         let reserve = self.settings.tick.times(RESERVED_TICKS);
-        (self.calls[call_index].call.guard - reserve).since(self.now)
+        (self.calls[call_index].call.deadline - reserve).since(self.now)
     }
 }
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -56,7 +56,7 @@
     fn update_host(&mut self, host_index: HostIndex, endpoint: &Endpoint) {
         let first_budget = self.first_budget(endpoint.host);
         let host = &mut self.hosts[host_index];
-        if host.record_start(endpoint.up_since, self.settings.start_uncertainty, self.now) {
+        if host.record_start(endpoint.started_at, self.settings.start_uncertainty, self.now) {
             host.slow_start_budget = SlowStartBudget::new(first_budget, self.now);
             host.remote_load = 0.0;
         }
@@ -78,7 +78,7 @@
         self.hosts_by_id.insert(position, host_index);
         let mut host = Host::new(endpoint, mean_load, self.now);
         host.slow_start_budget = SlowStartBudget::new(self.first_budget(endpoint.host), self.now);
-        host.record_start(endpoint.up_since, self.settings.start_uncertainty, self.now);
+        host.record_start(endpoint.started_at, self.settings.start_uncertainty, self.now);
         self.sizes.read_weight(&mut host, endpoint.weight, self.settings.weights);
         let remote_load = host.size.0 * remote_load_per_size(&self.hosts);
         self.hosts.push(host);
@@ -93,10 +93,10 @@
         let is_ready = |host: &Host| host.condition == Condition::Ready;
         let ready_hosts = self.hosts_by_id.iter().filter(|host| is_ready(&self.hosts[**host])).count();
         let step = ready_hosts.div_ceil(self.calls.len().max(1)).max(1);
-        let mut turn = self.settings.me as usize;
+        let mut turn = self.settings.node_index as usize;
         for host in self.hosts_by_id.iter().copied() {
             let host = &mut self.hosts[host];
-            let draw = shared_draw(host.id.0, self.settings.me.into());
+            let draw = shared_draw(host.id.0, self.settings.node_index.into());
             host.score_offset = ((turn % step) as f64 + draw) / step as f64;
             turn += usize::from(host.condition == Condition::Ready);
         }
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -1,7 +1,9 @@
 //! What happens to calls and attempts, as the host of the node reports it.
 
 use super::Node;
-use crate::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, News, Span, Time, TimerToken};
+use crate::domain::{
+    AttemptNumber, AttemptOutcome, AttemptReport, Call, CallId, HostId, Span, Time, TimerToken,
+};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 use crate::state::host::HostIndex;
@@ -104,18 +106,18 @@
         now: Time,
         call: CallId,
         attempt: AttemptNumber,
-        news: News,
+        report: AttemptReport,
         port: &mut dyn Port,
     ) {
         self.now = now;
         let Some((call_index, host)) = self.outstanding_attempt(call, attempt) else { return };
-        match news {
-            News::Load(load) => {
+        match report {
+            AttemptReport::Load(load) => {
                 self.count_load(call_index, host, -1.0);
                 self.calls[call_index].load = Some(load);
                 self.count_load(call_index, host, 1.0);
             }
-            News::MessageTime(took) => self.record_message_time(host, took, port),
+            AttemptReport::MessageTime(took) => self.record_message_time(host, took, port),
         }
     }
 
--- a/src/node/idempotency.rs
+++ b/src/node/idempotency.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     fn idempotency(&self, call_index: CallIndex) -> Idempotency {
-        self.settings.traffic[self.calls[call_index].class_index()].idempotency
+        self.settings.classes[self.calls[call_index].class_index()].idempotency
     }
 
     /// Whether the call may run again on some host.
--- a/src/node/reconfiguration.rs
+++ b/src/node/reconfiguration.rs
@@ -20,7 +20,7 @@
             self.retries = RetryCounter::after_budget_change(&settings, now);
         }
         self.settings = settings.with_tempered_revenue();
-        self.loads.mean_by_class.resize(self.settings.traffic.len(), 0.0);
+        self.loads.mean_by_class.resize(self.settings.classes.len(), 0.0);
         self.change_weights(had_live_weights);
         self.change_polling(had_to_poll, port);
     }
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -26,7 +26,7 @@
         let smoothed = if self.loads.mean > 0.0 { host.work.smoothed_rate / self.loads.mean } else { 0.0 };
         let own = host.connections() + smoothed;
         let Some(remote) = self.sizes.remote_connections(host) else { return own };
-        let node_count = f64::from(self.settings.nodes.max(1));
+        let node_count = f64::from(self.settings.node_count.max(1));
         let since_list = host.attempts_since_list[0] + host.attempts_since_list[1];
         (own + REMOTE_CONNECTION_WEIGHT * remote) / node_count + self.settings.remote_share() * since_list
     }
@@ -48,7 +48,7 @@
         if host.reported_connections.is_some() {
             return 0.0;
         }
-        let other_nodes = f64::from(self.settings.nodes.max(1)) - 1.0;
+        let other_nodes = f64::from(self.settings.node_count.max(1)) - 1.0;
         let large_fleet = self.settings.large_fleet_factor();
         large_fleet * other_nodes * self.traffic.connections_per_size * host.remote_load
             / self.size(host_index)
@@ -126,6 +126,6 @@
         let class = call.class_index();
         let known_load = call.load.unwrap_or(self.loads.mean_by_class[class]);
         let load = known_load.max(MIN_LOAD_SHARE * self.loads.mean).max(1e-9);
-        self.settings.traffic[class].revenue / load
+        self.settings.classes[class].revenue / load
     }
 }
--- a/src/node/slow_start.rs
+++ b/src/node/slow_start.rs
@@ -65,7 +65,7 @@
         let fill_rate = self.traffic.connections_per_size * self.fill_per_second(host);
         let rate = fill_rate.min(NEW_CLIENT_SHARE * self.max_rate(host));
         let part = rate / self.traffic.new_client_rate.max(MIN_NEW_CLIENT_RATE);
-        let draw = shared_draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.me));
+        let draw = shared_draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.node_index));
         let is_new = !call.returning && !call.mid_flow;
         is_new && draw < self.settings.large_fleet_factor().powi(2) * part
     }
@@ -88,7 +88,7 @@
             }
         }
         self.traffic.update_usual(connections, nominal_size, ready_size, first);
-        let node_count = f64::from(self.settings.nodes);
+        let node_count = f64::from(self.settings.node_count);
         self.sizes.tick(&self.hosts, node_count, connections, first.max(RATE_SMOOTHING));
         let window_factor = 1.0 - 0.5 * self.settings.shared_limit_factor();
         let window = self.settings.slow_start.window.times(window_factor);
@@ -121,14 +121,15 @@
     /// by their arrivals, and hosts that came back would stay empty.
     fn fill_per_second(&self, host: HostIndex) -> f64 {
         let slow_start = &self.settings.slow_start;
-        FILL_MULTIPLE * slow_start.multiple * self.hosts[host].size.0 / slow_start.after.seconds().max(1e-9)
+        FILL_MULTIPLE * slow_start.multiple * self.hosts[host].size.0
+            / slow_start.duration.seconds().max(1e-9)
     }
 
     /// This node's part of the attempts a second that a cold host can take from all nodes, judged by what hosts carry
     /// where half of them is free. Budgets come due at even steps and lapse after half a window, which leaves room for
     /// new clients beside them.
     fn max_rate(&self, host: HostIndex) -> f64 {
-        let node_count = f64::from(self.settings.nodes.max(1));
+        let node_count = f64::from(self.settings.node_count.max(1));
         let fill = self.fill_per_second(host) / FILL_MULTIPLE * self.slow_start_share(host);
         let allowed = fill * self.traffic.connections_per_size * node_count;
         let max_rate = self.settings.slow_start.max_rate(allowed);
@@ -153,7 +154,7 @@
     /// The budget that a host begins with. With the same one at all nodes, they would send a cold host their first call
     /// in one window: each starts another part of a call below zero; in a large fleet, below one.
     pub(super) fn first_budget(&self, host: HostId) -> f64 {
-        let node_part = f64::from(self.settings.me) / f64::from(self.settings.nodes.max(1));
+        let node_part = f64::from(self.settings.node_index) / f64::from(self.settings.node_count.max(1));
         let shared = self.settings.large_fleet_factor().max(self.settings.shared_limit_factor());
         shared * (node_part + shared_draw(host.0, 0)).fract() - (1.0 - shared) * node_part
     }
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -43,7 +43,7 @@
 
     fn restore_sizes(&mut self, snapshot: &NodeSnapshot) {
         for host_snapshot in &snapshot.hosts {
-            let Some(size) = host_snapshot.nominal else { continue };
+            let Some(size) = host_snapshot.size else { continue };
             let Some(host) = self.host_index.get(&host_snapshot.host) else { continue };
             let host = &mut self.hosts[*host];
             let weight = host.size.0 / (1.0 + host.reported_connections.unwrap_or(0.0));
--- a/src/state/call.rs
+++ b/src/state/call.rs
@@ -77,7 +77,7 @@
 
     /// Index of the call's traffic class.
     pub fn class_index(&self) -> usize {
-        usize::from(self.call.traffic.0)
+        usize::from(self.call.class.0)
     }
 }
 
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -121,35 +121,35 @@
     /// Share of its capacity that the host has for certain by now: it grows linearly to 1.
     pub fn slow_start_share(&self, slow_start: &SlowStart, now: Time) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let done = now.since(started_at).seconds() / slow_start.after.seconds().max(1e-9);
-        slow_start.from + (1.0 - slow_start.from) * done.min(1.0)
+        let done = now.since(started_at).seconds() / slow_start.duration.seconds().max(1e-9);
+        slow_start.initial_share + (1.0 - slow_start.initial_share) * done.min(1.0)
     }
 
     /// What the next process of the node has to know of this host.
     pub fn snapshot(&self) -> HostSnapshot {
         HostSnapshot {
             host: self.id,
-            open: self.connections(),
-            smoothed: self.work.smoothed_rate,
-            limit: Some(self.overload.load_limit).filter(|limit| limit.is_finite()),
-            strain: self.overload.penalty,
-            aside: self.outlier.is_ejected(),
-            budget: self.slow_start_budget.attempts,
-            held: self.remote_load,
-            answers: self.probe_times.usual(),
-            nominal: Some(self.size),
+            connections: self.connections(),
+            smoothed_load: self.work.smoothed_rate,
+            load_limit: Some(self.overload.load_limit).filter(|limit| limit.is_finite()),
+            overload_penalty: self.overload.penalty,
+            is_ejected: self.outlier.is_ejected(),
+            slow_start_budget: self.slow_start_budget.attempts,
+            remote_load: self.remote_load,
+            usual_probe_time: self.probe_times.usual(),
+            size: Some(self.size),
         }
     }
 
     /// Adopts what the process before knew. An ejected host stays ejected until it answers probes.
     pub fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
-        self.predecessor_connections = snapshot.open;
-        self.work.smoothed_rate = snapshot.smoothed;
-        self.overload.restore(snapshot.strain, snapshot.limit, snapshot.open);
-        self.remote_load = snapshot.held;
-        self.probe_times = ProbeTimes::from_usual(snapshot.answers);
-        self.slow_start_budget = SlowStartBudget::new(snapshot.budget, now);
-        if snapshot.aside {
+        self.predecessor_connections = snapshot.connections;
+        self.work.smoothed_rate = snapshot.smoothed_load;
+        self.overload.restore(snapshot.overload_penalty, snapshot.load_limit, snapshot.connections);
+        self.remote_load = snapshot.remote_load;
+        self.probe_times = ProbeTimes::from_usual(snapshot.usual_probe_time);
+        self.slow_start_budget = SlowStartBudget::new(snapshot.slow_start_budget, now);
+        if snapshot.is_ejected {
             self.outlier.restore_ejection(now);
         }
     }
--- a/src/state/retry_counter.rs
+++ b/src/state/retry_counter.rs
@@ -26,12 +26,12 @@
     /// A counter for a budget that has changed. What was sent under the old budget counts against the new one for a
     /// span, and is not known slot by slot; so no retry is sent meanwhile.
     pub fn after_budget_change(settings: &Settings, now: Time) -> RetryCounter {
-        let blocked_until = settings.retry_budget.map_or(Time(0), |budget| now + budget.span);
+        let blocked_until = settings.retry_budget.map_or(Time(0), |budget| now + budget.window);
         RetryCounter { blocked_until, ..RetryCounter::default() }
     }
 
     fn slot(budget: &RetryBudget, now: Time) -> u64 {
-        now.0 / (budget.span.0 / SLOTS).max(1)
+        now.0 / (budget.window.0 / SLOTS).max(1)
     }
 
     fn current_count(&mut self, budget: &RetryBudget, now: Time) -> &mut SlotCount {
@@ -67,6 +67,7 @@
         };
         let calls: u32 = last_slots(SLOTS).map(|count| count.calls).sum();
         let retries: u32 = last_slots(SLOTS + 1).map(|count| count.retries).sum();
-        now >= self.blocked_until && f64::from(retries) + 1.0 <= budget.free + budget.part * f64::from(calls)
+        now >= self.blocked_until
+            && f64::from(retries) + 1.0 <= budget.min_retries + budget.ratio * f64::from(calls)
     }
 }
--- a/src/state/traffic_stats.rs
+++ b/src/state/traffic_stats.rs
@@ -85,13 +85,13 @@
     pub fn snapshot(&self, loads: &LoadStats) -> NodeSnapshot {
         NodeSnapshot {
             mean_load: loads.mean,
-            of_type: loads.mean_by_class.clone(),
-            arrival: self.new_client_rate,
-            held: self.connections_per_size,
-            usual_conns: self.usual_connections,
-            size: self.ready_size,
-            usual_size: self.usual_ready_size,
-            setup: self.setup_time,
+            mean_load_by_class: loads.mean_by_class.clone(),
+            new_client_rate: self.new_client_rate,
+            connections_per_size: self.connections_per_size,
+            usual_connections: self.usual_connections,
+            ready_size: self.ready_size,
+            usual_ready_size: self.usual_ready_size,
+            setup_time: self.setup_time,
             ..NodeSnapshot::default()
         }
     }
@@ -99,14 +99,14 @@
     /// Adopts what the process before knew. Classes that it did not know begin anew.
     pub fn restore(&mut self, loads: &mut LoadStats, snapshot: &NodeSnapshot) {
         loads.mean = snapshot.mean_load;
-        for (mean, before) in loads.mean_by_class.iter_mut().zip(&snapshot.of_type) {
+        for (mean, before) in loads.mean_by_class.iter_mut().zip(&snapshot.mean_load_by_class) {
             *mean = *before;
         }
-        self.new_client_rate = snapshot.arrival;
-        self.connections_per_size = snapshot.held;
-        self.setup_time = snapshot.setup;
-        self.usual_connections = snapshot.usual_conns;
-        self.ready_size = snapshot.size;
-        self.usual_ready_size = snapshot.usual_size;
+        self.new_client_rate = snapshot.new_client_rate;
+        self.connections_per_size = snapshot.connections_per_size;
+        self.setup_time = snapshot.setup_time;
+        self.usual_connections = snapshot.usual_connections;
+        self.ready_size = snapshot.ready_size;
+        self.usual_ready_size = snapshot.usual_ready_size;
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -24,7 +24,7 @@
 /// How full the hosts are as a rule.
 const USUAL_FILL: f64 = 0.5;
 const SLOW_START: SlowStart =
-    SlowStart { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) };
+    SlowStart { initial_share: 0.2, duration: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) };
 /// Days that are drawn for each number of nodes.
 const DAYS: u64 = 100;
 const DAY_MS: u64 = 90_000;
@@ -140,7 +140,7 @@
         let endpoints: Vec<Endpoint> = (0..HOSTS)
             .map(|index| Endpoint {
                 condition: if self.hosts[index].is_listed { Condition::Ready } else { Condition::Gone },
-                up_since: self.hosts[index].started_at,
+                started_at: self.hosts[index].started_at,
                 ..usual_endpoint(HostId(index as u64 + 1))
             })
             .collect();
@@ -216,15 +216,15 @@
         self.next_call += 1;
         let call = Call {
             id,
-            traffic: ClassId(0),
+            class: ClassId(0),
             tenant: TenantId(0),
             subject: Some(SubjectId(id.0)),
             group: None,
-            guard: self.now + Span::ms(2_000),
+            deadline: self.now + Span::ms(2_000),
             load: None,
             returning: is_returning,
             mid_flow: false,
-            before: None,
+            prior_attempt: None,
         };
         self.calls.insert((node, id), CallState::default());
         self.notify(node, |node, now, port| node.call_arrived(now, call, port));
@@ -302,7 +302,7 @@
             let Some(started_at) = host.started_at else { continue };
             for (position, sent_at) in host.sent_at.iter().enumerate() {
                 let age = sent_at.since(started_at);
-                if *sent_at < started_at || age >= SLOW_START.after {
+                if *sent_at < started_at || age >= SLOW_START.duration {
                     continue;
                 }
                 let first = host.sent_at.partition_point(|other| *other + SLOW_START.window <= *sent_at);
@@ -321,10 +321,10 @@
 
 /// Attempts in a window that a host of this age stands: N + 2 sqrt(N) + 2, N being what is allowed.
 fn overload_limit(age: Span) -> f64 {
-    let from = SLOW_START.from;
-    let share = from + (1.0 - from) * age.seconds() / SLOW_START.after.seconds();
+    let from = SLOW_START.initial_share;
+    let share = from + (1.0 - from) * age.seconds() / SLOW_START.duration.seconds();
     let window = SLOW_START.window.seconds();
-    let allowed = SLOW_START.multiple * window * share * FULL / SLOW_START.after.seconds();
+    let allowed = SLOW_START.multiple * window * share * FULL / SLOW_START.duration.seconds();
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
--- a/tests/decision_digests/day.rs
+++ b/tests/decision_digests/day.rs
@@ -84,7 +84,7 @@
         let mut rng = WyRand::new_seed(seed);
         let nodes = [1, 1, 3, 8, 20, 60, 120, 300][(seed % 8) as usize];
         let mut settings = draw_settings(&mut rng, nodes);
-        settings.me = rng.generate_range(0..nodes);
+        settings.node_index = rng.generate_range(0..nodes);
         let mut recorder = Recorder::new(START);
         let node = Node::start(settings.clone(), seed, START, &mut recorder);
         let calls_per_second = 2.0 + 40.0 / f64::from(nodes).sqrt();
--- a/tests/decision_digests/day/calls.rs
+++ b/tests/decision_digests/day/calls.rs
@@ -1,8 +1,8 @@
 //! Calls, and what becomes of their attempts.
 
 use glendeck::domain::{
-    AttemptNumber, AttemptOutcome, Call, CallId, ClassId, GroupId, HostId, News, Span, SubjectId, TenantId,
-    Time,
+    AttemptNumber, AttemptOutcome, AttemptReport, Call, CallId, ClassId, GroupId, HostId, Span, SubjectId,
+    TenantId, Time,
 };
 use nanorand::Rng;
 
@@ -36,15 +36,15 @@
         let before = (returning && self.chance(0.1)).then(|| (self.hosts[0].0.host, now - Span::ms(300)));
         Call {
             id,
-            traffic: ClassId(traffic),
+            class: ClassId(traffic),
             tenant: TenantId(0),
             subject: Some(subject),
             group,
-            guard,
+            deadline: guard,
             load: known.then(|| 0.02 + 0.1 * f64::from(self.rng.generate::<f32>())),
             returning,
             mid_flow: false,
-            before,
+            prior_attempt: before,
         }
     }
 
@@ -83,7 +83,7 @@
             now,
             call,
             AttemptNumber(attempt),
-            News::MessageTime(took),
+            AttemptReport::MessageTime(took),
             &mut self.recorder,
         );
         self.schedule_after(Span::ms(1_000), Event::MessageTime(call, attempt, host));
@@ -105,7 +105,7 @@
                 let ended = client.call;
                 let after = self.span(50, 800);
                 let subject = ended.subject.expect("each call here has a subject");
-                self.schedule_after(after, Event::ClientReturns(subject, ended.traffic.0, ended.group));
+                self.schedule_after(after, Event::ClientReturns(subject, ended.class.0, ended.group));
             }
         }
     }
@@ -152,7 +152,7 @@
     pub(super) fn report_load(&mut self, now: Time, call: CallId, attempt: u16) {
         let load = 0.01 + 0.1 * f64::from(self.rng.generate::<f32>());
         let attempt = AttemptNumber(attempt);
-        self.node.attempt_report(now, call, attempt, News::Load(load), &mut self.recorder);
+        self.node.attempt_report(now, call, attempt, AttemptReport::Load(load), &mut self.recorder);
     }
 
     pub(super) fn client_leaves(&mut self, now: Time, call: CallId) {
--- a/tests/decision_digests/day/hosts.rs
+++ b/tests/decision_digests/day/hosts.rs
@@ -19,7 +19,7 @@
             condition: Condition::Ready,
             weight: Weight(f64::from(self.rng.generate_range(1..5u32)) * 0.5),
             kind: self.chance(0.5).then_some(Kind(number % 3)),
-            up_since: cold.then_some(started),
+            started_at: cold.then_some(started),
         };
         let behaviour = self.draw_behaviour();
         self.hosts.push((endpoint, behaviour));
@@ -94,7 +94,7 @@
                 Condition::Gone => Condition::Ready,
             };
             if endpoint.condition == Condition::Ready && cold {
-                endpoint.up_since = Some(started);
+                endpoint.started_at = Some(started);
             }
             endpoint.weight = Weight(endpoint.weight.0 * if cold { 0.9 } else { 1.1 });
             changed.push(*endpoint);
--- a/tests/decision_digests/day/process.rs
+++ b/tests/decision_digests/day/process.rs
@@ -41,10 +41,10 @@
     }
 
     pub(super) fn change_settings(&mut self, now: Time) {
-        let node_index = self.settings.me;
-        let node_count = self.settings.nodes;
+        let node_index = self.settings.node_index;
+        let node_count = self.settings.node_count;
         self.settings = draw_settings(&mut self.rng, node_count);
-        self.settings.me = node_index;
+        self.settings.node_index = node_index;
         self.node.update_settings(now, self.settings.clone(), &mut self.recorder);
     }
 }
--- a/tests/decision_digests/day/settings.rs
+++ b/tests/decision_digests/day/settings.rs
@@ -25,10 +25,10 @@
     });
     let traffic: Vec<TrafficClass> = traffic.collect();
     Settings {
-        traffic,
+        classes: traffic,
         zone: Zone(u16::from(chance(0.5))),
-        me: 0,
-        nodes,
+        node_index: 0,
+        node_count: nodes,
         tick: Span::ms(5),
         max_attempts: if chance(0.5) { 3 } else { 5 },
         can_probe: chance(0.8),
@@ -37,8 +37,17 @@
         reports_message_times: chance(0.5),
         retry_after: chance(0.5).then_some(Span::ms(2_000)),
         poll_interval: chance(0.7).then_some(Span::ms(4_000)),
-        slow_start: SlowStart { from: 0.2, after: Span::ms(15_000), multiple: 4.0, window: Span::ms(1_000) },
-        retry_budget: chance(0.6).then_some(RetryBudget { free: 5.0, part: 0.2, span: Span::ms(10_000) }),
+        slow_start: SlowStart {
+            initial_share: 0.2,
+            duration: Span::ms(15_000),
+            multiple: 4.0,
+            window: Span::ms(1_000),
+        },
+        retry_budget: chance(0.6).then_some(RetryBudget {
+            min_retries: 5.0,
+            ratio: 0.2,
+            window: Span::ms(10_000),
+        }),
         start_uncertainty: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
         cross_zone_price: if chance(0.5) { 0.05 } else { 0.0 },
         whole_weight: if chance(0.5) { 0.5 } else { 1.0 },
--- a/tests/decision_digests/day/state_digest.rs
+++ b/tests/decision_digests/day/state_digest.rs
@@ -22,12 +22,19 @@
         let digest = &mut self.recorder.digest;
         for host in &snapshot.hosts {
             digest.add(host.host.0);
-            for number in [host.open, host.smoothed, host.strain, host.budget, host.held, host.answers] {
+            for number in [
+                host.connections,
+                host.smoothed_load,
+                host.overload_penalty,
+                host.slow_start_budget,
+                host.remote_load,
+                host.usual_probe_time,
+            ] {
                 digest.add_float(number);
             }
-            digest.add_float(host.limit.unwrap_or(-1.0));
-            digest.add_float(host.nominal.map_or(-1.0, |size| size.0));
-            digest.add(u64::from(host.aside));
+            digest.add_float(host.load_limit.unwrap_or(-1.0));
+            digest.add_float(host.size.map_or(-1.0, |size| size.0));
+            digest.add(u64::from(host.is_ejected));
         }
         let mut loads = snapshot.loads.clone();
         loads.sort_by(|one, other| one.0.cmp(&other.0).then(one.1.total_cmp(&other.1)));
@@ -37,14 +44,14 @@
         }
         let rates = [
             snapshot.mean_load,
-            snapshot.arrival,
-            snapshot.held,
-            snapshot.usual_conns,
-            snapshot.size,
-            snapshot.usual_size,
-            snapshot.setup,
+            snapshot.new_client_rate,
+            snapshot.connections_per_size,
+            snapshot.usual_connections,
+            snapshot.ready_size,
+            snapshot.usual_ready_size,
+            snapshot.setup_time,
         ];
-        rates.iter().chain(&snapshot.of_type).for_each(|number| digest.add_float(*number));
+        rates.iter().chain(&snapshot.mean_load_by_class).for_each(|number| digest.add_float(*number));
     }
 
     pub(super) fn digest_warm_state(&mut self, warm_state: &WarmState) {
--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/world.rs
@@ -7,8 +7,8 @@
 
 use glendeck::Node;
 use glendeck::domain::{
-    AttemptNumber, AttemptOutcome, CallId, Endpoint, GroupId, HostId, ListUpdate, News, Settings, Span, Time,
-    TimerToken, WarmState,
+    AttemptNumber, AttemptOutcome, AttemptReport, CallId, Endpoint, GroupId, HostId, ListUpdate, Settings,
+    Span, Time, TimerToken, WarmState,
 };
 use nanorand::{Rng, WyRand};
 
@@ -271,7 +271,7 @@
         let Some(state) = self.calls[key.node].get(&key.call) else { return };
         let load = self.clients[state.client].load;
         self.notify(key.node, |node, now, port| {
-            node.attempt_report(now, key.call, key.attempt, News::Load(load), port);
+            node.attempt_report(now, key.call, key.attempt, AttemptReport::Load(load), port);
         });
     }
 
--- a/tests/lost_node/world/clients.rs
+++ b/tests/lost_node/world/clients.rs
@@ -56,15 +56,15 @@
         let id = CallId(self.last_call);
         let call = Call {
             id,
-            traffic: ClassId(0),
+            class: ClassId(0),
             tenant: TenantId(0),
             subject: Some(SubjectId(client as u64)),
             group: self.clients[client].group,
-            guard: self.now + Span::ms(3_000),
+            deadline: self.now + Span::ms(3_000),
             load: None,
             returning: self.clients[client].visits > 0,
             mid_flow: false,
-            before: None,
+            prior_attempt: None,
         };
         self.clients[client].request = Some((node, id));
         self.calls[node].insert(id, CallState { client, attempts: 0, host: 0 });
--- a/tests/lost_node/world/hosts.rs
+++ b/tests/lost_node/world/hosts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use glendeck::domain::{AttemptNumber, GroupId, News, Span};
+use glendeck::domain::{AttemptNumber, AttemptReport, GroupId, Span};
 
 use super::{CallState, Event, HostIndex, NodeIndex, World};
 
@@ -89,8 +89,8 @@
         };
         let call = *call;
         let attempt = AttemptNumber(state.attempts - 1);
-        let news = News::MessageTime(Span::from_seconds(backlog));
-        self.notify(node, |node, now, port| node.attempt_report(now, call, attempt, news, port));
+        let report = AttemptReport::MessageTime(Span::from_seconds(backlog));
+        self.notify(node, |node, now, port| node.attempt_report(now, call, attempt, report, port));
     }
 
     pub(super) fn measure_service(&mut self) {
--- a/tests/scenarios/notation.rs
+++ b/tests/scenarios/notation.rs
@@ -87,7 +87,7 @@
         revenue,
     };
     Settings {
-        traffic: vec![class(1.0), class(other_revenue)],
+        classes: vec![class(1.0), class(other_revenue)],
         max_attempts: options.value("attempts").unwrap_or(4),
         weights: if options.has("live-weights") { Weights::Live } else { Weights::Sizes },
         reports_message_times: !options.has("no-message-times"),
@@ -122,5 +122,5 @@
 /// `5+0.03`: retries without any call, and for each call, in 10 s.
 fn retry_budget(text: &str) -> RetryBudget {
     let (free, part) = text.split_once('+').unwrap_or_else(|| panic!("{text:?} is no retry budget"));
-    RetryBudget { free: parse(free), part: parse(part), span: Span::ms(10_000) }
+    RetryBudget { min_retries: parse(free), ratio: parse(part), window: Span::ms(10_000) }
 }
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/player.rs
@@ -4,8 +4,8 @@
 
 use glendeck::Node;
 use glendeck::domain::{
-    AttemptNumber, AttemptOutcome, Call, CallId, Cell, ClassId, Endpoint, GroupId, HostId, Kind, ListUpdate,
-    News, NodeSnapshot, Settings, Span, SubjectId, TenantId, Time, TimerToken, Weight, Zone,
+    AttemptNumber, AttemptOutcome, AttemptReport, Call, CallId, Cell, ClassId, Endpoint, GroupId, HostId,
+    Kind, ListUpdate, NodeSnapshot, Settings, Span, SubjectId, TenantId, Time, TimerToken, Weight, Zone,
 };
 
 use crate::notation::{Options, condition, outcome, parse, seconds, settings};
@@ -103,12 +103,12 @@
             ["leave", call] => self.node.client_left(self.now, CallId(parse(call)), &mut self.port),
             ["load", calls, load] => {
                 for call in self.calls(calls) {
-                    self.report(call, News::Load(parse(load)));
+                    self.report(call, AttemptReport::Load(parse(load)));
                 }
             }
             ["message-time", host, took] => {
                 let call = self.calls(&format!("@{host}"))[0];
-                self.report(call, News::MessageTime(seconds(took)));
+                self.report(call, AttemptReport::MessageTime(seconds(took)));
             }
             ["successor", ..] => self.replace_process(words),
             ["restore"] => self.node.restore(&self.snapshot),
@@ -241,9 +241,9 @@
         self.node.attempt_ended(self.now, call, attempt, outcome, is_final, &mut self.port);
     }
 
-    fn report(&mut self, call: CallId, news: News) {
+    fn report(&mut self, call: CallId, report: AttemptReport) {
         let attempt = self.outstanding[&call].attempt;
-        self.node.attempt_report(self.now, call, attempt, news, &mut self.port);
+        self.node.attempt_report(self.now, call, attempt, report, &mut self.port);
     }
 
     fn end_probe(&mut self, host: &str, how: &str) {
@@ -286,7 +286,7 @@
                 condition: condition(condition_name),
                 weight: Weight(options.value("weight").unwrap_or(1.0)),
                 kind: options.value("kind").map(Kind),
-                up_since: options.span("started").map(|start| Time(0) + start),
+                started_at: options.span("started").map(|start| Time(0) + start),
                 ..usual_endpoint(self.host(host))
             })
             .collect();
@@ -335,15 +335,15 @@
     fn call(&self, id: CallId, options: &Options) -> Call {
         Call {
             id,
-            traffic: ClassId(options.value("class").unwrap_or(0)),
+            class: ClassId(options.value("class").unwrap_or(0)),
             tenant: TenantId(0),
             subject: options.value("subject").map(SubjectId),
             group: options.value("group").map(GroupId),
-            guard: self.now + options.span("deadline").unwrap_or(USUAL_DEADLINE),
+            deadline: self.now + options.span("deadline").unwrap_or(USUAL_DEADLINE),
             load: options.value("load"),
             returning: options.has("returning"),
             mid_flow: false,
-            before: options.text("prior-attempt").map(|text| self.prior_attempt(text)),
+            prior_attempt: options.text("prior-attempt").map(|text| self.prior_attempt(text)),
         }
     }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -66,15 +66,15 @@
 /// Settings of one node of several, with one idempotent class and an endpoint list that comes by itself.
 pub fn usual_settings(node_index: usize, node_count: usize) -> Settings {
     Settings {
-        traffic: vec![TrafficClass {
+        classes: vec![TrafficClass {
             idempotency: Idempotency::Idempotent,
             setup_target: Span::ms(500),
             message_target: Some(Span::ms(100)),
             revenue: 1.0,
         }],
         zone: Zone(0),
-        me: node_index as u32,
-        nodes: node_count as u32,
+        node_index: node_index as u32,
+        node_count: node_count as u32,
         tick: Span::ms(5),
         max_attempts: 4,
         can_probe: true,
@@ -83,7 +83,12 @@
         reports_message_times: true,
         retry_after: None,
         poll_interval: None,
-        slow_start: SlowStart { from: 0.2, after: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) },
+        slow_start: SlowStart {
+            initial_share: 0.2,
+            duration: Span::ms(20_000),
+            multiple: 3.0,
+            window: Span::ms(1_000),
+        },
         retry_budget: None,
         start_uncertainty: Span::ZERO,
         cross_zone_price: 0.0,
@@ -100,6 +105,6 @@
         condition: Condition::Ready,
         weight: Weight(1.0),
         kind: None,
-        up_since: None,
+        started_at: None,
     }
 }
