--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -128,7 +128,7 @@
             subject_id = %format_args!("{:x}", call.subject.map_or(0, |subject| subject.0)),
             group_id = call.group.map_or(0, |group| group.0),
             class_id = call.class.0,
-            returning = call.returning,
+            returning = call.is_returning,
             previous_host = ?previous_host.map(|host| host.0),
             "call received"
         );
@@ -164,8 +164,8 @@
         group: request.group,
         deadline: sent_at + wait - DEADLINE_MARGIN.min(wait.times(0.5)),
         load: request.load,
-        returning: request.is_returning(),
-        mid_flow: false,
+        is_returning: request.is_returning(),
+        is_mid_flow: false,
         prior_attempt: None,
     }
 }
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -182,8 +182,8 @@
             deadline: self.now,
             load: handover.load,
             // It did not come from elsewhere.
-            returning: false,
-            mid_flow: false,
+            is_returning: false,
+            is_mid_flow: false,
             prior_attempt: None,
         })
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -213,8 +213,8 @@
             group: Some(GroupId(self.u64(team))).filter(|group| group.0 != 0),
             deadline: self.time(guard)?,
             load,
-            returning: marked & (2 | 16) != 0,
-            mid_flow: marked & 8 != 0,
+            is_returning: marked & (2 | 16) != 0,
+            is_mid_flow: marked & 8 != 0,
             prior_attempt: None,
         })
     }
--- a/src/domain/call.rs
+++ b/src/domain/call.rs
@@ -20,9 +20,9 @@
     /// Expected load in seconds of work a second.
     pub load: Option<f64>,
     /// The client has been here before: it tries again, or returns after a break or a migration.
-    pub returning: bool,
+    pub is_returning: bool,
     /// Packets of a connection that is already open on some host.
-    pub mid_flow: bool,
+    pub is_mid_flow: bool,
     /// An attempt that may have run before the call came here: its host, and when it was sent at the earliest.
     pub prior_attempt: Option<(HostId, Time)>,
 }
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -26,7 +26,7 @@
     /// asked for is remembered for the client's return.
     pub(super) fn admit(&mut self, call: Call) -> CallIndex {
         let local_load = call.load.or_else(|| self.load_cache.local_load(call.subject?));
-        let is_displaced = call.returning && local_load.is_none();
+        let is_displaced = call.is_returning && local_load.is_none();
         let load = local_load.or_else(|| self.load_cache.lost_node_load(call.subject?));
         let first_run = call.prior_attempt.and_then(|(host, sent_at)| {
             let host = *self.host_index.get(&host)?;
@@ -66,7 +66,7 @@
         let call = self.calls[call_index].call;
         let remaining_part =
             READMISSION_FACTOR * self.traffic.ready_size / self.traffic.usual_ready_size.max(1e-9);
-        let is_new = !call.returning || call.mid_flow;
+        let is_new = !call.is_returning || call.is_mid_flow;
         if is_new || remaining_part >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
             return false;
         }
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -17,7 +17,7 @@
     pub fn call_arrived(&mut self, now: Time, call: Call, port: &mut dyn Port) {
         self.now = now;
         self.retries.record_call(&self.settings, now);
-        self.traffic.new_clients += u32::from(!call.returning && !call.mid_flow);
+        self.traffic.new_clients += u32::from(!call.is_returning && !call.is_mid_flow);
         let call_index = self.admit(call);
         if self.exceeds_remaining_capacity(call_index) {
             return self.answer(call_index, port);
--- a/src/node/slow_start.rs
+++ b/src/node/slow_start.rs
@@ -66,7 +66,7 @@
         let rate = fill_rate.min(NEW_CLIENT_SHARE * self.max_rate(host));
         let part = rate / self.traffic.new_client_rate.max(MIN_NEW_CLIENT_RATE);
         let draw = shared_draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.node_index));
-        let is_new = !call.returning && !call.mid_flow;
+        let is_new = !call.is_returning && !call.is_mid_flow;
         is_new && draw < self.settings.large_fleet_factor().powi(2) * part
     }
 
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -222,8 +222,8 @@
             group: None,
             deadline: self.now + Span::ms(2_000),
             load: None,
-            returning: is_returning,
-            mid_flow: false,
+            is_returning: is_returning,
+            is_mid_flow: false,
             prior_attempt: None,
         };
         self.calls.insert((node, id), CallState::default());
--- a/tests/decision_digests/day/calls.rs
+++ b/tests/decision_digests/day/calls.rs
@@ -42,8 +42,8 @@
             group,
             deadline: guard,
             load: known.then(|| 0.02 + 0.1 * f64::from(self.rng.generate::<f32>())),
-            returning,
-            mid_flow: false,
+            is_returning: returning,
+            is_mid_flow: false,
             prior_attempt: before,
         }
     }
--- a/tests/decision_digests/day/process.rs
+++ b/tests/decision_digests/day/process.rs
@@ -23,7 +23,7 @@
         let clients = std::mem::take(&mut self.clients);
         for (_, client) in clients {
             let Some(host) = client.host.filter(|_| client.is_open) else { continue };
-            let call = Call { id: CallId(self.next_call), mid_flow: true, ..client.call };
+            let call = Call { id: CallId(self.next_call), is_mid_flow: true, ..client.call };
             self.next_call += 1;
             self.node.existing_connection(now, call, host);
             self.clients.insert(call.id, Client { call, attempts: 1, host: Some(host), is_open: true });
--- a/tests/lost_node/world/clients.rs
+++ b/tests/lost_node/world/clients.rs
@@ -62,8 +62,8 @@
             group: self.clients[client].group,
             deadline: self.now + Span::ms(3_000),
             load: None,
-            returning: self.clients[client].visits > 0,
-            mid_flow: false,
+            is_returning: self.clients[client].visits > 0,
+            is_mid_flow: false,
             prior_attempt: None,
         };
         self.clients[client].request = Some((node, id));
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/player.rs
@@ -341,8 +341,8 @@
             group: options.value("group").map(GroupId),
             deadline: self.now + options.span("deadline").unwrap_or(USUAL_DEADLINE),
             load: options.value("load"),
-            returning: options.has("returning"),
-            mid_flow: false,
+            is_returning: options.has("returning"),
+            is_mid_flow: false,
             prior_attempt: options.text("prior-attempt").map(|text| self.prior_attempt(text)),
         }
     }
