--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -222,7 +222,7 @@
             group: None,
             deadline: self.now + Span::ms(2_000),
             load: None,
-            is_returning: is_returning,
+            is_returning,
             is_mid_flow: false,
             prior_attempt: None,
         };
