--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -19,16 +19,16 @@
 /// # Errors
 /// The first setting that is missing or makes no sense.
 pub fn settings(map: &SettingsMap) -> Result<Settings, SettingsError> {
-    let traffic = traffic_classes(map)?;
+    let classes = traffic_classes(map)?;
     let poll_interval = poll_interval(map)?;
     check_load_reports(map)?;
     check_unused(map)?;
     let retry_after = retry_after(map)?;
     Ok(Settings {
-        traffic,
+        classes,
         zone: Zone(map.whole_number("myZone")?),
-        me: map.whole_number("me")?,
-        nodes: map.whole_number("fleetSize")?,
+        node_index: map.whole_number("me")?,
+        node_count: map.whole_number("fleetSize")?,
         tick: map.span("tickMs")?,
         max_attempts: map.whole_number("caps.maxLegs")?,
         can_probe: map.flag("caps.mayProbe")?,
@@ -113,8 +113,8 @@
 
 fn slow_start(map: &SettingsMap) -> Result<SlowStart, SettingsError> {
     Ok(SlowStart {
-        from: map.number("safety.coldFrom")?,
-        after: map.span("safety.warmAfterMs")?,
+        initial_share: map.number("safety.coldFrom")?,
+        duration: map.span("safety.warmAfterMs")?,
         multiple: map.number("safety.fallMultiple")?,
         window: map.span("safety.fallMs")?,
     })
@@ -126,11 +126,11 @@
     if !is_given {
         return Ok(None);
     }
-    let span = map.span(BUDGET_SPAN)?;
-    if span < Span::ms(1) {
+    let window = map.span(BUDGET_SPAN)?;
+    if window < Span::ms(1) {
         return Err(SettingsError::invalid(BUDGET_SPAN, map.text(BUDGET_SPAN)?, "a millisecond or more"));
     }
-    Ok(Some(RetryBudget { free: map.number(BUDGET_FREE)?, part: map.number(BUDGET_RATIO)?, span }))
+    Ok(Some(RetryBudget { min_retries: map.number(BUDGET_FREE)?, ratio: map.number(BUDGET_RATIO)?, window }))
 }
 
 /// The weight of the whole service in the score, against the worst class; all of it if neither has a weight.
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -13,7 +13,7 @@
 fn a_budget_is_whole_or_none() {
     assert_eq!(decode("").unwrap(), None);
     let whole = "safety.budgetFree=5\nsafety.repeatRatio=0.03\nsafety.budgetSpanMs=10000";
-    let expected = RetryBudget { free: 5.0, part: 0.03, span: Span::ms(10_000) };
+    let expected = RetryBudget { min_retries: 5.0, ratio: 0.03, window: Span::ms(10_000) };
     assert_eq!(decode(whole).unwrap(), Some(expected));
     let missing = decode("safety.budgetFree=5\nsafety.budgetSpanMs=10000").unwrap_err();
     assert!(missing.to_string().contains("safety.repeatRatio"), "{missing}");
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,8 +1,8 @@
 //! Events: their codes, and the places of their fields.
 
 use glendeck::domain::{
-    Call, CallId, Cell, ClassId, Condition, Endpoint, GroupId, Kind, ListUpdate, News, Span, SubjectId,
-    TenantId, Weight, Zone,
+    AttemptReport, Call, CallId, Cell, ClassId, Condition, Endpoint, GroupId, Kind, ListUpdate, Span,
+    SubjectId, TenantId, Weight, Zone,
 };
 
 use crate::error::WireError;
@@ -119,17 +119,17 @@
     };
     let call = Call {
         id: call_id(record),
-        traffic: ClassId(record.u8(layout.class)),
+        class: ClassId(record.u8(layout.class)),
         tenant: TenantId(record.u32(layout.tenant)),
         subject: Some(SubjectId(record.u64(layout.subject))).filter(|subject| subject.0 != 0),
         group: Some(GroupId(record.u64(layout.group))).filter(|group| group.0 != 0),
-        guard: record.time(layout.deadline)?,
+        deadline: record.time(layout.deadline)?,
         load,
-        returning: flags & (IS_REPEAT | HAS_RETURNED) != 0,
-        mid_flow: flags & IS_MID_FLOW != 0,
-        before: None,
+        is_returning: flags & (IS_REPEAT | HAS_RETURNED) != 0,
+        is_mid_flow: flags & IS_MID_FLOW != 0,
+        prior_attempt: None,
     };
-    if usize::from(call.traffic.0) >= class_count {
+    if usize::from(call.class.0) >= class_count {
         return Err(record.code_error(layout.class, "traffic type"));
     }
     Ok(call)
@@ -179,18 +179,18 @@
         condition,
         weight: Weight(weight),
         kind: Some(Kind(u64::from(word(15)))),
-        up_since: Some(started).filter(|started| started.0 != 0),
+        started_at: Some(started).filter(|started| started.0 != 0),
     })
 }
 
 /// What [`EventKind::ConnectionReported`] reports.
-pub fn report(record: &EventRecord) -> Result<News, WireError> {
+pub fn report(record: &EventRecord) -> Result<AttemptReport, WireError> {
     const VALUE: usize = 20;
     match record.u8(13) {
-        1 => Ok(News::Load(record.load(VALUE, record.f32(VALUE), MICROS_PER_SECOND)?)),
+        1 => Ok(AttemptReport::Load(record.load(VALUE, record.f32(VALUE), MICROS_PER_SECOND)?)),
         2 => {
             let seconds = record.load(VALUE, record.f32(VALUE), MS_PER_SECOND)?;
-            Ok(News::MessageTime(Span::from_seconds(seconds)))
+            Ok(AttemptReport::MessageTime(Span::from_seconds(seconds)))
         }
         _ => Err(record.code_error(13, "note")),
     }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -89,7 +89,7 @@
     let settings = SettingsMap::from_lines(text)
         .and_then(|map| glendeck_settings::settings(&map))
         .map_err(|source| WireError::Settings { batch, record: record_number, instance: number, source })?;
-    let class_count = settings.traffic.len();
+    let class_count = settings.classes.len();
     let seed = record.u64(5);
     Ok(Instance { class_count, node: Node::start(settings, seed, now, actions) })
 }
