--- a/crates/fleet/src/consensus.rs
+++ b/crates/fleet/src/consensus.rs
@@ -15,7 +15,7 @@
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
 use crate::state::{Command, Entry, VoterSlot};
-use crate::{StoreKey, StoreWrite, StoredState, bytes};
+use crate::store::{StoreKey, StoreWrite, StoredState, encode};
 
 impl omnipaxos::storage::Entry for Entry {
     type Snapshot = NoSnapshot;
@@ -37,7 +37,7 @@
 impl Memory {
     fn note(&mut self, from: usize) {
         for at in from..self.log.len() {
-            self.writes.push(StoreWrite::Log(at as u64, bytes(&self.log[at])));
+            self.writes.push(StoreWrite::Log(at as u64, encode(&self.log[at])));
         }
     }
 }
@@ -88,14 +88,14 @@
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.promise = Some(ballot);
-        memory.writes.push(StoreWrite::Put(StoreKey::Promise, bytes(&ballot)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Promise, encode(&ballot)));
         Ok(())
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.decided = decided;
-        memory.writes.push(StoreWrite::Put(StoreKey::Decided, bytes(&decided)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Decided, encode(&decided)));
         Ok(())
     }
 
@@ -106,7 +106,7 @@
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
         let mut memory = self.0.borrow_mut();
         memory.accepted = Some(ballot);
-        memory.writes.push(StoreWrite::Put(StoreKey::Accepted, bytes(&ballot)));
+        memory.writes.push(StoreWrite::Put(StoreKey::Accepted, encode(&ballot)));
         Ok(())
     }
 
--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -5,10 +5,12 @@
 use nanorand::{Rng, WyRand};
 use serde::Serialize;
 
+use crate::Timestamp;
 use crate::consensus::{ConsensusMessage, Decided, TICK_MS, Voter};
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::hosts::{DrainingHost, HostWatch, Listing};
-use crate::leader_state::{Heard, LeaderState};
+use crate::leader_state::LeaderState;
+use crate::liveness::{HeartbeatSource, Liveness};
 use crate::member::Member;
 use crate::message::{
     DurableMark, Echo, Envelope, Heartbeat, HeartbeatReply, LogPosition, LogStep, LogUpdate, Message,
@@ -18,7 +20,8 @@
 use crate::state::{
     BootCount, Cause, Command, CommandResult, Entry, Incarnation, Lease, RequestId, State, VoterSlot,
 };
-use crate::{StoreKey, StoreWrite, StoredState, Timestamp, bytes};
+use crate::store::{StoreKey, StoreWrite, StoredState, encode};
+use crate::timing::{HEARTBEAT_MS, VOTER_SILENCE_MS};
 
 /// What a node starts with.
 pub struct FleetConfig {
@@ -123,9 +126,6 @@
 /// Entries of one epoch: a voter that takes them anew is told a few hundred KiB.
 pub const LONGEST_LOG: usize = 2_000;
 
-/// A node says so much to a voter once in this time.
-pub const BEAT_MS: u64 = 1_000;
-
 /// A question goes out again after this, and is given up after that: operators hear something within a second.
 const ASK_AGAIN_MS: u64 = 250;
 const ASK_ENDS_MS: u64 = 900;
@@ -170,7 +170,7 @@
     trusted: bool,
     /// Voters that know nothing better of our seat than our disk does.
     vouched: BTreeSet<UnitName>,
-    pub(crate) heard: BTreeMap<UnitName, Heard>,
+    pub(crate) liveness: Liveness,
     pub(crate) leader_state: LeaderState,
     pub(crate) member: Member,
     pub(crate) listing: Listing,
@@ -238,7 +238,7 @@
             founded_elsewhere: None,
             trusted: false,
             vouched: BTreeSet::new(),
-            heard: BTreeMap::new(),
+            liveness: Liveness::default(),
             leader_state: LeaderState::default(),
             member: Member::default(),
             listing: Listing::default(),
@@ -276,7 +276,7 @@
             fleet.boot_count = BootCount(saved.value::<u64>(StoreKey::BootCount).unwrap_or(0) + 1);
             let stamp = saved.value(StoreKey::Stamp).unwrap_or(0);
             fleet.disk = Some(Disk { saved, batch: 0, stamp, pending: None, lazy: Vec::new() });
-            let writes = vec![StoreWrite::Put(StoreKey::BootCount, bytes(&fleet.boot_count.0))];
+            let writes = vec![StoreWrite::Put(StoreKey::BootCount, encode(&fleet.boot_count.0))];
             fleet.write(writes, Pending::Opened);
         }
         fleet
@@ -359,14 +359,7 @@
                 // It was there so long before the other answered, and that was after we had asked.
                 let Some(asked) = self.proved(Some(echo)) else { return };
                 for (name, heartbeat, ago) in found {
-                    let at = Timestamp(asked.0.saturating_sub(ago * 1_000_000));
-                    let known = self.heard.remove(&name);
-                    let newer = known.as_ref().is_none_or(|known| at > known.at);
-                    let heard = match known {
-                        Some(known) if !newer => known,
-                        known => Heard::take(known, heartbeat, Some(at), now, false),
-                    };
-                    self.heard.insert(name, heard);
+                    self.liveness.record_relayed(&name, heartbeat, asked.minus_ms(ago), now);
                 }
             }
         }
@@ -453,7 +446,7 @@
 
     /// A leader that a majority hears has said so of late, and all that it told of is known here.
     pub fn hears_leader(&self) -> bool {
-        let told = self.leader_at.is_some_and(|at| self.now.ms_since(at) < crate::member::HEARS_MS);
+        let told = self.leader_at.is_some_and(|at| self.now.ms_since(at) < VOTER_SILENCE_MS);
         self.is_current() && if self.leads() { self.hears_majority() } else { told }
     }
 
@@ -485,8 +478,7 @@
     pub fn view(&self) -> FleetView<'_> {
         let (hears, misses) =
             self.state.voter_slots.iter().map(|voter_slot| &voter_slot.name).partition(|name| {
-                let told =
-                    self.told_at.get(name).is_some_and(|at| self.now.ms_since(*at) < crate::member::HEARS_MS);
+                let told = self.told_at.get(name).is_some_and(|at| self.now.ms_since(*at) < VOTER_SILENCE_MS);
                 **name == self.name || told
             });
         FleetView {
@@ -499,7 +491,12 @@
             applied: self.state.applied,
             hears,
             misses,
-            doubled: self.heard.iter().filter(|(_, of)| of.doubled.is_some()).map(|(name, _)| name).collect(),
+            doubled: self
+                .liveness
+                .iter()
+                .filter(|(_, unit)| unit.duplicate_since.is_some())
+                .map(|(name, _)| name)
+                .collect(),
             draining_hosts: self.draining_hosts(),
             state: &self.state,
         }
@@ -517,7 +514,7 @@
                 .find(|voter_slot| voter_slot.number == leader)
                 .map(|voter_slot| &voter_slot.name);
         }
-        self.leader.as_ref().filter(|(_, at)| self.now.ms_since(*at) < 3 * BEAT_MS).map(|(name, _)| name)
+        self.leader.as_ref().filter(|(_, at)| self.now.ms_since(*at) < 3 * HEARTBEAT_MS).map(|(name, _)| name)
     }
 
     fn log_position(&self) -> LogPosition {
@@ -567,17 +564,16 @@
 
     fn heartbeat(&mut self) {
         // Jittered by a tenth: a fleet started at once must not speak at once for ever.
-        let jitter = self.chance.generate_range(0..BEAT_MS / 10);
-        self.next_beat = self.now.plus_ms(BEAT_MS - jitter);
+        let jitter = self.chance.generate_range(0..HEARTBEAT_MS / 10);
+        self.next_beat = self.now.plus_ms(HEARTBEAT_MS - jitter);
         let heartbeat = self.own_beat();
         for voter in self.voters() {
             let heartbeat = Heartbeat { echo: self.echoes.get(&voter).copied(), ..heartbeat.clone() };
             self.send(&voter, Message::Heartbeat(heartbeat));
         }
         if self.voter.is_some() {
-            let known = self.heard.remove(&self.name);
-            self.heard
-                .insert(self.name.clone(), Heard::take(known, heartbeat, Some(self.now), self.now, true));
+            let source = HeartbeatSource::Direct;
+            self.liveness.record(&self.name, heartbeat, Some(self.now), self.now, source);
         }
     }
 
@@ -662,7 +658,7 @@
     pub(crate) fn hears_majority(&self) -> bool {
         let answers = |voter_slot: &&VoterSlot| {
             let told = self.told_at.get(&voter_slot.name);
-            voter_slot.name == self.name || told.is_some_and(|at| self.now.ms_since(*at) < 2 * BEAT_MS)
+            voter_slot.name == self.name || told.is_some_and(|at| self.now.ms_since(*at) < 2 * HEARTBEAT_MS)
         };
         self.state.voter_slots.iter().filter(answers).count() * 2 > self.state.voter_slots.len()
     }
@@ -693,14 +689,12 @@
         if heartbeat.voter_status == VoterStatus::Fresh {
             self.fresh.insert(from.clone());
         }
-        let known = self.heard.remove(from);
-        let doubled = known.as_ref().and_then(|known| known.doubled);
-        let proved = self.proved(heartbeat.echo);
-        let heard = Heard::take(known, heartbeat, proved, self.now, true);
-        if heard.doubled.is_some() && doubled.is_none() {
+        let was_duplicate = self.liveness.is_duplicate(from);
+        let proved_at = self.proved(heartbeat.echo);
+        self.liveness.record(from, heartbeat, proved_at, self.now, HeartbeatSource::Direct);
+        if self.liveness.is_duplicate(from) && !was_duplicate {
             self.note(format!("two living processes give the name {from}"));
         }
-        self.heard.insert(from.clone(), heard);
         let log_update = self.news_for(have);
         self.tell(from, log_update);
     }
@@ -803,7 +797,7 @@
     // The seat.
 
     fn write(&mut self, mut writes: Vec<StoreWrite>, pending: Pending) {
-        let witnessed = bytes(&self.witnessed);
+        let witnessed = encode(&self.witnessed);
         let Some(disk) = &mut self.disk else { return };
         disk.batch += 1;
         let stamp = match pending {
@@ -813,9 +807,9 @@
         };
         let mut all = std::mem::take(&mut disk.lazy);
         all.append(&mut writes);
-        all.push(StoreWrite::Put(StoreKey::Stamp, bytes(&stamp)));
+        all.push(StoreWrite::Put(StoreKey::Stamp, encode(&stamp)));
         all.push(StoreWrite::Put(StoreKey::DurableMark, witnessed));
-        disk.saved.take(&all);
+        disk.saved.apply(&all);
         disk.pending = Some((disk.batch, stamp, pending));
         self.actions.push(Action::Persist(disk.batch, all));
     }
@@ -857,8 +851,8 @@
             StoreWrite::Remove(StoreKey::Accepted),
             StoreWrite::Remove(StoreKey::Decided),
         ];
-        writes.push(StoreWrite::Put(StoreKey::Base, bytes(&self.state)));
-        writes.push(StoreWrite::Put(StoreKey::VoterSlot, bytes(&voter_slot)));
+        writes.push(StoreWrite::Put(StoreKey::Base, encode(&self.state)));
+        writes.push(StoreWrite::Put(StoreKey::VoterSlot, encode(&voter_slot)));
         if let Some(disk) = &mut self.disk {
             disk.lazy.clear();
         }
@@ -1060,10 +1054,12 @@
     /// The leader tells all that it hears what was decided, so that nobody waits for its next heartbeat.
     fn push(&mut self, before: LogPosition, node_status: &[LogStep]) {
         let names: Vec<UnitName> = self
-            .heard
+            .liveness
             .iter()
-            .filter(|(name, heard)| {
-                **name != self.name && heard.direct && self.now.ms_since(heard.at) < 3 * BEAT_MS
+            .filter(|(name, unit)| {
+                **name != self.name
+                    && unit.source == HeartbeatSource::Direct
+                    && self.now.ms_since(unit.alive_at) < 3 * HEARTBEAT_MS
             })
             .map(|(name, _)| name.clone())
             .collect();
--- a/crates/fleet/src/hosts.rs
+++ b/crates/fleet/src/hosts.rs
@@ -178,7 +178,7 @@
     fn is_empty(&self, host: &UnitName, applied: u64) -> bool {
         self.state.units.iter().all(|(name, unit)| {
             let passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyWithoutLost));
-            let says = self.fresh(name).is_some_and(|heard| {
+            let says = self.alive(name).is_some_and(|heard| {
                 let none = |holds: &Vec<(UnitName, u32)>| !holds.iter().any(|(of, _)| of == host);
                 // Danger: one that knows more than this leader may use the host again, and has nothing to say of it.
                 let as_here = (applied..=self.state.applied).contains(&heard.heartbeat.have.applied);
@@ -201,7 +201,7 @@
     /// spares it.
     fn all_have(&self, applied: u64) -> bool {
         self.state.units.iter().all(|(name, unit)| {
-            unit.lost || self.fresh(name).is_some_and(|heard| heard.heartbeat.have.applied >= applied)
+            unit.lost || self.alive(name).is_some_and(|heard| heard.heartbeat.have.applied >= applied)
         })
     }
 
@@ -212,7 +212,7 @@
         }
         let of = |host| {
             let holds = |name| {
-                let heard = self.fresh(name)?;
+                let heard = self.alive(name)?;
                 heard
                     .heartbeat
                     .holds
@@ -228,7 +228,7 @@
                     .state
                     .units
                     .iter()
-                    .filter(|(name, unit)| !unit.dead && self.fresh(name).is_none())
+                    .filter(|(name, unit)| !unit.dead && self.alive(name).is_none())
                     .map(|(name, _)| name)
                     .collect(),
                 may_stop: self.may_stop(host),
--- a/crates/fleet/src/leader_state.rs
+++ b/crates/fleet/src/leader_state.rs
@@ -6,92 +6,18 @@
 use std::collections::BTreeMap;
 
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::group::{BEAT_MS, Fleet, Input};
+use crate::group::{Fleet, Input};
 use crate::hosts::HostWatch;
+use crate::liveness::{HeartbeatSource, UnitLiveness};
 use crate::message::{Echo, Heartbeat, Message, VoterStatus};
 use crate::policy::UnitName;
-use crate::state::{
-    BootCount, CallCounts, Cause, Command, Incarnation, Release, UnitState, VoterReplacement, VoterSlot,
-};
+use crate::state::{BootCount, CallCounts, Cause, Command, Release, UnitState, VoterReplacement, VoterSlot};
+use crate::timing::{ALIVE_MS, HEARTBEAT_MS, LOST_MS, PROPOSE_AGAIN_MS};
 use crate::{Timestamp, state::ReleaseState};
 
-/// Nobody of the group has heard it for so long: five heartbeats.
-pub const LOST_MS: u64 = 5_000;
-
-/// Known to be there so lately, a unit is there. A heartbeat proves its sender's being there as of the word that it
-/// answers, a heartbeat earlier; two may be late.
-const FRESH_MS: u64 = 3_500;
-
 /// A unit that was lost, or drained by an operator, is back after serving for so long.
 const BACK_MS: u64 = 5_000;
 
-/// The same is proposed again after this, if nothing has come of it.
-const AGAIN_MS: u64 = 1_000;
-
-/// What was heard of a unit.
-#[derive(Clone, Debug)]
-pub struct Heard {
-    pub heartbeat: Heartbeat,
-    /// It was there then or later, by our own clock.
-    pub at: Timestamp,
-    /// When that was heard.
-    came: Timestamp,
-    /// Since when it has served without a break, as the same process and version.
-    pub serving_since: Option<Timestamp>,
-    /// Another process that gave the same name, and when it was heard last.
-    other: Option<(Incarnation, Timestamp)>,
-    /// Both were heard in turn.
-    pub doubled: Option<Timestamp>,
-    /// It said so to this node itself.
-    pub direct: bool,
-}
-
-impl Heard {
-    /// A heartbeat that its sender said at this moment or later; nothing is proved by one that answers no word of ours.
-    pub fn take(
-        known: Option<Heard>,
-        heartbeat: Heartbeat,
-        proved: Option<Timestamp>,
-        now: Timestamp,
-        direct: bool,
-    ) -> Heard {
-        let serves = heartbeat.serving && heartbeat.out.is_none();
-        let Some(known) = known else {
-            let at = proved.unwrap_or_default();
-            let serving_since = proved.filter(|_| serves).map(|_| now);
-            return Heard { heartbeat, at, came: now, serving_since, other: None, doubled: None, direct };
-        };
-        let at = proved.unwrap_or_default().max(known.at);
-        let same = known.heartbeat.incarnation == heartbeat.incarnation
-            && known.heartbeat.version == heartbeat.version;
-        // Danger: words that waited come all at once, each proving a later moment, and look like a long time of serving.
-        // Since when it serves is reckoned from when that was heard, how long from what was proved.
-        let unbroken = same && now.ms_since(known.came) < FRESH_MS;
-        let came = if proved.is_some() { now } else { known.came };
-        let mut other = known.other;
-        let mut doubled = known.doubled.filter(|since| at.ms_since(*since) < 2 * LOST_MS);
-        if known.heartbeat.incarnation != heartbeat.incarnation {
-            // Danger: two processes under one name take turns in being heard, and each would vouch for the other.
-            if proved.is_some() && other.is_some_and(|(incarnation, _)| incarnation == heartbeat.incarnation)
-            {
-                doubled = Some(at);
-            }
-            other = Some((known.heartbeat.incarnation, known.at));
-        }
-        let serving_since = match known.serving_since {
-            Some(since) if serves && unbroken && doubled.is_none() => Some(since),
-            _ => proved.filter(|_| serves).map(|_| now),
-        };
-        Heard { heartbeat, at, came, serving_since, other, doubled, direct }
-    }
-
-    /// The process of that life was heard so lately that it may go on.
-    fn has_heard(&self, incarnation: Incarnation, now: Timestamp) -> bool {
-        self.heartbeat.incarnation == incarnation
-            || self.other.is_some_and(|(other, at)| other == incarnation && now.ms_since(at) < LOST_MS)
-    }
-}
-
 #[derive(Default)]
 pub struct LeaderState {
     /// Leading since then.
@@ -138,7 +64,7 @@
     fn nudge(&mut self) {
         let at = self.state.applied;
         match self.leader_state.undecided.filter(|(length, _)| self.has_undecided() && *length == at) {
-            Some((_, since)) if self.now.ms_since(since) >= 2 * AGAIN_MS => {
+            Some((_, since)) if self.now.ms_since(since) >= 2 * PROPOSE_AGAIN_MS => {
                 self.leader_state.undecided = None;
                 for voter_slot in self.state.voter_slots.clone() {
                     if voter_slot.name != self.name {
@@ -152,7 +78,8 @@
     }
 
     fn suggest(&mut self, key: &str, command: Command) {
-        let again = self.leader_state.proposed.get(key).is_none_or(|at| self.now.ms_since(*at) >= AGAIN_MS);
+        let again =
+            self.leader_state.proposed.get(key).is_none_or(|at| self.now.ms_since(*at) >= PROPOSE_AGAIN_MS);
         if again {
             self.leader_state.proposed.insert(key.to_owned(), self.now);
             self.input(Input::Propose(crate::state::Entry { id: None, command }));
@@ -175,23 +102,24 @@
                 ),
             }
         }
-        self.leader_state.proposed.retain(|_, at| now.ms_since(*at) < 10 * AGAIN_MS);
+        self.leader_state.proposed.retain(|_, at| now.ms_since(*at) < 10 * PROPOSE_AGAIN_MS);
     }
 
-    pub(crate) fn fresh(&self, name: &UnitName) -> Option<&Heard> {
-        self.heard.get(name).filter(|heard| self.now.ms_since(heard.at) < FRESH_MS)
+    pub(crate) fn alive(&self, name: &UnitName) -> Option<&UnitLiveness> {
+        self.liveness.alive(name, self.now)
     }
 
     /// Asks the other voters for those it does not hear itself: a link of its own may be cut.
     fn seek(&mut self) {
-        if self.leader_state.sought.is_some_and(|at| self.now.ms_since(at) < AGAIN_MS) {
+        if self.leader_state.sought.is_some_and(|at| self.now.ms_since(at) < PROPOSE_AGAIN_MS) {
             return;
         }
         self.leader_state.sought = Some(self.now);
         let quiet = |name: &&UnitName| {
-            self.heard
-                .get(*name)
-                .is_none_or(|heard| !heard.direct || self.now.ms_since(heard.at) > FRESH_MS - BEAT_MS)
+            self.liveness.get(*name).is_none_or(|heard| {
+                heard.source != HeartbeatSource::Direct
+                    || self.now.ms_since(heard.alive_at) > ALIVE_MS - HEARTBEAT_MS
+            })
         };
         let missing: Vec<UnitName> = self.state.units.keys().filter(quiet).cloned().collect();
         if !missing.is_empty() {
@@ -205,8 +133,8 @@
 
     pub(crate) fn sought(&mut self, from: &UnitName, echo: Echo, names: &[UnitName]) {
         let known = names.iter().filter_map(|name| {
-            let heard = self.fresh(name).filter(|heard| heard.direct)?;
-            Some((name.clone(), heard.heartbeat.clone(), self.now.ms_since(heard.at)))
+            let heard = self.alive(name).filter(|heard| heard.source == HeartbeatSource::Direct)?;
+            Some((name.clone(), heard.heartbeat.clone(), self.now.ms_since(heard.alive_at)))
         });
         let known: Vec<(UnitName, Heartbeat, u64)> = known.collect();
         if !known.is_empty() {
@@ -220,7 +148,7 @@
             if voter_slot.name == self.name {
                 return Some((voter_slot.name.clone(), self.boot_count()));
             }
-            let heard = self.fresh(&voter_slot.name)?;
+            let heard = self.alive(&voter_slot.name)?;
             (heard.heartbeat.voter_status == VoterStatus::Active(voter_slot.number))
                 .then(|| (voter_slot.name.clone(), heard.heartbeat.boot_count))
         };
@@ -250,28 +178,28 @@
 
     /// A voter whose disk has failed it gets a seat anew; a long log ends with its epoch.
     fn reseat(&mut self) {
-        if self.leader_state.reseated.is_some_and(|at| self.now.ms_since(at) < 5 * AGAIN_MS) {
+        if self.leader_state.reseated.is_some_and(|at| self.now.ms_since(at) < 5 * PROPOSE_AGAIN_MS) {
             return;
         }
         let mut voter_slots = self.state.voter_slots.clone();
         let mut next = self.state.next_voter_slot;
         // One at a time: the others are a majority without it.
         let forgot = voter_slots.iter().position(|voter_slot| {
-            let wants = |heard: &Heard| {
+            let wants = |heard: &UnitLiveness| {
                 heard.heartbeat.voter_status == VoterStatus::StateLost
                     && heard.heartbeat.incarnation != voter_slot.incarnation
             };
-            self.fresh(&voter_slot.name).is_some_and(wants)
+            self.alive(&voter_slot.name).is_some_and(wants)
         });
         if let Some(voter_slot) = forgot.and_then(|at| voter_slots.get_mut(at))
-            && let Some(heard) = self.fresh(&voter_slot.name)
+            && let Some(heard) = self.alive(&voter_slot.name)
         {
             (voter_slot.number, voter_slot.incarnation) = (next, heard.heartbeat.incarnation);
             next += 1;
         }
         let replaced = self.state.pending_replacement().and_then(|VoterReplacement { old, new }| {
             let at = voter_slots.iter().position(|voter_slot| voter_slot.name == *old)?;
-            let heard = self.fresh(new).filter(|heard| {
+            let heard = self.alive(new).filter(|heard| {
                 matches!(heard.heartbeat.voter_status, VoterStatus::Fresh | VoterStatus::StateLost)
             })?;
             Some((at, new.clone(), heard.heartbeat.incarnation))
@@ -297,8 +225,9 @@
     pub(crate) fn may_grant(&self) -> bool {
         let there = |(name, unit): (&UnitName, &crate::state::Unit)| {
             // One that counts as serving and came back a moment ago, unseen, may have been away for long.
-            let serves = |heard: &Heard| self.now.ms_since(heard.at) < LOST_MS && heard.heartbeat.serving;
-            unit.is_out() || self.heard.get(name).is_some_and(serves)
+            let serves =
+                |heard: &UnitLiveness| self.now.ms_since(heard.alive_at) < LOST_MS && heard.heartbeat.serving;
+            unit.is_out() || self.liveness.get(name).is_some_and(serves)
         };
         self.leads() && (self.knows_the_lost() || self.state.units.iter().all(there))
     }
@@ -313,8 +242,9 @@
         if !self.knows_the_lost() {
             return;
         }
-        let gone =
-            |name: &UnitName| self.heard.get(name).is_none_or(|heard| now.ms_since(heard.at) >= LOST_MS);
+        let gone = |name: &UnitName| {
+            self.liveness.get(name).is_none_or(|heard| now.ms_since(heard.alive_at) >= LOST_MS)
+        };
         let lost: Vec<UnitName> = self
             .state
             .units
@@ -339,7 +269,7 @@
         let now = self.now;
         let mut back = Vec::new();
         for (name, unit) in &self.state.units {
-            let Some(heard) = self.fresh(name) else { continue };
+            let Some(heard) = self.alive(name) else { continue };
             let Some((_, since, applied)) = self.leader_state.stands.get(name) else { continue };
             let cause = unit.unit_state.cause();
             let returned = match &unit.unit_state {
@@ -348,16 +278,16 @@
                 UnitState::Returning { .. } => heard.heartbeat.have.applied >= *applied,
                 UnitState::Begun { nonce, cause: Cause::Release(_), .. } => {
                     heard.heartbeat.incarnation != nonce.incarnation
-                        && !heard.has_heard(nonce.incarnation, now)
+                        && !heard.may_still_run(nonce.incarnation, now)
                 }
                 _ => false,
             };
             let watch = if is_injected(InjectedFault::BackWhenHeard) { 0 } else { self.watch_ms(cause) };
             let served = heard.serving_since.is_some_and(|from| {
                 let from = if unit.unit_state == UnitState::Serving { from } else { from.max(*since) };
-                heard.at.ms_since(from) >= watch && heard.at >= from
+                heard.alive_at.ms_since(from) >= watch && heard.alive_at >= from
             });
-            if (returned && served && heard.doubled.is_none())
+            if (returned && served && heard.duplicate_since.is_none())
                 || (is_injected(InjectedFault::BackWhenHeard) && unit.is_out())
             {
                 let (lease, version) = (unit.unit_state.lease(), heard.heartbeat.version.clone());
@@ -426,9 +356,9 @@
             i64::from(part) * 1_000 / i64::from(call_counts.calls.max(1))
         };
         let unchanged: Vec<&CallCounts> = self
-            .heard
+            .liveness
             .iter()
-            .filter(|(name, heard)| !release.is_done(name) && self.now.ms_since(heard.at) < FRESH_MS)
+            .filter(|(name, heard)| !release.is_done(name) && self.now.ms_since(heard.alive_at) < ALIVE_MS)
             .map(|(_, heard)| &heard.heartbeat.call_counts)
             .filter(|call_counts| enough(call_counts))
             .collect();
@@ -439,7 +369,7 @@
         let (failing, turning) =
             (mean(&|call_counts| call_counts.failed), mean(&|call_counts| call_counts.busy));
         for changed in &release.done {
-            let Some(heard) = self.fresh(&changed.unit) else { continue };
+            let Some(heard) = self.alive(&changed.unit) else { continue };
             let (now, before) = (&heard.heartbeat.call_counts, &changed.call_counts);
             let more =
                 |now: u32, before: u32, most: Option<u32>| most.is_some_and(|most| now > before + most);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -6,6 +6,7 @@
 use crate::group::{Action, Fleet, NodeStatus};
 use crate::policy::Act;
 use crate::state::{CallCounts, Cause, Command, Lease, Nonce, UnitState};
+use crate::timing::VOTER_SILENCE_MS;
 use crate::{Timestamp, state::ReleaseState};
 
 /// A unit goes out only so long after it asked to begin. A halt holds everywhere within this after its entry: long
@@ -15,9 +16,6 @@
 /// It asks anew after this: a leader may have changed meanwhile.
 const BEGIN_AGAIN_MS: u64 = 1_000;
 
-/// Without a word from any voter for so long it does not hear the group, and starts nothing.
-pub const HEARS_MS: u64 = 3_000;
-
 /// Over this time calls are counted for gates; as long as the shortest watch that says anything.
 const RATES_MS: u64 = 10_000;
 
@@ -59,7 +57,7 @@
 
 impl Fleet {
     pub(crate) fn hears_group(&self) -> bool {
-        self.told_at.values().any(|at| self.now.ms_since(*at) < HEARS_MS) || self.leads()
+        self.told_at.values().any(|at| self.now.ms_since(*at) < VOTER_SILENCE_MS) || self.leads()
     }
 
     /// What follows for this unit from what is agreed.
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -152,7 +152,7 @@
 
 impl Envelope {
     pub fn encode(&self) -> Vec<u8> {
-        crate::bytes(self)
+        crate::store::encode(self)
     }
 
     /// # Errors
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -370,8 +370,8 @@
                     return;
                 }
                 match &mut process.lied {
-                    Some(lied) => lied.take(&writes),
-                    None => process.disk.take(&writes),
+                    Some(lied) => lied.apply(&writes),
+                    None => process.disk.apply(&writes),
                 }
                 if let Some(fleet) = &mut process.fleet {
                     fleet.written(now, batch);
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -101,12 +101,12 @@
     for number in 0..20 {
         assert!(store.write(u64::from(number), some(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
-        want.take(&some(number));
+        want.apply(&some(number));
     }
     for writes in
         [vec![StoreWrite::Cut(12)], vec![StoreWrite::Log(10, vec![1]), StoreWrite::Remove(StoreKey::Promise)]]
     {
-        want.take(&writes);
+        want.apply(&writes);
         assert!(store.write(99, writes));
         assert_eq!(outcome(&store), Outcome::Written(99));
     }
