--- a/crates/fleet/src/consensus.rs
+++ b/crates/fleet/src/consensus.rs
@@ -14,7 +14,7 @@
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::state::{Command, Entry, VoterSlot};
+use crate::state::{Command, Entry, LogStep, VoterSlot};
 use crate::store::{StoreKey, StoreWrite, StoredState, encode};
 
 impl omnipaxos::storage::Entry for Entry {
@@ -168,21 +168,22 @@
     Many(Box<OmniPaxos<Entry, Shared>>),
 }
 
-/// What has been decided, in order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Decided {
-    Entry(Entry),
-    /// The epoch is over; the next has these seats.
-    Reconfigure(Vec<VoterSlot>),
-}
-
 /// A tick is 100 ms: heartbeats go out and are judged every 0.5 s. A loaded machine lets a process wait for a few
 /// hundred ms, which must not cost it the lead.
 const ELECTION_TICKS: u64 = 5;
 pub const TICK_MS: u64 = 100;
 
+/// What a step has changed that is not on disk yet.
+pub struct PendingWrites {
+    /// The changes, in order.
+    pub writes: Vec<StoreWrite>,
+    /// Whether the messages of the step have to wait for them.
+    pub must_be_durable: bool,
+}
+
+/// One voter of one epoch, with its log in memory.
 pub struct Voter {
-    pub voter_slot: u64,
+    voter_slot: u64,
     consensus: Engine,
     memory: Shared,
     /// Decided entries handed out so far.
@@ -225,7 +226,8 @@
         }
     }
 
-    pub fn take(&mut self, consensus_message: ConsensusMessage) {
+    /// A message of another voter has come.
+    pub fn receive(&mut self, consensus_message: ConsensusMessage) {
         if let EngineMessage::SequencePaxos(paxos) = &consensus_message
             && let PaxosMsg::AcceptSync(sync) = &paxos.msg
             && self.is_stale(sync)
@@ -255,6 +257,9 @@
         }
     }
 
+    /// Proposes an entry; it may be lost. A [`Command::Reconfigure`] ends the epoch: what stands behind it in the log is void,
+    /// for every voter alike. The library's own stop sign (0.2.4) is not used for that, as it counts twice where its
+    /// follower's round is begun anew after it, and decided entries are passed over.
     pub fn propose(&mut self, entry: Entry) {
         match &mut self.consensus {
             Engine::Alone if !self.stopped => {
@@ -265,15 +270,13 @@
         }
     }
 
-    /// Ends the epoch; the next has these seats. Danger: the library's own stop sign (0.2.4) counts twice where its
-    /// follower's round is begun anew after it, and decided entries are passed over. An entry like any other ends an
-    /// epoch here: what stands behind it in the log is void, for everyone alike.
-    pub fn reseat(&mut self, voter_slots: &[VoterSlot]) {
-        self.propose(Entry { id: None, command: Command::Reconfigure { voter_slots: voter_slots.to_vec() } });
+    /// The slot in which it votes.
+    pub fn voter_slot(&self) -> u64 {
+        self.voter_slot
     }
 
-    /// It leads, and a majority follows as far as it knows.
-    pub fn leads(&self) -> bool {
+    /// Whether it leads, and a majority follows as far as it knows.
+    pub fn is_leader(&self) -> bool {
         match &self.consensus {
             Engine::Alone => true,
             Engine::Many(consensus) => consensus.get_current_leader() == Some((self.voter_slot, true)),
@@ -301,10 +304,11 @@
 
     /// What must be on disk before anything of this step leaves. Where only the decided index has changed there is
     /// nothing to wait for: lost, it is found out again.
-    pub fn take_writes(&mut self) -> (Vec<StoreWrite>, bool) {
+    pub fn take_writes(&mut self) -> PendingWrites {
         let writes = std::mem::take(&mut self.memory.0.borrow_mut().writes);
-        let binds = writes.iter().any(|write| !matches!(write, StoreWrite::Put(StoreKey::Decided, _)));
-        (writes, binds)
+        let must_be_durable =
+            writes.iter().any(|write| !matches!(write, StoreWrite::Put(StoreKey::Decided, _)));
+        PendingWrites { writes, must_be_durable }
     }
 
     pub fn take_messages(&mut self) -> Vec<ConsensusMessage> {
@@ -316,7 +320,7 @@
     }
 
     /// What has been decided since the last time. To be asked only when all writes so far are on disk.
-    pub fn take_decided(&mut self) -> Vec<Decided> {
+    pub fn take_decided(&mut self) -> Vec<LogStep> {
         if self.stopped {
             return vec![];
         }
@@ -333,11 +337,11 @@
         for entry in entries {
             self.read += 1;
             if let Command::Reconfigure { voter_slots } = entry.command {
-                decided.push(Decided::Reconfigure(voter_slots));
+                decided.push(LogStep::Reconfigure(voter_slots));
                 self.stopped = true;
                 break;
             }
-            decided.push(Decided::Entry(entry));
+            decided.push(LogStep::Entry(entry));
         }
         decided
     }
--- /dev/null
+++ b/crates/fleet/src/fleet/mod.rs
@@ -0,0 +1,442 @@
+//! [`Fleet`]: one node's part in its fleet, as the host of this crate drives it.
+
+mod messages;
+mod requests;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use nanorand::{Rng, WyRand};
+
+use crate::Timestamp;
+use crate::action::Action;
+use crate::config::{FleetConfig, NodeStatus};
+use crate::consensus::TICK_MS;
+use crate::context::Context;
+use crate::endpoint_list::EndpointList;
+use crate::host_avoidance::HostAvoidance;
+use crate::leader::{HostController, LeaderAction, Leadership, ReplicaStatus};
+use crate::liveness::{HeartbeatSource, Liveness};
+use crate::log_tail::LogTail;
+use crate::member::{Member, MemberStep};
+use crate::message::{Echo, Heartbeat, LogUpdate, Message, VoterStatus};
+use crate::policy::{Place, UnitName};
+use crate::replica::{DecidedStep, Input, Replica, SlotChange};
+use crate::requests::Requests;
+use crate::state::{BootCount, Cause, EndpointState, Entry, Lease, LogStep, State};
+use crate::store::StoreKey;
+use crate::timing::{HEARTBEAT_MS, VOTER_SILENCE_MS};
+use crate::view::FleetView;
+
+/// A leader that was heard of counts as such for so long, in ms.
+const LEADER_KNOWN_MS: u64 = 3 * HEARTBEAT_MS;
+
+/// A node's part in its fleet: its voter slot, if it has one, what it knows of what was agreed, and what it is to do.
+///
+/// It does no I/O and has no clock. Its host reports events with the time at which they happened, and carries out the
+/// actions that it takes after each.
+pub struct Fleet {
+    context: Context,
+    version: String,
+    random: WyRand,
+    node_status: NodeStatus,
+    actions: Vec<Action>,
+    replica: Replica,
+    log_tail: LogTail,
+    member: Member,
+    leadership: Leadership,
+    hosts: HostController,
+    endpoint_list: EndpointList,
+    avoidance: HostAvoidance,
+    requests: Requests,
+    longest_log: usize,
+    /// The moments that voters named last, to be said back to them.
+    echoes: BTreeMap<UnitName, Echo>,
+    /// The leader as a voter named it last, and when.
+    leader: Option<(UnitName, Timestamp)>,
+    /// How far a leader has said that the log goes, since this process began.
+    leader_applied: Option<u64>,
+    /// When a leader spoke last.
+    leader_heard_at: Option<Timestamp>,
+    next_heartbeat: Timestamp,
+    next_tick: Timestamp,
+    /// Counts the requests that were sent to some voter, for want of a leader.
+    requests_forwarded: usize,
+}
+
+impl Fleet {
+    /// A node that starts now.
+    pub fn new(config: FleetConfig, now: Timestamp) -> Fleet {
+        let FleetConfig { name, policy, incarnation, seed, version, saved, spoilt, longest_log } = config;
+        let boot_count = saved.as_ref().map_or(0, |saved| saved.value(StoreKey::BootCount).unwrap_or(0) + 1);
+        let has_store = saved.is_some();
+        let (replica, base) = match saved {
+            Some(saved) => Replica::open(saved, spoilt),
+            None => (Replica::without_store(), None),
+        };
+        let mut fleet = Fleet {
+            context: Context {
+                state: base.unwrap_or_else(|| State::before_founding(&policy.voters)),
+                name,
+                policy,
+                incarnation,
+                boot_count: BootCount(boot_count),
+                now,
+                liveness: Liveness::default(),
+                voter_replies: BTreeMap::new(),
+            },
+            version,
+            random: WyRand::new_seed(seed),
+            node_status: NodeStatus::default(),
+            actions: Vec::new(),
+            replica,
+            log_tail: LogTail::default(),
+            member: Member::default(),
+            leadership: Leadership::default(),
+            hosts: HostController::default(),
+            endpoint_list: EndpointList::default(),
+            avoidance: HostAvoidance::default(),
+            requests: Requests::default(),
+            longest_log,
+            echoes: BTreeMap::new(),
+            leader: None,
+            leader_applied: None,
+            leader_heard_at: None,
+            next_heartbeat: now,
+            next_tick: now,
+            requests_forwarded: 0,
+        };
+        if has_store {
+            fleet.replica.record_boot(&fleet.context, &mut fleet.actions);
+        }
+        fleet
+    }
+
+    // Events.
+
+    /// Time has passed; to be called at least ten times a second, with what the node reports of itself.
+    pub fn tick(&mut self, now: Timestamp, node_status: NodeStatus) {
+        self.context.now = now;
+        let has_changed = node_status.drained != self.node_status.drained
+            || node_status.serving != self.node_status.serving;
+        if has_changed {
+            self.next_heartbeat = now;
+        }
+        self.node_status = node_status;
+        self.avoidance.record_count();
+        self.member.note_totals(now, &self.node_status);
+        if now >= self.next_tick {
+            // Ticks that a stopped process has missed are not made up for.
+            self.next_tick = now.plus_ms(TICK_MS);
+            self.control();
+        }
+        if now >= self.next_heartbeat {
+            self.send_heartbeats();
+        }
+        self.run_replica();
+    }
+
+    /// A link to or from this peer has come up; messages that were under way may be lost.
+    pub fn linked(&mut self, now: Timestamp, peer: &UnitName) {
+        self.context.now = now;
+        let peer_slot = self.context.state.voter_slot_of(peer).map(|voter_slot| voter_slot.number);
+        let Some(peer_slot) = peer_slot else { return };
+        if self.replica.voter_slot().is_some_and(|own_slot| own_slot != peer_slot) {
+            self.replica.enqueue(Input::Reconnected(peer_slot));
+            self.run_replica();
+        }
+    }
+
+    /// That batch of [`Action::Persist`] is on disk for good.
+    pub fn written(&mut self, now: Timestamp, batch: u64) {
+        self.context.now = now;
+        let decided = self.replica.finish_write(&self.context, batch, &mut self.actions);
+        if let Some(decided) = decided {
+            self.apply_decided(decided);
+            self.run_replica();
+        }
+    }
+
+    /// The store has failed: this node votes no more until it is started anew.
+    pub fn disk_died(&mut self, now: Timestamp, why: &str) {
+        self.context.now = now;
+        self.replica.lose_store();
+        self.leadership = Leadership::default();
+        self.log(format!("the store counts as dead, this node gives up its vote: {why}"));
+    }
+
+    /// The whole endpoint list as the node has it now.
+    pub fn hosts_listed(&mut self, now: Timestamp, listed: Vec<(UnitName, Place, EndpointState)>) {
+        self.context.now = now;
+        self.endpoint_list.replace(now, listed);
+    }
+
+    /// The endpoint list's service does not answer: what is known may be old.
+    pub fn list_lost(&mut self, now: Timestamp) {
+        self.context.now = now;
+        self.endpoint_list.disconnect();
+    }
+
+    /// An operator vouches for this node's store: it votes without waiting for voters that are gone for good. If the store
+    /// had forgotten something after all, decided entries may be lost. Returns whether there was anything to wait for.
+    pub fn trust(&mut self, now: Timestamp) -> bool {
+        self.context.now = now;
+        self.replica.trust_store()
+    }
+
+    /// What is to be done since the last call, in this order.
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
+    }
+
+    // What is known.
+
+    /// What was agreed, as far as it is known here.
+    pub fn state(&self) -> &State {
+        &self.context.state
+    }
+
+    /// The nodes that this one is to be linked to: all voters of the policy, and whoever holds a voter slot.
+    pub fn voters(&self) -> BTreeSet<UnitName> {
+        let Context { name, policy, state, .. } = &self.context;
+        let current = state.voter_slots.iter().map(|voter_slot| &voter_slot.name);
+        policy.voters.iter().chain(current).filter(|voter| *voter != name).cloned().collect()
+    }
+
+    /// Whether it has applied all that a leader has told it of. A process that has just begun knows the log as its own
+    /// disk has it, and must not do what has long been undone.
+    pub fn is_current(&self) -> bool {
+        let has_applied_all =
+            self.leader_applied.is_some_and(|applied| self.context.state.applied >= applied);
+        self.context.state.policy.is_some() && (has_applied_all || self.leads())
+    }
+
+    /// Whether it is current, and hears a leader that a majority follows.
+    pub fn hears_leader(&self) -> bool {
+        if !self.is_current() {
+            return false;
+        }
+        if self.leads() {
+            return self.context.hears_majority();
+        }
+        self.leader_heard_at.is_some_and(|at| self.context.now.ms_since(at) < VOTER_SILENCE_MS)
+    }
+
+    /// Whether this node leads.
+    pub fn leads(&self) -> bool {
+        self.replica.is_leader()
+    }
+
+    /// The lease under which this process is out, and its cause.
+    pub fn is_out(&self) -> Option<(Lease, Cause)> {
+        self.member.drain().map(|drain| (drain.lease, drain.cause))
+    }
+
+    /// How often the node's store was opened.
+    pub fn boot_count(&self) -> BootCount {
+        self.context.boot_count
+    }
+
+    /// How the node's store stands to its voter slot.
+    pub fn voter_status(&self) -> VoterStatus {
+        self.replica.status()
+    }
+
+    /// Whether the host may stop: the fleet found it empty, and by all that this leader hears now it is.
+    pub fn may_stop(&self, host: &UnitName) -> bool {
+        self.leads() && self.hosts.may_stop(&self.context, host)
+    }
+
+    /// What operators are shown.
+    pub fn view(&self) -> FleetView<'_> {
+        let Context { name, state, liveness, .. } = &self.context;
+        let voters = state.voter_slots.iter().map(|voter_slot| &voter_slot.name);
+        let (hears, misses) = voters.partition(|voter| self.context.hears_voter(voter));
+        let duplicates = liveness.iter().filter(|(_, unit)| unit.duplicate_since.is_some());
+        FleetView {
+            name,
+            version: &self.version,
+            leader: self.leader(),
+            leads: self.leads(),
+            voter_status: self.replica.status().to_string(),
+            epoch: state.epoch,
+            applied: state.applied,
+            hears,
+            misses,
+            duplicates: duplicates.map(|(name, _)| name).collect(),
+            draining_hosts: if self.leads() { self.hosts.draining_hosts(&self.context) } else { vec![] },
+            state,
+        }
+    }
+
+    fn leader(&self) -> Option<&UnitName> {
+        if self.leads() {
+            return Some(&self.context.name);
+        }
+        if let Some(leader_slot) = self.replica.leader_slot() {
+            return self.context.state.voter_slot(leader_slot).map(|voter_slot| &voter_slot.name);
+        }
+        let (name, heard_at) = self.leader.as_ref()?;
+        (self.context.now.ms_since(*heard_at) < LEADER_KNOWN_MS).then_some(name)
+    }
+
+    // Steps.
+
+    /// What is to be looked at a few times a second.
+    fn control(&mut self) {
+        let change = self.replica.update_status(&self.context, &mut self.actions);
+        self.end_leadership_if(change);
+        self.replica.enqueue(Input::Tick);
+        self.control_as_leader();
+        self.follow_state();
+        self.send_due_requests();
+    }
+
+    fn control_as_leader(&mut self) {
+        if !self.leads() {
+            self.leadership = Leadership::default();
+            self.hosts = HostController::default();
+            return;
+        }
+        let replica = ReplicaStatus {
+            has_undecided: self.replica.has_undecided(),
+            log_length: self.replica.log_length(),
+        };
+        let actions = self.leadership.control(
+            &self.context,
+            replica,
+            self.longest_log,
+            &mut self.hosts,
+            &mut self.endpoint_list,
+        );
+        for action in actions {
+            match action {
+                LeaderAction::Propose(command) => {
+                    self.replica.enqueue(Input::Propose(Entry { id: None, command }));
+                }
+                LeaderAction::Send(receiver, message) => self.send(&receiver, message),
+            }
+        }
+    }
+
+    /// What is agreed for this unit, and for the hosts that it is to avoid, is carried out.
+    fn follow_state(&mut self) {
+        let is_leader = self.leads();
+        match self.member.follow(&self.context, &self.node_status, is_leader) {
+            Some(MemberStep::Act(action)) => self.actions.push(action),
+            Some(MemberStep::Submit(command)) => self.submit(None, command),
+            None => {}
+        }
+        if self.is_current() {
+            self.actions.extend(self.avoidance.update(&self.context.state));
+        }
+    }
+
+    /// Takes steps until the disk has to be waited for.
+    fn run_replica(&mut self) {
+        while let Some(decided) = self.replica.step(&self.context, &mut self.actions) {
+            self.apply_decided(decided);
+        }
+    }
+
+    fn apply_decided(&mut self, decided: Vec<DecidedStep>) {
+        if decided.is_empty() {
+            return;
+        }
+        let before = self.context.log_position();
+        let was_leader = self.leads();
+        let mut steps = Vec::new();
+        for DecidedStep { position, step } in decided {
+            if position > self.context.state.applied {
+                steps.push(step.clone());
+                self.apply(step);
+            }
+        }
+        if was_leader && before.applied > 0 && !steps.is_empty() {
+            self.push_update(&LogUpdate::Since(before, steps));
+        }
+        self.follow_state();
+    }
+
+    /// The leader sends what was decided to all that it hears, so that nobody waits for its next heartbeat.
+    fn push_update(&mut self, update: &LogUpdate) {
+        let Context { name: own_name, now, liveness, .. } = &self.context;
+        let is_heard = |name: &UnitName, source: HeartbeatSource, alive_at: Timestamp| {
+            name != own_name && source == HeartbeatSource::Direct && now.ms_since(alive_at) < 3 * HEARTBEAT_MS
+        };
+        let receivers: Vec<UnitName> = liveness
+            .iter()
+            .filter(|(name, unit)| is_heard(name, unit.source, unit.alive_at))
+            .map(|(name, _)| name.clone())
+            .collect();
+        for receiver in receivers {
+            self.send_reply(&receiver, update.clone());
+        }
+    }
+
+    fn apply(&mut self, step: LogStep) {
+        let result = self.context.state.apply_step(&step);
+        if let LogStep::Entry(Entry { id: Some(id), .. }) = &step {
+            self.answer_request(id, result);
+        }
+        let ends_epoch = matches!(step, LogStep::Reconfigure(_));
+        self.log_tail.push(step);
+        if ends_epoch {
+            self.enter_epoch();
+        }
+    }
+
+    fn enter_epoch(&mut self) {
+        self.leadership = Leadership::default();
+        self.replica.enter_epoch(&self.context, &mut self.actions);
+    }
+
+    /// What a leader remembers is of its term: without its voter slot this node leads no more.
+    fn end_leadership_if(&mut self, change: SlotChange) {
+        match change {
+            SlotChange::GivenUp => self.leadership = Leadership::default(),
+            SlotChange::Unchanged => {}
+        }
+    }
+
+    // Sending.
+
+    fn log(&mut self, text: String) {
+        self.actions.push(Action::Log(text));
+    }
+
+    fn send(&mut self, receiver: &UnitName, message: Message) {
+        let envelope = Box::new(self.replica.envelope(message));
+        self.actions.push(Action::Send(receiver.clone(), envelope));
+    }
+
+    fn send_heartbeats(&mut self) {
+        // Jittered by a tenth: a fleet that was started at once must not speak at once for ever.
+        let jitter = self.random.generate_range(0..HEARTBEAT_MS / 10);
+        self.next_heartbeat = self.context.now.plus_ms(HEARTBEAT_MS - jitter);
+        let heartbeat = self.own_heartbeat();
+        for voter in self.voters() {
+            let heartbeat = Heartbeat { echo: self.echoes.get(&voter).copied(), ..heartbeat.clone() };
+            self.send(&voter, Message::Heartbeat(heartbeat));
+        }
+        if self.replica.is_voting() {
+            let Context { name, now, liveness, .. } = &mut self.context;
+            liveness.record(name, heartbeat, Some(*now), *now, HeartbeatSource::Direct);
+        }
+    }
+
+    fn own_heartbeat(&self) -> Heartbeat {
+        let has_counted = self.avoidance.has_counted() && self.is_current();
+        Heartbeat {
+            incarnation: self.context.incarnation,
+            have: self.context.log_position(),
+            serving: self.node_status.serving,
+            out: self.member.drain().map(|drain| drain.lease),
+            version: self.version.clone(),
+            call_counts: self.member.call_counts(&self.node_status),
+            holds: has_counted.then(|| self.node_status.holds.clone()),
+            voter_status: self.replica.status(),
+            boot_count: self.context.boot_count,
+            echo: None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/leader/hosts.rs
@@ -0,0 +1,134 @@
+//! Hosts: what the endpoint list shows goes into the log, and hosts that are out are watched until they may stop or are
+//! back.
+
+use std::collections::BTreeMap;
+
+use super::LeaderAction;
+use crate::Timestamp;
+use crate::context::Context;
+use crate::endpoint_list::EndpointList;
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::policy::UnitName;
+use crate::state::{Command, HoldState, Host, HostHold, Unit};
+use crate::view::DrainingHost;
+
+/// The controller looks through its list once in this time, in ms, and proposes the same again after it.
+const CONTROL_INTERVAL_MS: u64 = 1_000;
+
+/// The lease of a host, and how far the log was applied when it was seen.
+#[derive(Clone, Copy)]
+struct ObservedHold {
+    held: HostHold,
+    applied: u64,
+}
+
+/// Watches the endpoint list and the hosts that are out.
+#[derive(Default)]
+pub(crate) struct HostController {
+    controlled_at: Option<Timestamp>,
+    observed: BTreeMap<UnitName, ObservedHold>,
+}
+
+impl HostController {
+    /// Proposes what has changed.
+    pub(super) fn control(&mut self, context: &Context, list: &mut EndpointList) -> Vec<LeaderAction> {
+        let Some(settings) = context.state.host_settings() else { return vec![] };
+        let forget_ms = u64::from(settings.forget_after_s) * 1_000;
+        if self.controlled_at.is_some_and(|at| context.now.ms_since(at) < CONTROL_INTERVAL_MS) {
+            return vec![];
+        }
+        self.controlled_at = Some(context.now);
+        self.observe(context);
+        let mut actions = Vec::new();
+        if list.is_current() {
+            let updates = list.updates(context.now, &context.state.hosts, forget_ms);
+            if !updates.is_empty() {
+                actions.push(LeaderAction::Propose(Command::UpdateHosts { updates }));
+            }
+        }
+        actions
+            .extend(self.observed.iter().filter_map(|(name, observed)| next_step(context, name, *observed)));
+        actions
+    }
+
+    fn observe(&mut self, context: &Context) {
+        let mut before = std::mem::take(&mut self.observed);
+        for (name, host) in &context.state.hosts {
+            let Some(held) = host.held else { continue };
+            let known = before.remove(name).filter(|known| known.held == held);
+            let observed = known.unwrap_or(ObservedHold { held, applied: context.state.applied });
+            self.observed.insert(name.clone(), observed);
+        }
+    }
+
+    /// Whether the host may stop: the fleet found it empty, and by all that is heard now it is.
+    pub(crate) fn may_stop(&self, context: &Context, host: &UnitName) -> bool {
+        let Some(observed) = self.observed.get(host) else { return false };
+        let agreed = context.state.hosts.get(host).and_then(|host| host.held).map(|held| held.hold);
+        context.hears_majority()
+            && agreed == Some(HoldState::Empty)
+            && observed.held.hold == HoldState::Empty
+            && is_empty(context, host, observed.applied)
+    }
+
+    /// Who still holds what at hosts that are to be empty.
+    pub(crate) fn draining_hosts<'a>(&self, context: &'a Context) -> Vec<DrainingHost<'a>> {
+        let hosts = context.state.hosts.iter().filter(|(_, host)| Host::is_wanted_out(host));
+        let is_unheard = |(name, unit): &(&UnitName, &Unit)| !unit.dead && context.alive(name).is_none();
+        let unheard = context.state.units.iter().filter(is_unheard).map(|(name, _)| name);
+        hosts
+            .map(|(host, _)| DrainingHost {
+                host,
+                held_by: holders(context, host),
+                not_heard: unheard.clone().collect(),
+                may_stop: self.may_stop(context, host),
+            })
+            .collect()
+    }
+}
+
+fn next_step(context: &Context, name: &UnitName, observed: ObservedHold) -> Option<LeaderAction> {
+    let host = name.clone();
+    let lease = observed.held.lease;
+    match observed.held.hold {
+        HoldState::Out if is_empty(context, name, observed.applied) => {
+            Some(LeaderAction::Propose(Command::MarkHostEmpty { host, lease }))
+        }
+        HoldState::Returning if all_have_applied(context, observed.applied) => {
+            Some(LeaderAction::Propose(Command::MarkHostReturned { host, lease }))
+        }
+        HoldState::Out | HoldState::Empty | HoldState::Returning => None,
+    }
+}
+
+/// Nodes that are heard to hold connections at this host, and how many.
+fn holders<'a>(context: &'a Context, host: &UnitName) -> BTreeMap<&'a UnitName, u32> {
+    let held_by = |name: &'a UnitName| {
+        let holds = &context.alive(name)?.heartbeat.holds;
+        let (_, count) = holds.iter().flatten().find(|(held, _)| held == host)?;
+        Some((name, *count))
+    };
+    context.state.units.keys().filter_map(held_by).collect()
+}
+
+/// Whether every unit has reported, knowing that the host is out since this point of the log, that it holds nothing there.
+fn is_empty(context: &Context, host: &UnitName, applied: u64) -> bool {
+    context.state.units.iter().all(|(name, unit)| {
+        let is_passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyWithoutLost));
+        let reports_nothing = context.alive(name).is_some_and(|known| {
+            // A unit that knows more of the log than this leader may use the host again, and no longer reports it.
+            let knows_the_same = (applied..=context.state.applied).contains(&known.heartbeat.have.applied);
+            let holds = known.heartbeat.holds.as_ref();
+            knows_the_same && holds.is_some_and(|holds| !holds.iter().any(|(held, _)| held == host))
+        });
+        is_passed_over || reports_nothing
+    })
+}
+
+/// Whether every unit that is heard has applied the log so far. A lost one that still keeps away from a host only spares
+/// it.
+fn all_have_applied(context: &Context, applied: u64) -> bool {
+    context.state.units.iter().all(|(name, unit)| {
+        unit.lost || context.alive(name).is_some_and(|known| known.heartbeat.have.applied >= applied)
+    })
+}
--- /dev/null
+++ b/crates/fleet/src/leader/mod.rs
@@ -0,0 +1,163 @@
+//! The leader's controllers: who is lost or back, which unit a release changes next, when a release halts, which hosts
+//! may stop, and who votes.
+//!
+//! They only propose. What an entry does is judged where it stands in the log, so that a leader that is none any more does
+//! no harm.
+
+mod gates;
+mod hosts;
+mod releases;
+mod units;
+mod voters;
+
+use std::collections::BTreeMap;
+
+pub(crate) use self::hosts::HostController;
+use self::releases::ReleaseController;
+use self::units::UnitController;
+use self::voters::VoterController;
+use crate::Timestamp;
+use crate::context::Context;
+use crate::endpoint_list::EndpointList;
+use crate::message::{Message, VoterStatus};
+use crate::policy::UnitName;
+use crate::state::{BootCount, Command, Unit, VoterSlot};
+use crate::timing::{LOST_MS, PROPOSE_AGAIN_MS};
+
+/// What a controller wants done.
+pub(crate) enum LeaderAction {
+    /// Propose this.
+    Propose(Command),
+    /// Send this to that node.
+    Send(UnitName, Message),
+}
+
+/// How the leader's own replica stands.
+#[derive(Clone, Copy)]
+pub(crate) struct ReplicaStatus {
+    /// Entries were accepted that are not decided.
+    pub has_undecided: bool,
+    /// Entries of this epoch's log.
+    pub log_length: usize,
+}
+
+/// Commands that were proposed lately, so that none is proposed again before it could have been decided.
+#[derive(Default)]
+struct RecentProposals {
+    proposed_at: BTreeMap<String, Timestamp>,
+}
+
+impl RecentProposals {
+    /// The command, unless one of the same key was proposed within [`PROPOSE_AGAIN_MS`].
+    fn propose(&mut self, now: Timestamp, key: String, command: Command) -> Option<LeaderAction> {
+        let is_due = self.proposed_at.get(&key).is_none_or(|at| now.ms_since(*at) >= PROPOSE_AGAIN_MS);
+        if !is_due {
+            return None;
+        }
+        self.proposed_at.insert(key, now);
+        Some(LeaderAction::Propose(command))
+    }
+
+    fn forget_old(&mut self, now: Timestamp) {
+        self.proposed_at.retain(|_, at| now.ms_since(*at) < 10 * PROPOSE_AGAIN_MS);
+    }
+}
+
+/// What a leader remembers in its term.
+#[derive(Default)]
+pub(crate) struct Leadership {
+    since: Option<Timestamp>,
+    proposals: RecentProposals,
+    units: UnitController,
+    releases: ReleaseController,
+    voters: VoterController,
+}
+
+impl Leadership {
+    /// One look at everything, a few times a second while this node leads.
+    pub(crate) fn control(
+        &mut self,
+        context: &Context,
+        replica: ReplicaStatus,
+        longest_log: usize,
+        hosts: &mut HostController,
+        list: &mut EndpointList,
+    ) -> Vec<LeaderAction> {
+        self.since.get_or_insert(context.now);
+        let mut actions = self.voters.resync(context, replica.has_undecided);
+        if context.state.policy.is_none() {
+            let bootstrap = Command::Bootstrap(Box::new(context.policy.clone()));
+            actions.extend(self.proposals.propose(context.now, "found".into(), bootstrap));
+            return actions;
+        }
+        self.units.observe(context);
+        self.proposals.forget_old(context.now);
+        actions.extend(self.units.find_quiet(context));
+        if !are_voters_recorded(context) {
+            actions.extend(self.record_voters(context));
+            return actions;
+        }
+        actions.extend(self.voters.reconfigure(context, replica.log_length > longest_log));
+        if self.knows_losses(context.now) {
+            actions.extend(units::mark_lost(context, &mut self.proposals));
+        }
+        actions.extend(self.units.mark_serving(context, &mut self.proposals));
+        actions.extend(hosts.control(context, list));
+        let may_grant = self.may_grant(context);
+        actions.extend(self.releases.control(context, &self.units, may_grant, &mut self.proposals));
+        actions
+    }
+
+    /// Which processes make up the group is in the log before anything else is done.
+    fn record_voters(&mut self, context: &Context) -> Option<LeaderAction> {
+        let voters = active_voters(context);
+        if !is_majority(voters.len(), context) {
+            return None;
+        }
+        self.proposals.propose(context.now, "reign".into(), Command::LeaderStarted { voters })
+    }
+
+    /// Whether a new leader has led for long enough to know who is lost. Before that it has not heard everyone yet.
+    fn knows_losses(&self, now: Timestamp) -> bool {
+        self.since.is_some_and(|since| now.ms_since(since) >= LOST_MS)
+    }
+
+    /// Whether this leader may let units out. A new one may not know yet who was lost meanwhile, and would grant the room
+    /// that those use up; unless it heard all that count as serving before it led.
+    pub(crate) fn may_grant(&self, context: &Context) -> bool {
+        let is_accounted_for = |(name, unit): (&UnitName, &Unit)| {
+            // One that counts as serving and came back a moment ago, unseen, may have been away for long.
+            let is_serving = context.liveness.get(name).is_some_and(|known| {
+                context.now.ms_since(known.alive_at) < LOST_MS && known.heartbeat.serving
+            });
+            unit.is_out() || is_serving
+        };
+        self.knows_losses(context.now) || context.state.units.iter().all(is_accounted_for)
+    }
+}
+
+/// Whether it is in the log which processes make up the group of voters.
+pub(crate) fn are_voters_recorded(context: &Context) -> bool {
+    let active = active_voters(context);
+    let is_recorded =
+        |(name, boot_count): &(UnitName, BootCount)| context.state.voters.get(name) == Some(boot_count);
+    is_majority(active.len(), context) && active.iter().all(is_recorded)
+}
+
+fn is_majority(voters: usize, context: &Context) -> bool {
+    voters * 2 > context.state.voter_slots.len()
+}
+
+/// The voters that are heard to vote in their slots, and how often each one's store was opened.
+fn active_voters(context: &Context) -> Vec<(UnitName, BootCount)> {
+    let boot_count_of = |voter_slot: &VoterSlot| {
+        if voter_slot.name == context.name {
+            return Some(context.boot_count);
+        }
+        let known = context.alive(&voter_slot.name)?;
+        let is_active = known.heartbeat.voter_status == VoterStatus::Active(voter_slot.number);
+        is_active.then_some(known.heartbeat.boot_count)
+    };
+    let slots = context.state.voter_slots.iter();
+    slots.filter_map(|slot| Some((slot.name.clone(), boot_count_of(slot)?))).collect()
+}
--- /dev/null
+++ b/crates/fleet/src/leader/voters.rs
@@ -0,0 +1,102 @@
+//! Who votes: a voter whose disk has failed it gets a new slot, a voter is replaced, and a long log ends with its epoch.
+
+use super::{LeaderAction, active_voters};
+use crate::Timestamp;
+use crate::context::Context;
+use crate::message::{Message, VoterStatus};
+use crate::state::{Command, VoterReplacement, VoterSlot};
+use crate::timing::PROPOSE_AGAIN_MS;
+
+/// The next epoch is proposed at most once in this time, in ms.
+const RECONFIGURE_AGAIN_MS: u64 = 5 * PROPOSE_AGAIN_MS;
+
+/// An entry that is not decided within this time, in ms, may wait for an answer that was lost.
+const RESYNC_AFTER_MS: u64 = 2 * PROPOSE_AGAIN_MS;
+
+/// Something is not decided, at this point of the log.
+struct Undecided {
+    applied: u64,
+    since: Timestamp,
+}
+
+/// Watches the voters and the log that they keep.
+#[derive(Default)]
+pub(super) struct VoterController {
+    reconfigured_at: Option<Timestamp>,
+    undecided: Option<Undecided>,
+}
+
+impl VoterController {
+    /// Asks the other voters to begin the round anew if nothing has been decided for a while.
+    ///
+    /// The library does not ask again for a follower's answer that was lost before the next entry, and there may be none.
+    pub(super) fn resync(&mut self, context: &Context, has_undecided: bool) -> Vec<LeaderAction> {
+        let applied = context.state.applied;
+        let waiting = self.undecided.as_ref().filter(|known| has_undecided && known.applied == applied);
+        let Some(waiting) = waiting else {
+            self.undecided = has_undecided.then_some(Undecided { applied, since: context.now });
+            return vec![];
+        };
+        if context.now.ms_since(waiting.since) < RESYNC_AFTER_MS {
+            return vec![];
+        }
+        self.undecided = None;
+        let ask = |voter_slot: &VoterSlot| LeaderAction::Send(voter_slot.name.clone(), Message::Resync);
+        context.other_voters().map(ask).collect()
+    }
+
+    /// Proposes the next epoch if a slot has to change hands or the log is long, and a majority of the voters goes on.
+    pub(super) fn reconfigure(&mut self, context: &Context, is_log_long: bool) -> Option<LeaderAction> {
+        if self.reconfigured_at.is_some_and(|at| context.now.ms_since(at) < RECONFIGURE_AGAIN_MS) {
+            return None;
+        }
+        let state = &context.state;
+        // One slot at a time: the others are a majority without it.
+        let change = renewed_slot(context).or_else(|| replaced_slot(context));
+        if change.is_none() && !is_log_long {
+            return None;
+        }
+        let mut voter_slots = state.voter_slots.clone();
+        if let Some((index, voter_slot)) = change {
+            voter_slots[index] = voter_slot;
+        }
+        let active = active_voters(context);
+        let goes_on = |slot: &&VoterSlot| {
+            state.voter_slots.contains(slot) && active.iter().any(|(name, _)| *name == slot.name)
+        };
+        if voter_slots.iter().filter(goes_on).count() * 2 <= voter_slots.len() {
+            return None;
+        }
+        self.reconfigured_at = Some(context.now);
+        Some(LeaderAction::Propose(Command::Reconfigure { voter_slots }))
+    }
+}
+
+/// The slot of the first voter whose store has failed it, given anew to its process.
+fn renewed_slot(context: &Context) -> Option<(usize, VoterSlot)> {
+    let renew = |voter_slot: &VoterSlot| {
+        let heartbeat = &context.alive(&voter_slot.name)?.heartbeat;
+        let needs_new_slot = heartbeat.voter_status == VoterStatus::StateLost
+            && heartbeat.incarnation != voter_slot.incarnation;
+        needs_new_slot.then(|| VoterSlot {
+            number: context.state.next_voter_slot,
+            name: voter_slot.name.clone(),
+            incarnation: heartbeat.incarnation,
+        })
+    };
+    context.state.voter_slots.iter().enumerate().find_map(|(index, slot)| Some((index, renew(slot)?)))
+}
+
+/// The slot that an operator wants to go to another node, if that is heard with an empty store.
+fn replaced_slot(context: &Context) -> Option<(usize, VoterSlot)> {
+    let VoterReplacement { old, new } = context.state.pending_replacement()?;
+    let index = context.state.voter_slots.iter().position(|voter_slot| voter_slot.name == *old)?;
+    let heartbeat = &context.alive(new)?.heartbeat;
+    let is_empty = matches!(heartbeat.voter_status, VoterStatus::Fresh | VoterStatus::StateLost);
+    let voter_slot = VoterSlot {
+        number: context.state.next_voter_slot,
+        name: new.clone(),
+        incarnation: heartbeat.incarnation,
+    };
+    is_empty.then_some((index, voter_slot))
+}
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,154 +1,203 @@
-//! A unit's own part: it asks to begin, goes out, comes back, and counts how its calls ended.
+//! A unit's own part: it asks to begin its drain, goes out and comes back, and counts how its calls ended.
 
 use std::collections::VecDeque;
 
+use crate::Timestamp;
+use crate::action::Action;
+use crate::config::NodeStatus;
+use crate::context::Context;
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::group::{Action, Fleet, NodeStatus};
 use crate::policy::Act;
 use crate::state::{CallCounts, Cause, Command, Lease, Nonce, UnitState};
-use crate::timing::VOTER_SILENCE_MS;
-use crate::{Timestamp, state::ReleaseState};
 
-/// A unit goes out only so long after it asked to begin. A halt holds everywhere within this after its entry: long
+/// A unit goes out only so long, in ms, after it asked to begin. A halt holds everywhere within this after its entry: long
 /// enough for two round trips over a crowded link and a slow disk, short enough to be waited for by a person.
-pub const BEGIN_COUNTS_MS: u64 = 2_000;
+const BEGIN_TIMEOUT_MS: u64 = 2_000;
 
-/// It asks anew after this: a leader may have changed meanwhile.
-const BEGIN_AGAIN_MS: u64 = 1_000;
+/// A request is repeated after this time, in ms: the leader may have changed meanwhile.
+const RETRY_MS: u64 = 1_000;
 
-/// Over this time calls are counted for gates; as long as the shortest watch that says anything.
-const RATES_MS: u64 = 10_000;
+/// Calls are counted for gates over this time, in ms; as long as the shortest watch that says anything.
+const CALL_COUNTS_MS: u64 = 10_000;
 
+/// The totals are noted once in this time, in ms.
+const NOTE_TOTALS_MS: u64 = 1_000;
+
+/// What the unit has to do next.
+pub(crate) enum MemberStep {
+    /// Have the node do this.
+    Act(Action),
+    /// Have the leader decide this.
+    Submit(Command),
+}
+
+/// A request to begin a drain that waits for its entry.
+struct BeginRequest {
+    lease: Lease,
+    nonce: Nonce,
+    asked_at: Timestamp,
+}
+
+/// The lease under which this process is out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CurrentDrain {
+    pub lease: Lease,
+    pub cause: Cause,
+}
+
+/// This unit.
 #[derive(Default)]
-pub struct Member {
-    count: u64,
-    /// What it asked to begin, and when.
-    asked: Option<(Lease, Nonce, Timestamp)>,
-    /// Under which lease this process is out.
-    pub out: Option<(Lease, Cause)>,
-    /// It has said that it leaves, or asked to be taken back, then.
-    parted: Option<Timestamp>,
+pub(crate) struct Member {
+    begin_requests: u64,
+    begin_request: Option<BeginRequest>,
+    drain: Option<CurrentDrain>,
+    /// When it left the process, or asked to be taken back, since it is out.
+    finished_at: Option<Timestamp>,
     /// Totals as they were, the oldest first.
     totals: VecDeque<(Timestamp, NodeStatus)>,
 }
 
 impl Member {
-    pub fn note(&mut self, now: Timestamp, node_status: &NodeStatus) {
-        if self.totals.back().is_none_or(|(at, _)| now.ms_since(*at) >= 1_000) {
-            self.totals.push_back((now, node_status.clone()));
-            while self.totals.get(1).is_some_and(|(at, _)| now.ms_since(*at) >= RATES_MS) {
-                self.totals.pop_front();
-            }
-        }
+    /// The lease under which this process is out.
+    pub(crate) fn drain(&self) -> Option<CurrentDrain> {
+        self.drain
     }
 
-    pub fn call_counts(&self, node_status: &NodeStatus) -> CallCounts {
-        let then = self.totals.front().map(|(_, node_status)| node_status.clone()).unwrap_or_default();
-        let since = |now: u64, then: u64| now.saturating_sub(then).min(u64::from(u32::MAX)) as u32;
-        CallCounts {
-            calls: since(node_status.calls, then.calls),
-            failed: since(node_status.failed, then.failed),
-            busy: since(node_status.busy, then.busy),
-            waiting: node_status.waiting,
-            hosts_down: node_status.hosts_down,
+    /// Notes the node's totals.
+    pub(crate) fn note_totals(&mut self, now: Timestamp, totals: &NodeStatus) {
+        if self.totals.back().is_some_and(|(at, _)| now.ms_since(*at) < NOTE_TOTALS_MS) {
+            return;
+        }
+        self.totals.push_back((now, totals.clone()));
+        while self.totals.get(1).is_some_and(|(at, _)| now.ms_since(*at) >= CALL_COUNTS_MS) {
+            self.totals.pop_front();
         }
     }
-}
 
-impl Fleet {
-    pub(crate) fn hears_group(&self) -> bool {
-        self.told_at.values().any(|at| self.now.ms_since(*at) < VOTER_SILENCE_MS) || self.leads()
+    /// How calls ended over the last [`CALL_COUNTS_MS`].
+    pub(crate) fn call_counts(&self, totals: &NodeStatus) -> CallCounts {
+        let before = self.totals.front().map(|(_, totals)| totals.clone()).unwrap_or_default();
+        let since = |now: u64, before: u64| u32::try_from(now.saturating_sub(before)).unwrap_or(u32::MAX);
+        CallCounts {
+            calls: since(totals.calls, before.calls),
+            failed: since(totals.failed, before.failed),
+            busy: since(totals.busy, before.busy),
+            waiting: totals.waiting,
+            hosts_down: totals.hosts_down,
+        }
     }
 
     /// What follows for this unit from what is agreed.
-    pub(crate) fn follow(&mut self) {
-        let Some(unit) = self.state.units.get(&self.name) else { return };
-        match unit.unit_state.clone() {
+    pub(crate) fn follow(
+        &mut self,
+        context: &Context,
+        status: &NodeStatus,
+        is_leader: bool,
+    ) -> Option<MemberStep> {
+        let unit = context.state.units.get(&context.name)?;
+        match unit.unit_state {
             UnitState::Serving => {
-                self.member.asked = None;
-                self.retry_after();
+                self.begin_request = None;
+                self.come_back()
             }
             UnitState::Granted { lease, cause } => {
-                if is_injected(InjectedFault::OutOnGrant) && self.member.out.is_none() {
-                    return self.go_out(lease, cause);
+                if is_injected(InjectedFault::OutOnGrant) && self.drain.is_none() {
+                    return Some(self.go_out(lease, cause));
                 }
-                self.ask_to_begin(lease);
+                self.ask_to_begin(context, status, is_leader, lease)
             }
-            UnitState::Begun { lease, cause, nonce, .. } => self.begun(lease, cause, nonce),
-            UnitState::Returning { .. } => self.retry_after(),
+            UnitState::Begun { lease, cause, nonce, .. } => match self.drain {
+                Some(_) => self.finish_drain(context, status, cause),
+                None => self.begin(context, status, is_leader, lease, cause, nonce),
+            },
+            UnitState::Returning { .. } => self.come_back(),
         }
     }
 
-    fn retry_after(&mut self) {
-        if self.member.out.take().is_some() {
-            self.member.parted = None;
-            self.actions.push(Action::Resume);
-        }
+    fn come_back(&mut self) -> Option<MemberStep> {
+        self.drain.take()?;
+        self.finished_at = None;
+        Some(MemberStep::Act(Action::Resume))
     }
 
-    fn ask_to_begin(&mut self, lease: Lease) {
-        let (now, waits) = (self.now, BEGIN_AGAIN_MS);
-        let fresh = self.member.asked.is_some_and(|(of, _, at)| of == lease && now.ms_since(at) < waits);
-        if fresh || !self.node_status.serving || !self.hears_group() {
-            return;
-        }
-        self.member.count += 1;
-        let nonce = Nonce { incarnation: self.incarnation, count: self.member.count };
-        self.member.asked = Some((lease, nonce, now));
-        let call_counts = self.member.call_counts(&self.node_status);
-        self.submit(None, Command::BeginDrain { unit: self.name.clone(), lease, nonce, call_counts });
+    fn go_out(&mut self, lease: Lease, cause: Cause) -> MemberStep {
+        self.drain = Some(CurrentDrain { lease, cause });
+        self.finished_at = None;
+        MemberStep::Act(Action::StartDrain { lease, cause })
     }
 
-    fn go_out(&mut self, lease: Lease, cause: Cause) {
-        self.member.out = Some((lease, cause));
-        self.member.parted = None;
-        self.actions.push(Action::StartDrain { lease, cause });
+    fn ask_to_begin(
+        &mut self,
+        context: &Context,
+        status: &NodeStatus,
+        is_leader: bool,
+        lease: Lease,
+    ) -> Option<MemberStep> {
+        let has_asked = self.begin_request.as_ref().is_some_and(|request| {
+            request.lease == lease && context.now.ms_since(request.asked_at) < RETRY_MS
+        });
+        let hears_group = context.hears_any_voter() || is_leader;
+        if has_asked || !status.serving || !hears_group {
+            return None;
+        }
+        self.begin_requests += 1;
+        let nonce = Nonce { incarnation: context.incarnation, count: self.begin_requests };
+        self.begin_request = Some(BeginRequest { lease, nonce, asked_at: context.now });
+        let unit = context.name.clone();
+        let call_counts = self.call_counts(status);
+        Some(MemberStep::Submit(Command::BeginDrain { unit, lease, nonce, call_counts }))
     }
 
-    fn begun(&mut self, lease: Lease, cause: Cause, nonce: Nonce) {
-        let running = match (cause, &self.state.release) {
-            (Cause::Release(number), Some(release)) => (release.number == number
-                && release.release_state == ReleaseState::Running)
-                .then_some(release.plan.act),
-            (Cause::Release(_), None) => None,
-            _ => Some(Act::Drain),
-        };
-        if self.member.out.is_some() {
-            return self.go_on(cause, running);
-        }
-        // Danger: what was begun long ago may have been halted since, and this unit has not heard of it.
-        let mine = self.member.asked.filter(|(of, asked, _)| *of == lease && *asked == nonce);
-        let in_time =
-            |at: Timestamp| self.now.ms_since(at) <= BEGIN_COUNTS_MS || is_injected(InjectedFault::AnyAge);
-        if mine.is_some_and(|(_, _, at)| in_time(at)) {
-            return self.go_out(lease, cause);
+    /// The drain has begun in the log: this process goes out if its own request has begun it, and of late. What was begun
+    /// long ago may have been halted since, and this unit has not heard of it.
+    fn begin(
+        &mut self,
+        context: &Context,
+        status: &NodeStatus,
+        is_leader: bool,
+        lease: Lease,
+        cause: Cause,
+        nonce: Nonce,
+    ) -> Option<MemberStep> {
+        let request = self.begin_request.as_ref();
+        let may_go_out = request.filter(|own| own.lease == lease && own.nonce == nonce).is_some_and(|own| {
+            context.now.ms_since(own.asked_at) <= BEGIN_TIMEOUT_MS || is_injected(InjectedFault::AnyAge)
+        });
+        if may_go_out {
+            return Some(self.go_out(lease, cause));
         }
         // A node that operators took out stays out in its next process; one that left to be changed has been.
-        let goes_on = nonce.incarnation == self.incarnation || !matches!(cause, Cause::Release(_));
-        if goes_on && running.is_some() {
-            self.ask_to_begin(lease);
+        let is_release = matches!(cause, Cause::Release(_));
+        let goes_on = nonce.incarnation == context.incarnation || !is_release;
+        if !goes_on || (is_release && wanted_act(context, cause).is_none()) {
+            return None;
         }
+        self.ask_to_begin(context, status, is_leader, lease)
     }
 
-    /// It is out, and has to go on to what the release wants.
-    fn go_on(&mut self, cause: Cause, running: Option<Act>) {
-        let again = self.member.parted.is_none_or(|at| self.now.ms_since(at) >= BEGIN_AGAIN_MS);
-        if !self.node_status.drained || !again || !matches!(cause, Cause::Release(_)) {
-            return;
+    /// It is out for a release and has drained: it leaves to be changed, or asks to be taken back after a rehearsal. While
+    /// the release is halted it stays as it is.
+    fn finish_drain(&mut self, context: &Context, status: &NodeStatus, cause: Cause) -> Option<MemberStep> {
+        let has_finished = self.finished_at.is_some_and(|at| context.now.ms_since(at) < RETRY_MS);
+        if !status.drained || has_finished {
+            return None;
         }
-        match running {
-            // Halted: it holds where it is.
-            None => {}
-            Some(Act::Exit) => {
-                self.member.parted = Some(self.now);
-                let wanted =
-                    self.state.release.as_ref().map(|release| release.target_version(&self.name).to_owned());
-                self.actions.push(Action::Exit { version: wanted.unwrap_or_default() });
-            }
-            Some(Act::Drain) => {
-                self.member.parted = Some(self.now);
-                self.submit(None, Command::Activate { unit: self.name.clone() });
+        let act = wanted_act(context, cause)?;
+        self.finished_at = Some(context.now);
+        match act {
+            Act::Exit => {
+                let release = context.state.release.as_ref()?;
+                let version = release.target_version(&context.name).to_owned();
+                Some(MemberStep::Act(Action::Exit { version }))
             }
+            Act::Drain => Some(MemberStep::Submit(Command::Activate { unit: context.name.clone() })),
         }
     }
 }
+
+/// What the release that this cause names wants of the unit, if it runs.
+fn wanted_act(context: &Context, cause: Cause) -> Option<Act> {
+    let Cause::Release(number) = cause else { return None };
+    let release = context.state.release.as_ref()?;
+    (release.number == number && release.is_running()).then_some(release.plan.act)
+}
--- a/crates/fleet/src/state/apply/mod.rs
+++ b/crates/fleet/src/state/apply/mod.rs
@@ -6,7 +6,7 @@
 mod units;
 mod voters;
 
-use super::{Command, CommandResult, Entry, Lease, Refusal, RequestId, State, Unit, UnitState};
+use super::{Command, CommandResult, Entry, Lease, LogStep, Refusal, RequestId, State, Unit, UnitState};
 use crate::policy::FleetPolicy;
 
 /// Results kept for requests that are repeated: more than operators and scripts send in the minutes in which they retry.
@@ -16,6 +16,17 @@
 type Outcome = Result<String, Refusal>;
 
 impl State {
+    /// Applies one step of the log and returns its result, if it is an entry.
+    pub fn apply_step(&mut self, step: &LogStep) -> Option<CommandResult> {
+        match step {
+            LogStep::Entry(entry) => Some(self.apply(entry)),
+            LogStep::Reconfigure(voter_slots) => {
+                self.start_epoch(voter_slots.clone());
+                None
+            }
+        }
+    }
+
     /// Applies one entry and returns its result.
     pub fn apply(&mut self, entry: &Entry) -> CommandResult {
         self.applied += 1;
--- a/crates/fleet/src/state/apply/voters.rs
+++ b/crates/fleet/src/state/apply/voters.rs
@@ -47,7 +47,7 @@
     }
 
     /// Ends the epoch; the next has these voter slots.
-    pub fn start_epoch(&mut self, voter_slots: Vec<VoterSlot>) {
+    pub(super) fn start_epoch(&mut self, voter_slots: Vec<VoterSlot>) {
         self.applied += 1;
         self.epoch += 1;
         self.epoch_began = self.applied;
--- a/crates/fleet/src/state/command.rs
+++ b/crates/fleet/src/state/command.rs
@@ -166,6 +166,15 @@
     pub command: Command,
 }
 
+/// One step of the log.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum LogStep {
+    /// An entry.
+    Entry(Entry),
+    /// The epoch is over; the next has these voter slots.
+    Reconfigure(Vec<VoterSlot>),
+}
+
 /// What came of a command, in the words that operators are shown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandResult {
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::policy::{FleetPolicy, HostSettings, UnitName};
 
-pub use command::{Command, CommandResult, Entry, LimitedKind, Refusal};
+pub use command::{Command, CommandResult, Entry, LimitedKind, LogStep, Refusal};
 pub use host::{EndpointState, HoldState, Host, HostHold, HostUpdate, ListedHost};
 pub use ids::{BootCount, Incarnation, Lease, Nonce, RequestId};
 pub use release::{ChangedUnit, Release, ReleaseState};
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -7,8 +7,8 @@
 use glendeck_fleet::consensus::Voter;
 use glendeck_fleet::hosts::{EndpointState, HostUpdate, ListedHost};
 use glendeck_fleet::message::{
-    DurableMark, Echo, Envelope, Heartbeat, HeartbeatReply, Hello, LogPosition, LogStep, LogUpdate, Message,
-    VERSION, VoterStatus,
+    DurableMark, Echo, Envelope, FoundUnit, Heartbeat, HeartbeatReply, Hello, LogPosition, LogStep,
+    LogUpdate, Message, VERSION, VoterStatus,
 };
 use glendeck_fleet::policy::{Act, Amount, FleetPolicy, OnHalt, Place, Plan, UnitName};
 use glendeck_fleet::state::{
@@ -184,7 +184,7 @@
             "found",
             Message::UnitsFound(
                 Echo { incarnation: Incarnation(1), at: 2 },
-                vec![(unit("c"), heartbeat(VoterStatus::NoStore), 250)],
+                vec![FoundUnit { name: unit("c"), heartbeat: heartbeat(VoterStatus::NoStore), age_ms: 250 }],
             ),
         ),
     ];
@@ -203,8 +203,8 @@
                 Message::Consensus { epoch: 1, consensus_message: consensus_message.clone() },
             ));
             let to = consensus_message.get_receiver();
-            if let Some(voter) = voters.iter_mut().find(|voter| voter.voter_slot == to) {
-                voter.take(consensus_message);
+            if let Some(voter) = voters.iter_mut().find(|voter| voter.voter_slot() == to) {
+                voter.receive(consensus_message);
             }
         }
     }
@@ -230,7 +230,7 @@
         );
     }
     for (name, message) in messages() {
-        let envelope = Envelope { witness: Some(DurableMark { voter_slot: 2, stamp: 300 }), message };
+        let envelope = Envelope { durable_mark: Some(DurableMark { voter_slot: 2, stamp: 300 }), message };
         line(&mut text, &format!("message_{name}"), &envelope.encode());
     }
     let hello =
