--- a/crates/fleet/src/fault_injection.rs
+++ b/crates/fleet/src/fault_injection.rs
@@ -1,7 +1,7 @@
-//! Faults injected on purpose: a checker counts only once it has caught them. Without the feature `injected`, which only
+//! Faults that tests inject to show that their checkers notice them. Without the feature `fault-injection`, which only
 //! tests switch on, there is none.
 
-/// What may be made wrong.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// Limits do not count what is lost unplanned.
@@ -34,18 +34,18 @@
 
 #[cfg(feature = "fault-injection")]
 thread_local! {
-    static PLANTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
+    static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants a fault on this thread, or none.
+/// Injects a fault on this thread, or none.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
-    PLANTED.set(fault);
+    INJECTED.set(fault);
 }
 
 #[cfg(feature = "fault-injection")]
 pub(crate) fn is_injected(fault: InjectedFault) -> bool {
-    PLANTED.get() == Some(fault)
+    INJECTED.get() == Some(fault)
 }
 
 #[cfg(not(feature = "fault-injection"))]
--- a/crates/fleet/src/leader/hosts.rs
+++ b/crates/fleet/src/leader/hosts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::LeaderAction;
+use super::proposals::LeaderAction;
 use crate::Timestamp;
 use crate::context::Context;
 use crate::endpoint_list::EndpointList;
--- a/crates/fleet/src/leader/mod.rs
+++ b/crates/fleet/src/leader/mod.rs
@@ -6,31 +6,26 @@
 
 mod gates;
 mod hosts;
+mod proposals;
+mod quorum;
 mod releases;
 mod units;
 mod voters;
 
-use std::collections::BTreeMap;
-
 pub(crate) use self::hosts::HostController;
+pub(crate) use self::proposals::LeaderAction;
+use self::proposals::RecentProposals;
+pub(crate) use self::quorum::are_voters_recorded;
+use self::quorum::{active_voters, is_majority};
 use self::releases::ReleaseController;
 use self::units::UnitController;
 use self::voters::VoterController;
 use crate::Timestamp;
 use crate::context::Context;
 use crate::endpoint_list::EndpointList;
-use crate::message::{Message, VoterStatus};
 use crate::policy::UnitName;
-use crate::state::{BootCount, Command, Unit, VoterSlot};
-use crate::timing::{LOST_MS, PROPOSE_AGAIN_MS};
-
-/// What a controller wants done.
-pub(crate) enum LeaderAction {
-    /// Propose this.
-    Propose(Command),
-    /// Send this to that node.
-    Send(UnitName, Message),
-}
+use crate::state::{Command, Unit};
+use crate::timing::LOST_MS;
 
 /// How the leader's own replica stands.
 #[derive(Clone, Copy)]
@@ -41,28 +36,6 @@
     pub log_length: usize,
 }
 
-/// Commands that were proposed lately, so that none is proposed again before it could have been decided.
-#[derive(Default)]
-struct RecentProposals {
-    proposed_at: BTreeMap<String, Timestamp>,
-}
-
-impl RecentProposals {
-    /// The command, unless one of the same key was proposed within [`PROPOSE_AGAIN_MS`].
-    fn propose(&mut self, now: Timestamp, key: String, command: Command) -> Option<LeaderAction> {
-        let is_due = self.proposed_at.get(&key).is_none_or(|at| now.ms_since(*at) >= PROPOSE_AGAIN_MS);
-        if !is_due {
-            return None;
-        }
-        self.proposed_at.insert(key, now);
-        Some(LeaderAction::Propose(command))
-    }
-
-    fn forget_old(&mut self, now: Timestamp) {
-        self.proposed_at.retain(|_, at| now.ms_since(*at) < 10 * PROPOSE_AGAIN_MS);
-    }
-}
-
 /// What a leader remembers in its term.
 #[derive(Default)]
 pub(crate) struct Leadership {
@@ -135,29 +108,3 @@
         self.knows_losses(context.now) || context.state.units.iter().all(is_accounted_for)
     }
 }
-
-/// Whether it is in the log which processes make up the group of voters.
-pub(crate) fn are_voters_recorded(context: &Context) -> bool {
-    let active = active_voters(context);
-    let is_recorded =
-        |(name, boot_count): &(UnitName, BootCount)| context.state.voters.get(name) == Some(boot_count);
-    is_majority(active.len(), context) && active.iter().all(is_recorded)
-}
-
-fn is_majority(voters: usize, context: &Context) -> bool {
-    voters * 2 > context.state.voter_slots.len()
-}
-
-/// The voters that are heard to vote in their slots, and how often each one's store was opened.
-fn active_voters(context: &Context) -> Vec<(UnitName, BootCount)> {
-    let boot_count_of = |voter_slot: &VoterSlot| {
-        if voter_slot.name == context.name {
-            return Some(context.boot_count);
-        }
-        let known = context.alive(&voter_slot.name)?;
-        let is_active = known.heartbeat.voter_status == VoterStatus::Active(voter_slot.number);
-        is_active.then_some(known.heartbeat.boot_count)
-    };
-    let slots = context.state.voter_slots.iter();
-    slots.filter_map(|slot| Some((slot.name.clone(), boot_count_of(slot)?))).collect()
-}
--- a/crates/fleet/src/leader/releases.rs
+++ b/crates/fleet/src/leader/releases.rs
@@ -1,11 +1,11 @@
 //! The running release: its halt before its next step.
 
 use super::gates::failed_gate;
+use super::proposals::{LeaderAction, RecentProposals};
 use super::units::UnitController;
-use super::{LeaderAction, RecentProposals};
 use crate::Timestamp;
 use crate::context::Context;
-use crate::state::{Command, Release, UnitState};
+use crate::state::{Command, Release, Unit, UnitState};
 
 /// A wave that has no unit left to change.
 struct ClearedWave {
@@ -43,7 +43,7 @@
         if !may_grant {
             return None;
         }
-        let can_go = |unit: &crate::state::Unit| unit.unit_state == UnitState::Serving && !unit.lost;
+        let can_go = |unit: &Unit| unit.unit_state == UnitState::Serving && !unit.lost;
         let unit =
             release.remaining_units().find(|name| context.state.units.get(*name).is_some_and(can_go))?;
         let command = Command::GrantTurn { release: release.number, unit: unit.clone() };
--- a/crates/fleet/src/leader/units.rs
+++ b/crates/fleet/src/leader/units.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{LeaderAction, RecentProposals};
+use super::proposals::{LeaderAction, RecentProposals};
 use crate::Timestamp;
 use crate::context::Context;
 use crate::fault_injection::{InjectedFault, is_injected};
--- a/crates/fleet/src/leader/voters.rs
+++ b/crates/fleet/src/leader/voters.rs
@@ -1,6 +1,7 @@
 //! Who votes: a voter whose disk has failed it gets a new slot, a voter is replaced, and a long log ends with its epoch.
 
-use super::{LeaderAction, active_voters};
+use super::proposals::LeaderAction;
+use super::quorum::active_voters;
 use crate::Timestamp;
 use crate::context::Context;
 use crate::message::{Message, VoterStatus};
