--- /dev/null
+++ b/crates/fleet/src/policy/error.rs
@@ -0,0 +1,17 @@
+//! Faults in policy and plan files.
+
+/// What is wrong with a fleet policy or a plan: the key, and why.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{key}: {why}")]
+pub struct PolicyError {
+    /// The key in the file.
+    pub key: String,
+    /// Why its value is refused.
+    pub why: String,
+}
+
+impl PolicyError {
+    pub(super) fn new(key: impl Into<String>, why: impl Into<String>) -> PolicyError {
+        PolicyError { key: key.into(), why: why.into() }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/policy/plan.rs
@@ -0,0 +1,170 @@
+//! Plans of releases.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde::{Deserialize, Serialize};
+
+use super::error::PolicyError;
+use super::fleet_policy::FleetPolicy;
+use super::limits::Amount;
+use super::place::UnitName;
+
+/// What a unit does once it is out for a release.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Act {
+    /// It drains, leaves the wanted version in its folder and exits; its supervisor starts that version.
+    #[default]
+    Exit,
+    /// It drains, and its clients come back to it: a rehearsal that changes nothing.
+    Drain,
+}
+
+/// What units that are out do when a release halts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum OnHalt {
+    /// They stay out until the release is resumed or rolled back.
+    #[default]
+    Hold,
+    /// Those that still run take clients again.
+    Return,
+}
+
+/// What halts a release, measured on units that came back against the same units before they went out.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Gates {
+    /// Calls of a thousand that failed, more than before.
+    pub failures_per_thousand: u32,
+    /// Calls of a thousand that were rejected because of load, more than before.
+    pub busy_per_thousand: u32,
+    /// A unit is judged once it had so many calls.
+    pub least_calls: u32,
+    /// Units of the fleet that may be lost unplanned, at once.
+    pub most_lost: u32,
+    /// Calls that wait at a unit, more than before; not checked if not given.
+    pub waiting: Option<u32>,
+    /// Hosts that a unit has ejected, more than before; not checked if not given.
+    pub hosts_down: Option<u32>,
+}
+
+impl Default for Gates {
+    fn default() -> Gates {
+        Gates {
+            failures_per_thousand: 20,
+            busy_per_thousand: 100,
+            least_calls: 20,
+            most_lost: 0,
+            waiting: None,
+            hosts_down: None,
+        }
+    }
+}
+
+/// One release.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Plan {
+    /// The version that units are to say they run.
+    pub version: String,
+    /// These units; all if none is named.
+    #[serde(default)]
+    pub units: Vec<UnitName>,
+    /// How many units are changed in each wave, the last for all that follow.
+    #[serde(default = "default_waves")]
+    pub waves: Vec<Amount>,
+    /// Seconds of serving after which a unit counts as back, and a wave is judged.
+    #[serde(default = "default_watch_s")]
+    pub watch_s: u32,
+    /// Seconds that one unit may be out.
+    #[serde(default = "default_unit_limit_s")]
+    pub unit_limit_s: u32,
+    /// What each unit does once it is out.
+    #[serde(default)]
+    pub act: Act,
+    /// What units that are out do when the release halts.
+    #[serde(default)]
+    pub on_halt: OnHalt,
+    /// What halts the release.
+    #[serde(default)]
+    pub gates: Gates,
+}
+
+fn default_waves() -> Vec<Amount> {
+    vec![Amount::Count(1), Amount::Part(100), Amount::Part(1000)]
+}
+
+fn default_watch_s() -> u32 {
+    10
+}
+
+fn default_unit_limit_s() -> u32 {
+    120
+}
+
+impl Plan {
+    /// Checks the plan against the policy.
+    ///
+    /// # Errors
+    /// Names the first key whose value cannot be used.
+    pub fn check(&self, policy: &FleetPolicy) -> Result<(), PolicyError> {
+        if self.version.is_empty() {
+            return Err(PolicyError::new("version", "is empty"));
+        }
+        if let Some(unknown) = self.units.iter().find(|unit| !policy.units.contains_key(unit)) {
+            return Err(PolicyError::new("units", format!("{unknown} is none of the fleet's units")));
+        }
+        if self.waves.is_empty() || self.waves.iter().any(|wave| wave.rounded_up(1000) == 0) {
+            return Err(PolicyError::new("waves", "expected at least one, each of more than nothing"));
+        }
+        if self.watch_s == 0 {
+            return Err(PolicyError::new("watch_s", "is 0: a unit that was not seen to serve is not back"));
+        }
+        if self.unit_limit_s <= self.watch_s {
+            return Err(PolicyError::new("unit_limit_s", "must be longer than watch_s"));
+        }
+        Ok(())
+    }
+
+    /// The units of each wave. Zones and cells take turns, so that no wave is of one zone while others have units.
+    pub fn split(&self, policy: &FleetPolicy) -> Vec<Vec<UnitName>> {
+        let order = self.order(policy);
+        let total = order.len() as u32;
+        let mut remaining = order.into_iter().cloned();
+        let mut waves = Vec::new();
+        for index in 0.. {
+            let size = self.waves.get(index).or(self.waves.last());
+            let size = size.map_or(1, |wave| wave.rounded_up(total).max(1));
+            let wave: Vec<UnitName> = remaining.by_ref().take(size as usize).collect();
+            if wave.is_empty() {
+                break;
+            }
+            waves.push(wave);
+        }
+        waves
+    }
+
+    /// All units that the plan changes: the first of each zone, then the second; within a zone its cells take turns.
+    fn order<'a>(&'a self, policy: &'a FleetPolicy) -> Vec<&'a UnitName> {
+        let units: BTreeSet<&UnitName> =
+            if self.units.is_empty() { policy.units.keys().collect() } else { self.units.iter().collect() };
+        let mut cells: BTreeMap<(&str, &str), Vec<&UnitName>> = BTreeMap::new();
+        for unit in units {
+            if let Some(place) = policy.units.get(unit) {
+                cells.entry((&place.zone, &place.cell)).or_default().push(unit);
+            }
+        }
+        let mut zones: BTreeMap<&str, Vec<Vec<&UnitName>>> = BTreeMap::new();
+        for ((zone, _), units) in cells {
+            zones.entry(zone).or_default().push(units);
+        }
+        interleave(zones.into_values().map(interleave).collect())
+    }
+}
+
+/// The first of each list, then the second of each, and so on.
+fn interleave(lists: Vec<Vec<&UnitName>>) -> Vec<&UnitName> {
+    let longest = lists.iter().map(Vec::len).max().unwrap_or(0);
+    (0..longest).flat_map(|index| lists.iter().filter_map(move |list| list.get(index).copied())).collect()
+}
--- a/crates/fleet/src/state/apply/hosts.rs
+++ b/crates/fleet/src/state/apply/hosts.rs
@@ -2,7 +2,7 @@
 
 use super::{Outcome, State};
 use crate::fault_injection::{InjectedFault, is_injected};
-use crate::policy::{UnitName, scopes};
+use crate::policy::UnitName;
 use crate::state::{Cause, HoldState, Host, HostHold, HostUpdate, Lease, LimitedKind, Refusal};
 
 impl State {
@@ -13,14 +13,15 @@
             return Err(Refusal::AlreadyOut(name.clone()));
         }
         let places = self.hosts.iter().map(|(name, host)| (name, &host.place));
-        for (scope, limit, hosts) in scopes(&settings.limits, &host.place, places) {
+        for scope in settings.limits.scopes_of(&host.place, places) {
             // That the list shows this host itself as draining is no reason against it.
-            let others = hosts.iter().filter(|other| **other != name);
+            let others = scope.members.iter().filter(|other| **other != name);
             let out = others.filter(|other| self.hosts.get(**other).is_some_and(Host::is_out)).count() as u32;
-            let total = hosts.len() as u32;
-            let room = limit.room(total);
+            let total = scope.members.len() as u32;
+            let room = scope.limit.room(total);
             if out + 1 > room {
-                return Err(Refusal::LimitReached { out, total, kind: LimitedKind::Hosts, scope, room });
+                let kind = LimitedKind::Hosts;
+                return Err(Refusal::LimitReached { out, total, kind, scope: scope.name, room });
             }
         }
         Ok(())
--- a/crates/fleet/src/state/apply/units.rs
+++ b/crates/fleet/src/state/apply/units.rs
@@ -16,13 +16,14 @@
         if unit.lost {
             return Err(Refusal::Lost(name.clone()));
         }
-        for (scope, limit, units) in policy.scopes_of(name) {
-            let counted = |name: &&&UnitName| self.units.get(**name).is_some_and(counts_as_out);
-            let out = units.iter().filter(counted).count() as u32;
-            let total = units.len() as u32;
-            let room = limit.room(total);
+        for scope in policy.scopes_of(name) {
+            let is_counted = |name: &&&UnitName| self.units.get(**name).is_some_and(counts_as_out);
+            let out = scope.members.iter().filter(is_counted).count() as u32;
+            let total = scope.members.len() as u32;
+            let room = scope.limit.room(total);
             if out + 1 > room {
-                return Err(Refusal::LimitReached { out, total, kind: LimitedKind::Units, scope, room });
+                let kind = LimitedKind::Units;
+                return Err(Refusal::LimitReached { out, total, kind, scope: scope.name, room });
             }
         }
         Ok(())
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use glendeck_fleet::message::{Envelope, VoterStatus};
-use glendeck_fleet::policy::{Act, Amount, FleetPolicy, Limit, Limits, OnHalt, Place, Plan, UnitName};
+use glendeck_fleet::policy::{Act, Amount, FleetPolicy, Limit, Limits, OnHalt, Place, Plan, Scope, UnitName};
 use glendeck_fleet::state::{
     Cause, Command, CommandResult, Incarnation, Lease, Nonce, ReleaseState, RequestId, UnitState,
 };
@@ -639,7 +639,7 @@
 
     fn check_room(&mut self, at: usize, out: &BTreeSet<UnitName>, what: &str) {
         let policy = self.policy.clone();
-        for (scope, limit, units) in policy.scopes_of(&UnitName(format!("n{at}"))) {
+        for Scope { name: scope, limit, members: units } in policy.scopes_of(&UnitName(format!("n{at}"))) {
             let (of, room) = (units.len() as u32, limit.room(units.len() as u32));
             let count = units.iter().filter(|name| out.contains(**name)).count();
             if count as u32 > room {
