--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -101,12 +101,12 @@
     for number in 0..20 {
         assert!(store.write(u64::from(number), writes(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
-        expected.take(&writes(number));
+        expected.apply(&writes(number));
     }
     for writes in
         [vec![StoreWrite::Cut(12)], vec![StoreWrite::Log(10, vec![1]), StoreWrite::Remove(StoreKey::Promise)]]
     {
-        expected.take(&writes);
+        expected.apply(&writes);
         assert!(store.write(99, writes));
         assert_eq!(outcome(&store), Outcome::Written(99));
     }
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -46,7 +46,7 @@
 
 fn expected() -> StoredState {
     let mut expected = StoredState::default();
-    expected.take(&writes());
+    expected.apply(&writes());
     expected
 }
 
