--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -37,7 +37,7 @@
 struct To {
     /// A node's operators' door; any node will do. Several may be given: the first that answers is asked.
     #[arg(
-        long,
+        long = "door",
         env = "GLENDECK_DOOR",
         value_delimiter = ',',
         default_value = "127.0.0.1:9901",
--- a/crates/fleet/src/policy.rs
+++ b/crates/fleet/src/policy.rs
@@ -304,6 +304,7 @@
 pub enum OnHalt {
     /// They stay as they are until the release goes on or back.
     #[default]
+    #[serde(rename = "hold")]
     HoldState,
     /// Those that still run take clients again.
     Return,
