--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -1,91 +1,133 @@
-//! Calls at the operators' doors of nodes.
+//! Calls to the admin interfaces of nodes.
 
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+use serde::Deserialize;
 use serde_json::Value;
 
-use crate::Failure;
+use crate::error::CommandError;
+use crate::order::OrderRequest;
 
-/// A door answers within a second; a little more for the way there.
-const PATIENCE: Duration = Duration::from_millis(2_000);
+const STATUS_PATH: &str = "/v1/fleet/status";
 
-/// An order is said again, under its one name, for so long: elections take a second or two.
-const AGAIN_FOR: Duration = Duration::from_secs(10);
+/// A node answers within a second; a little more for the way there.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-pub struct AdminClient<'a> {
-    doors: &'a [SocketAddr],
-}
+/// An order that no leader has taken is sent again, under its one id, for so long: elections take a second or two.
+const ORDER_RETRY_TIME: Duration = Duration::from_secs(10);
 
-fn call(admin: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<(u16, Value)> {
-    let mut stream = TcpStream::connect_timeout(&admin, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    write!(
-        stream,
-        "{method} {path} HTTP/1.1\r\nHost: {admin}\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text)?;
-    let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    let status = status.ok_or_else(|| std::io::Error::other("what answers there is no door"))?;
-    Ok((status, serde_json::from_str(body).unwrap_or(Value::Null)))
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+
+const OK: u16 = 200;
+const BAD_REQUEST: u16 = 400;
+const SERVICE_UNAVAILABLE: u16 = 503;
+
+/// The answer to a request.
+struct Response {
+    code: u16,
+    /// The JSON object, or null if it is none.
+    body: Value,
 }
 
-impl AdminClient<'_> {
-    pub fn new(doors: &[SocketAddr]) -> AdminClient<'_> {
-        AdminClient { doors }
+impl Response {
+    /// Why the node does not do what it was asked for.
+    fn reason(&self) -> String {
+        #[derive(Default, Deserialize)]
+        struct Refusal {
+            why: Option<String>,
+            error: Option<String>,
+        }
+        let refusal = Refusal::deserialize(&self.body).unwrap_or_default();
+        refusal.why.or(refusal.error).unwrap_or_else(|| format!("refused: {}", self.body))
     }
+}
 
-    /// The first door that answers.
-    fn ask(&self, method: &str, path: &str, body: &str) -> Result<(u16, Value), Failure> {
-        let mut last = String::new();
-        for admin in self.doors {
-            match call(*admin, method, path, body) {
-                Ok(reply) => return Ok(reply),
-                Err(fault) => last = format!("no answer at {admin}: {fault}"),
-            }
-        }
-        Err(Failure::Unanswered(last))
+/// A node's status, or why there is none.
+pub struct NodeStatus {
+    /// The node's admin interface.
+    pub address: SocketAddr,
+    /// Its status as it sent it.
+    pub status: Result<Value, String>,
+}
+
+/// Sends requests to nodes.
+pub struct AdminClient<'a> {
+    addresses: &'a [SocketAddr],
+}
+
+impl AdminClient<'_> {
+    /// A client of the nodes at these addresses.
+    pub fn new(addresses: &[SocketAddr]) -> AdminClient<'_> {
+        AdminClient { addresses }
     }
 
-    pub fn status(&self) -> Result<Value, Failure> {
-        match self.ask("GET", "/v1/fleet/status", "")? {
-            (200, status) => Ok(status),
-            (_, other) => Err(Failure::Refused(why(&other))),
+    /// The status of the first node that answers.
+    pub fn status(&self) -> Result<Value, CommandError> {
+        let response = self.request("GET", STATUS_PATH, "")?;
+        if response.code != OK {
+            return Err(CommandError::Refused(response.reason()));
         }
+        Ok(response.body)
     }
 
-    /// What each door says, or why it says nothing.
-    pub fn each_status(&self) -> Vec<(SocketAddr, Result<Value, String>)> {
-        let ask = |admin: &SocketAddr| match call(*admin, "GET", "/v1/fleet/status", "") {
-            Ok((200, status)) => (*admin, Ok(status)),
-            Ok((_, other)) => (*admin, Err(why(&other))),
-            Err(fault) => (*admin, Err(fault.to_string())),
+    /// The status of each node.
+    pub fn each_status(&self) -> Vec<NodeStatus> {
+        let ask = |address: &SocketAddr| {
+            let status = match request(*address, "GET", STATUS_PATH, "") {
+                Ok(response) if response.code == OK => Ok(response.body),
+                Ok(response) => Err(response.reason()),
+                Err(error) => Err(error.to_string()),
+            };
+            NodeStatus { address: *address, status }
         };
-        self.doors.iter().map(ask).collect()
+        self.addresses.iter().map(ask).collect()
     }
 
-    pub fn order(&self, path: &str, body: &Value) -> Result<Value, Failure> {
-        let (text, until) = (body.to_string(), Instant::now() + AGAIN_FOR);
+    /// Sends an order until a leader takes or refuses it, and returns the reply.
+    pub fn order(&self, order: &OrderRequest) -> Result<Value, CommandError> {
+        let body = order.to_json()?;
+        let retry_until = Instant::now() + ORDER_RETRY_TIME;
         loop {
-            match self.ask("POST", path, &text)? {
-                (200, reply) => return Ok(reply),
-                (503, _) if Instant::now() < until => std::thread::sleep(Duration::from_millis(200)),
-                (503, reply) => {
-                    let id = body["id"].as_str().unwrap_or_default();
-                    return Err(Failure::Unanswered(format!("{} (--id {id})", why(&reply))));
+            let response = self.request("POST", order.path(), &body)?;
+            match response.code {
+                OK => return Ok(response.body),
+                SERVICE_UNAVAILABLE if Instant::now() < retry_until => {
+                    std::thread::sleep(ORDER_RETRY_INTERVAL);
+                }
+                SERVICE_UNAVAILABLE => {
+                    let reason = format!("{} (--id {})", response.reason(), order.id());
+                    return Err(CommandError::Unanswered(reason));
                 }
-                (400, reply) => return Err(Failure::Wrong(why(&reply))),
-                (_, reply) => return Err(Failure::Refused(why(&reply))),
+                BAD_REQUEST => return Err(CommandError::Invalid(response.reason())),
+                _ => return Err(CommandError::Refused(response.reason())),
             }
         }
     }
+
+    /// The response of the first node that answers.
+    fn request(&self, method: &str, path: &str, body: &str) -> Result<Response, CommandError> {
+        let mut last_error = String::new();
+        for address in self.addresses {
+            match request(*address, method, path, body) {
+                Ok(response) => return Ok(response),
+                Err(error) => last_error = format!("no answer at {address}: {error}"),
+            }
+        }
+        Err(CommandError::Unanswered(last_error))
+    }
 }
 
-fn why(reply: &Value) -> String {
-    let text = reply["why"].as_str().or(reply["error"].as_str());
-    text.map_or_else(|| format!("refused: {reply}"), str::to_owned)
+fn request(address: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<Response> {
+    let mut stream = TcpStream::connect_timeout(&address, REPLY_TIMEOUT)?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+    let length = body.len();
+    write!(stream, "{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {length}\r\n\r\n{body}")?;
+    let mut text = String::new();
+    stream.read_to_string(&mut text)?;
+    let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
+    let code = head.split(' ').nth(1).and_then(|code| code.parse().ok());
+    let code = code.ok_or_else(|| io::Error::other("what answers there is no door"))?;
+    Ok(Response { code, body: serde_json::from_str(body).unwrap_or(Value::Null) })
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,48 +1,64 @@
-//! Files, read and checked as nodes would.
+//! `glendeck check`: files, read and checked as nodes would.
 
 use std::path::Path;
 
 use glendeck_fleet::policy::{FleetPolicy, Plan};
+use serde::de::DeserializeOwned;
 
-use crate::Failure;
+use crate::error::CommandError;
 
-fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, Failure> {
-    let wrong = |fault: String| Failure::Wrong(format!("{}: {fault}", path.display()));
-    let text = std::fs::read_to_string(path).map_err(|fault| wrong(fault.to_string()))?;
-    toml::from_str(&text).map_err(|fault| wrong(fault.to_string().trim_end().to_owned()))
+/// Checks a file, and prints what it would do.
+pub fn run(path: &Path, fleet: Option<&Path>) -> Result<(), CommandError> {
+    let text = match fleet {
+        Some(fleet) => waves(&read_plan(path)?, &read_policy(fleet)?)?,
+        None => describe(path)?,
+    };
+    println!("{text}");
+    Ok(())
 }
 
-pub fn plan(path: &Path) -> Result<Plan, Failure> {
+/// Reads a release's plan.
+pub fn read_plan(path: &Path) -> Result<Plan, CommandError> {
     read(path)
 }
 
-pub fn policy(path: &Path) -> Result<FleetPolicy, Failure> {
+/// Reads and checks a fleet's policy.
+pub fn read_policy(path: &Path) -> Result<FleetPolicy, CommandError> {
     let policy: FleetPolicy = read(path)?;
-    policy.check().map_err(|fault| Failure::Wrong(format!("{}: {fault}", path.display())))?;
+    policy.check().map_err(|error| invalid(path, error))?;
     Ok(policy)
 }
 
 /// What a plan would do to a fleet, a wave a line.
-pub fn waves(plan: &Plan, policy: &FleetPolicy) -> Result<String, Failure> {
-    plan.check(policy).map_err(|fault| Failure::Wrong(fault.to_string()))?;
-    let lines = plan.split(policy).into_iter().enumerate().map(|(at, wave)| {
+pub fn waves(plan: &Plan, policy: &FleetPolicy) -> Result<String, CommandError> {
+    plan.check(policy).map_err(|error| CommandError::Invalid(error.to_string()))?;
+    let lines = plan.split(policy).into_iter().enumerate().map(|(index, wave)| {
         let names: Vec<String> = wave.iter().map(ToString::to_string).collect();
-        format!("wave {}: {}", at + 1, names.join(" "))
+        format!("wave {}: {}", index + 1, names.join(" "))
     });
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-pub fn any(path: &Path, fleet: Option<&Path>) -> Result<String, Failure> {
-    if let Some(fleet) = fleet {
-        return waves(&plan(path)?, &policy(fleet)?);
-    }
+/// A release's plan has a version; a fleet's policy has none.
+fn describe(path: &Path) -> Result<String, CommandError> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    if text.lines().any(|line| line.trim_start().starts_with("version")) {
-        plan(path)?;
+    let is_plan = text.lines().any(|line| line.trim_start().starts_with("version"));
+    if is_plan {
+        read_plan(path)?;
         return Ok("a release; name its fleet with --fleet to see its waves".into());
     }
-    let policy = policy(path)?;
-    let of = policy.units.len() as u32;
-    let room = policy.limits.fleet.room(of);
-    Ok(format!("a fleet of {of} units with {} voters; at most {room} out at once", policy.voters.len()))
+    let policy = read_policy(path)?;
+    let unit_count = policy.units.len() as u32;
+    let most_out = policy.limits.fleet.room(unit_count);
+    let voter_count = policy.voters.len();
+    Ok(format!("a fleet of {unit_count} units with {voter_count} voters; at most {most_out} out at once"))
+}
+
+fn read<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(|error| invalid(path, error))?;
+    toml::from_str(&text).map_err(|error| invalid(path, error.to_string().trim_end()))
+}
+
+fn invalid(path: &Path, error: impl std::fmt::Display) -> CommandError {
+    CommandError::Invalid(format!("{}: {error}", path.display()))
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,105 +1,107 @@
-//! Three nodes on loopback with all that they need, a drain and a release, in under a minute.
+//! `glendeck demo`: three nodes on loopback with all that they need, a drain and a release, in under a minute.
 
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 use glendeck_harness::{Fleet, Shape};
-use serde_json::json;
+use serde::Deserialize;
+use serde_json::{Value, json};
 
-use crate::{Failure, show};
+use crate::error::CommandError;
+use crate::show;
+use crate::status::{ReleaseState, Status};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const NODES: usize = 3;
+const CLIENTS: u64 = 30;
 
-fn fault(fault: impl std::fmt::Display) -> Failure {
-    Failure::Unanswered(fault.to_string())
-}
+/// Each step of the demo takes less than this.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Beside this program, as both are built together.
-fn beside() -> Result<PathBuf, Failure> {
-    let here = std::env::current_exe().map_err(fault)?;
-    let program = here.with_file_name("glendeck-node");
-    if program.exists() {
-        Ok(program)
-    } else {
-        Err(Failure::Wrong(format!(
-            "no program at {}: build it, or name it with --program",
-            program.display()
-        )))
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How long a node is left out, so that its clients can be seen to go elsewhere.
+const OUT_TIME: Duration = Duration::from_secs(4);
+
+/// Plays the demo with this node program, and goes on for `stay` afterwards.
+pub fn run(program: Option<&Path>, stay: Duration) -> Result<(), CommandError> {
+    let program = program.map_or_else(default_program, |program| Ok(program.to_owned()))?;
+    let fleet = start(program)?;
+    drain_and_activate(&fleet)?;
+    release(&fleet)?;
+    if !stay.is_zero() {
+        println!(
+            "\nit goes on for {} s: try `glendeck fleet status --door {}`",
+            stay.as_secs(),
+            fleet.admin_address(0)
+        );
+        std::thread::sleep(stay);
     }
+    report_clients(fleet)
 }
 
-fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), Failure> {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        if Instant::now() > until {
-            return Err(Failure::Unanswered(format!("not within {PATIENCE:?}: {what}")));
-        }
-        std::thread::sleep(Duration::from_millis(50));
+/// The node's program beside this one, as both are built together.
+fn default_program() -> Result<PathBuf, CommandError> {
+    let this_program = std::env::current_exe().map_err(unanswered)?;
+    let program = this_program.with_file_name("glendeck-node");
+    if program.exists() {
+        return Ok(program);
     }
-    Ok(())
+    let place = program.display();
+    Err(CommandError::Invalid(format!("no program at {place}: build it, or name it with --program")))
 }
 
-pub fn play(program: Option<&Path>, stay: Duration) -> Result<(), Failure> {
-    let program = program.map_or_else(beside, |program| Ok(program.to_owned()))?;
+fn start(program: PathBuf) -> Result<Fleet, CommandError> {
     let shape =
-        Shape { nodes: 3, voters: 3, zones: 3, hosts: 3, most_out: 1, work: true, program, logs: None };
+        Shape { nodes: NODES, voters: 3, zones: 3, hosts: 3, most_out: 1, work: true, program, logs: None };
     println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
-    let mut fleet = Fleet::start(shape).map_err(fault)?;
-    fleet.clients.come(30, 1);
-    let takes = |fleet: &Fleet, at: usize| fleet.clients.standing(at).is_some_and(|of| of.takes);
-    wait("all nodes serve", || (0..3).all(|at| takes(&fleet, at)))?;
-    // Before that all were out.
+    let mut fleet = Fleet::start(shape).map_err(unanswered)?;
+    fleet.clients.come(CLIENTS, 1);
+    wait("all nodes serve", || (0..NODES).all(|node| is_serving(&fleet, node)))?;
+    // Nodes that are not up yet would count as out.
     fleet.clients.count_anew();
-    let status = |fleet: &Fleet| fleet.leader().and_then(|at| fleet.status(at));
-    let settled = |fleet: &Fleet| {
-        let units =
-            status(fleet).unwrap_or_default()["state"]["units"].as_object().cloned().unwrap_or_default();
-        units.len() == 3 && units.values().all(|unit| unit["lost"] == false && unit["standing"] == "Serving")
-    };
     println!("the group is being founded; each node counts once it was seen to serve for 5 s");
-    wait("all are seen to serve", || settled(&fleet))?;
-    for at in 0..3 {
-        println!("  n{at}: its operators' door is {}", fleet.admin_address(at));
+    wait("all are seen to serve", || is_settled(&fleet))?;
+    for node in 0..NODES {
+        println!("  n{node}: its operators' door is {}", fleet.admin_address(node));
     }
     println!("{}\n", show::status(&status(&fleet).unwrap_or_default()));
-    let order = |path: &str, body: serde_json::Value| -> Result<(), Failure> {
-        let (code, reply) = fleet.call(0, "POST", path, &body).map_err(fault)?;
-        println!(
-            "POST {path} {body} -> {code} {}",
-            reply["said"].as_str().or(reply["why"].as_str()).unwrap_or("-")
-        );
-        Ok(())
-    };
-    order("/v1/fleet/drain", json!({"unit": "n2", "id": "demo drain"}))?;
-    order("/v1/fleet/drain", json!({"unit": "n1", "id": "demo second drain"}))?;
-    wait("n2 is out", || !takes(&fleet, 2))?;
+    Ok(fleet)
+}
+
+fn drain_and_activate(fleet: &Fleet) -> Result<(), CommandError> {
+    order(fleet, "/v1/fleet/drain", &json!({"unit": "n2", "id": "demo drain"}))?;
+    order(fleet, "/v1/fleet/drain", &json!({"unit": "n1", "id": "demo second drain"}))?;
+    wait("n2 is out", || !is_serving(fleet, 2))?;
     println!("the front sends n2 nobody; its clients go to the others");
-    std::thread::sleep(Duration::from_secs(4));
-    order("/v1/fleet/activate", json!({"unit": "n2", "id": "demo activate"}))?;
-    wait("n2 is back", || settled(&fleet))?;
+    std::thread::sleep(OUT_TIME);
+    order(fleet, "/v1/fleet/activate", &json!({"unit": "n2", "id": "demo activate"}))?;
+    wait("n2 is back", || is_settled(fleet))?;
     println!("n2 is back\n");
-    let plan = json!({"version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60,
-                      // A node that has just come back turns some of the demo's crowd away until it knows its hosts.
-                      "gates": {"busy_per_thousand": 1000}});
-    order("/v1/fleet/release/start", json!({"plan": plan, "id": "demo release"}))?;
-    let mut before = String::new();
+    Ok(())
+}
+
+fn release(fleet: &Fleet) -> Result<(), CommandError> {
+    // A node that has just come back rejects some of the demo's many clients until it knows its hosts.
+    let gates = json!({"busy_per_thousand": 1000});
+    let plan = json!({
+        "version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60, "gates": gates,
+    });
+    order(fleet, "/v1/fleet/release/start", &json!({"plan": plan, "id": "demo release"}))?;
+    let mut printed = String::new();
     wait("the release is over", || {
-        let now = status(&fleet).unwrap_or_default();
-        let text = show::release(&now);
-        if !now.is_null() && text != before {
+        let Some(status) = status(fleet) else { return false };
+        let text = show::release(&status);
+        if text != printed {
             println!("{text}");
-            before = text;
+            printed = text;
         }
-        now["state"]["release"]["course"] == "Finished"
-    })?;
-    if !stay.is_zero() {
-        println!(
-            "\nit goes on for {} s: try `glendeck fleet status --door {}`",
-            stay.as_secs(),
-            fleet.admin_address(0)
-        );
-        std::thread::sleep(stay);
-    }
+        let state = status.state.release.map(|release| release.state);
+        matches!(state, Some(ReleaseState::Finished))
+    })
+}
+
+fn report_clients(fleet: Fleet) -> Result<(), CommandError> {
     let seen = fleet.clients.end();
     println!(
         "\nclients: {} calls answered, {} turned away, {} failed, {} moved, {} lost; most nodes out at once: {}",
@@ -110,5 +112,49 @@
         seen.lost.len(),
         seen.most_out
     );
-    if seen.lost.is_empty() { Ok(()) } else { Err(Failure::Refused(seen.lost.join("\n"))) }
+    if seen.lost.is_empty() { Ok(()) } else { Err(CommandError::Refused(seen.lost.join("\n"))) }
+}
+
+/// The status by the leader.
+fn status(fleet: &Fleet) -> Option<Status> {
+    let json = fleet.leader().and_then(|leader| fleet.status(leader))?;
+    Status::deserialize(&json).ok()
+}
+
+fn is_serving(fleet: &Fleet, node: usize) -> bool {
+    fleet.clients.standing(node).is_some_and(|standing| standing.takes)
+}
+
+fn is_settled(fleet: &Fleet) -> bool {
+    let units = status(fleet).unwrap_or_default().state.units;
+    units.len() == NODES && units.values().all(|unit| unit.is_serving() && !unit.is_lost)
+}
+
+/// Sends an order to the first node, and prints it with the reply.
+fn order(fleet: &Fleet, path: &str, body: &Value) -> Result<(), CommandError> {
+    #[derive(Default, Deserialize)]
+    struct Reply {
+        said: Option<String>,
+        why: Option<String>,
+    }
+    let (code, json) = fleet.call(0, "POST", path, body).map_err(unanswered)?;
+    let reply = Reply::deserialize(&json).unwrap_or_default();
+    let text = reply.said.or(reply.why).unwrap_or_else(|| "-".into());
+    println!("POST {path} {body} -> {code} {text}");
+    Ok(())
+}
+
+fn wait(condition: &str, mut holds: impl FnMut() -> bool) -> Result<(), CommandError> {
+    let until = Instant::now() + STEP_TIMEOUT;
+    while !holds() {
+        if Instant::now() > until {
+            return Err(CommandError::Unanswered(format!("not within {STEP_TIMEOUT:?}: {condition}")));
+        }
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    Ok(())
+}
+
+fn unanswered(error: impl Display) -> CommandError {
+    CommandError::Unanswered(error.to_string())
 }
--- /dev/null
+++ b/crates/cli/src/fleet.rs
@@ -0,0 +1,44 @@
+//! `glendeck fleet`: who is of the fleet, and how each stands.
+
+use serde_json::{Value, json};
+
+use crate::args::FleetCommand;
+use crate::error::CommandError;
+use crate::order::Order;
+use crate::session::{FetchedStatus, Session};
+use crate::{show, trace};
+
+/// Carries the command out.
+pub fn run(session: &Session, command: &FleetCommand) -> Result<(), CommandError> {
+    match command {
+        FleetCommand::Status => session.show_status(show::status),
+        FleetCommand::Members => session.show_status(show::members),
+        FleetCommand::Hosts => session.show_status(show::hosts),
+        FleetCommand::Work => show_takeover(session),
+        FleetCommand::Trace { id, logs } => trace::run(id, logs),
+        FleetCommand::Dead { node } => session.order(Order::DeclareDead { unit: node }),
+        FleetCommand::Replace { old, new } => session.order(Order::ReplaceVoter { old, new }),
+        FleetCommand::Trust => session.order(Order::TrustDisk {}),
+    }
+}
+
+/// Asks all nodes; fails if one does not answer, after the others are printed.
+fn show_takeover(session: &Session) -> Result<(), CommandError> {
+    let mut last_failure = None;
+    for node in session.admin.each_status() {
+        match node.status {
+            Ok(json) => print_takeover(session, json)?,
+            Err(reason) => last_failure = Some(format!("{}: {reason}", node.address)),
+        }
+    }
+    last_failure.map_or(Ok(()), |failure| Err(CommandError::Unanswered(failure)))
+}
+
+fn print_takeover(session: &Session, json: Value) -> Result<(), CommandError> {
+    if session.is_json {
+        println!("{}", json!({"name": json["name"], "work": json["work"]}));
+    } else {
+        println!("{}", show::takeover(&FetchedStatus::new(json)?.status));
+    }
+    Ok(())
+}
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,82 +1,89 @@
-//! Where one call went, across nodes, from their logs.
+//! `glendeck fleet trace`: where one call went, across nodes, from their logs.
 //!
-//! A node numbers its calls by the places that they take in it, and gives a place again: a call's lines are those of its
-//! number from where it came until another comes under that number.
+//! A node numbers its calls by the slots that they take in it, and uses a slot again: a call's lines are those of its number
+//! from where it arrived until another call arrives under that number.
 
+#[cfg(test)]
+mod tests;
+
+use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-use crate::Failure;
+use crate::error::CommandError;
 
-/// A line of a log that is of one call: its number, and whether the call comes with it.
-fn call_of(line: &str) -> Option<(&str, bool)> {
-    let number = line.split(" call=").nth(1)?.split_whitespace().next()?;
-    Some((number, line.contains(" id=") && line.contains(" about=")))
+/// A line with the time that it begins with.
+struct TimedLine {
+    time: String,
+    text: String,
 }
 
-/// The value behind a key.
-fn value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
-    line.split(&format!(" {key}=")).nth(1)?.split_whitespace().next()
+/// Prints all lines of a call, in the order of the nodes' own clocks, each with its log's name.
+pub fn run(id: &str, logs: &[PathBuf]) -> Result<(), CommandError> {
+    let mut found = Vec::new();
+    for log in logs {
+        found.extend(read_log(id, log)?);
+    }
+    if found.is_empty() {
+        let message = format!("no log says anything of {id} (are they of level debug?)");
+        return Err(CommandError::Refused(message));
+    }
+    // The sort is stable: lines of one moment stay in the order of their logs.
+    found.sort_by(|line, other| line.time.cmp(&other.time));
+    for line in found {
+        println!("{}", line.text);
+    }
+    Ok(())
 }
 
-/// As numbers, where they are: a client's `0f` is the log's `000000000000000f`.
-fn same(one: &str, other: &str) -> bool {
-    match (u64::from_str_radix(one, 16), u64::from_str_radix(other, 16)) {
-        (Ok(one), Ok(other)) => one == other,
-        _ => one == other,
-    }
+fn read_log(id: &str, log: &Path) -> Result<Vec<TimedLine>, CommandError> {
+    let text = std::fs::read_to_string(log)
+        .map_err(|error| CommandError::Invalid(format!("{}: {error}", log.display())))?;
+    let name = log.file_stem().map_or_else(String::new, |name| Path::new(name).display().to_string());
+    let with_name = |line: &str| {
+        let (time, rest) = line.split_once(' ').unwrap_or((line, ""));
+        TimedLine { time: time.to_owned(), text: format!("{time} {name:<8} {}", rest.trim_start()) }
+    };
+    Ok(lines_of_call(id, &text).into_iter().map(with_name).collect())
 }
 
-fn lines_of(id: &str, text: &str) -> Vec<String> {
-    let (mut followed, mut found) = (std::collections::BTreeSet::new(), Vec::new());
+fn lines_of_call<'a>(id: &str, text: &'a str) -> Vec<&'a str> {
+    let mut numbers = BTreeSet::new();
+    let mut found = Vec::new();
     for line in text.lines() {
-        let Some((number, comes)) = call_of(line) else { continue };
-        if comes {
-            let is_it = ["id", "about"].iter().any(|key| value(line, key).is_some_and(|is| same(is, id)));
-            if is_it {
-                followed.insert(number.to_owned());
+        let Some(number) = field(line, "call") else { continue };
+        if is_arrival(line) {
+            if names_call(line, id) {
+                numbers.insert(number);
             } else {
-                followed.remove(number);
+                numbers.remove(number);
             }
         }
-        if followed.contains(number) {
-            found.push(line.to_owned());
+        if numbers.contains(number) {
+            found.push(line);
         }
     }
     found
 }
 
-/// All lines of it, in the order of the nodes' own clocks, each with its log's name.
-pub fn of(id: &str, logs: &[PathBuf]) -> Result<Vec<String>, Failure> {
-    let mut found = Vec::new();
-    for log in logs {
-        let text = std::fs::read_to_string(log)
-            .map_err(|fault| Failure::Wrong(format!("{}: {fault}", log.display())))?;
-        let name = log.file_stem().map_or_else(String::new, |name| Path::new(name).display().to_string());
-        for line in lines_of(id, &text) {
-            let (time, rest) = line.split_once(' ').unwrap_or((&line, ""));
-            found.push((time.to_owned(), format!("{time} {name:<8} {}", rest.trim_start())));
-        }
-    }
-    // Lines of one moment stay in the order of their logs.
-    found.sort_by(|one, other| one.0.cmp(&other.0));
-    if found.is_empty() {
-        return Err(Failure::Refused(format!("no log says anything of {id} (are they of level debug?)")));
-    }
-    Ok(found.into_iter().map(|(_, line)| line).collect())
+/// Whether a call arrives with this line.
+fn is_arrival(line: &str) -> bool {
+    line.contains(" id=") && line.contains(" about=")
 }
 
-#[cfg(test)]
-mod tests {
-    #[test]
-    fn a_number_that_is_given_again_is_another_call() {
-        let log = "t1 DEBUG n: call call=4 id=000000000000000f about=a group=0\n\
-                   t2 DEBUG n: leg call=4 leg=0 host=7\n\
-                   t2 DEBUG n: leg call=5 leg=0 host=7\n\
-                   t3 DEBUG n: call call=4 id=0000000000000010 about=b group=0\n\
-                   t4 DEBUG n: leg call=4 leg=0 host=8\n";
-        let found = super::lines_of("f", log);
-        assert_eq!(found.len(), 2, "{found:?}");
-        assert_eq!(super::lines_of("b", log).len(), 2);
-        assert!(super::lines_of("5", log).is_empty());
+/// Whether the call that arrives has this id, or concerns this.
+fn names_call(line: &str, id: &str) -> bool {
+    ["id", "about"].iter().any(|key| field(line, key).is_some_and(|value| is_same_id(value, id)))
+}
+
+/// The value behind a key.
+fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
+    line.split(&format!(" {key}=")).nth(1)?.split_whitespace().next()
+}
+
+/// Compares ids as numbers where they are: a client's `0f` is the log's `000000000000000f`.
+fn is_same_id(id: &str, other: &str) -> bool {
+    match (u64::from_str_radix(id, 16), u64::from_str_radix(other, 16)) {
+        (Ok(id), Ok(other)) => id == other,
+        _ => id == other,
     }
 }
--- /dev/null
+++ b/crates/cli/src/trace/tests.rs
@@ -0,0 +1,16 @@
+//! Lines of a call in a log.
+
+use super::lines_of_call;
+
+#[test]
+fn a_number_that_is_used_again_is_another_call() {
+    let log = "t1 DEBUG n: call call=4 id=000000000000000f about=a group=0\n\
+               t2 DEBUG n: leg call=4 leg=0 host=7\n\
+               t2 DEBUG n: leg call=5 leg=0 host=7\n\
+               t3 DEBUG n: call call=4 id=0000000000000010 about=b group=0\n\
+               t4 DEBUG n: leg call=4 leg=0 host=8\n";
+    let found = lines_of_call("f", log);
+    assert_eq!(found.len(), 2, "{found:?}");
+    assert_eq!(lines_of_call("b", log).len(), 2);
+    assert!(lines_of_call("5", log).is_empty());
+}
