--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -1,4 +1,4 @@
-//! Time and memory of what is kept of a call: `cargo bench -p glendeck-takeover`.
+//! Time and memory of the records of calls: `cargo bench -p glendeck-takeover`.
 
 use divan::{AllocProfiler, Bencher, black_box};
 use glendeck_fleet::Timestamp;
@@ -9,8 +9,8 @@
 #[global_allocator]
 static ALLOC: AllocProfiler = AllocProfiler::system();
 
-const RECALL_MS: u64 = 6_000;
-const LONGEST_MS: u64 = 5_000;
+const RETENTION_MS: u64 = 6_000;
+const LONGEST_CALL_MS: u64 = 5_000;
 const REPLICAS: usize = 3;
 
 fn main() {
@@ -26,7 +26,8 @@
 }
 
 fn node(at: usize) -> Takeover {
-    let mut node = Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RECALL_MS, LONGEST_MS);
+    let mut node =
+        Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RETENTION_MS, LONGEST_CALL_MS);
     let view = View { voter_slots: (0..REPLICAS).map(name).collect(), hears_leader: true, ..View::default() };
     node.membership_changed(timestamp(0), view);
     node
@@ -37,23 +38,23 @@
     (0..=REPLICAS).map(node).collect()
 }
 
-/// Carries what is said until nobody says any more; how many words that took.
-fn carry(fleet: &mut [Takeover], now: Timestamp) -> u64 {
+/// Delivers messages until there are none, and returns how many there were.
+fn deliver(fleet: &mut [Takeover], now: Timestamp) -> u64 {
     let mut messages = 0;
     loop {
-        let mut said = Vec::new();
+        let mut sent = Vec::new();
         for (from, node) in fleet.iter_mut().enumerate() {
             for action in node.take_actions() {
                 if let Action::Send(to, message) = action {
-                    said.push((from, to, message));
+                    sent.push((from, to, message));
                 }
             }
         }
-        if said.is_empty() {
+        if sent.is_empty() {
             return messages;
         }
-        messages += said.len() as u64;
-        for (from, to, message) in said {
+        messages += sent.len() as u64;
+        for (from, to, message) in sent {
             let to = (0..fleet.len()).find(|at| name(*at) == to).unwrap();
             fleet[to].message_received(now, &name(from), message);
         }
@@ -72,15 +73,15 @@
 
 fn begin(fleet: &mut [Takeover], work: u64, now: Timestamp) {
     fleet[REPLICAS].replicate_intent(now, work, attempt(work));
-    carry(fleet, now);
+    deliver(fleet, now);
 }
 
 fn end(fleet: &mut [Takeover], work: u64, now: Timestamp) {
     fleet[REPLICAS].call_ended(now, work, Outcome::Answered);
-    carry(fleet, now);
+    deliver(fleet, now);
 }
 
-fn holding(records: u64) -> Vec<Takeover> {
+fn fleet_with_records(records: u64) -> Vec<Takeover> {
     let mut fleet = fleet();
     for work in 0..records {
         begin(&mut fleet, work, timestamp(20_000));
@@ -89,10 +90,10 @@
     fleet
 }
 
-/// A call of four nodes together: its intent kept by three, and its end; what they hold beside it.
+/// One call: its intent replicated at three nodes, and its end, with so many records stored beside it.
 #[divan::bench(args = [0, 1_000, 30_000])]
-fn a_call_kept_by_three(bencher: Bencher, records: u64) {
-    let mut fleet = holding(records);
+fn a_call_with_three_replicas(bencher: Bencher, records: u64) {
+    let mut fleet = fleet_with_records(records);
     let mut work = records;
     bencher.bench_local(|| {
         work += 1;
@@ -101,24 +102,24 @@
     });
 }
 
-/// A repeat: three looks, its intent, its end.
+/// A repeat: three queries, its intent, its end.
 #[divan::bench]
 fn a_repeat_that_was_answered(bencher: Bencher) {
-    let mut fleet = holding(1_000);
+    let mut fleet = fleet_with_records(1_000);
     let mut call = 10_000;
     bencher.bench_local(|| {
         call += 1;
         let work = WorkId(call % 1_000);
         fleet[REPLICAS].call_repeated(timestamp(20_010), call, work, 1_400);
-        carry(&mut fleet, timestamp(20_010));
+        deliver(&mut fleet, timestamp(20_010));
         end(&mut fleet, call, timestamp(20_010));
     });
 }
 
-/// One replica that holds so many: the bytes it has allocated, by so many, are a record's.
+/// One replica with so many records: the bytes that it has allocated, divided by their number, are those of a record.
 #[divan::bench(args = [1_000, 10_000, 100_000], sample_count = 5)]
-fn memory_of_a_keeper(bencher: Bencher, records: u64) {
-    // Said by a node that this replica only hears.
+fn memory_of_a_replica(bencher: Bencher, records: u64) {
+    // Sent by a node that is no replica itself.
     let mut fleet = fleet();
     let mut messages: Vec<ReplicaMessage> = Vec::new();
     for work in 0..records {
--- a/crates/takeover/tests/warm_state.rs
+++ b/crates/takeover/tests/warm_state/main.rs
@@ -1,5 +1,7 @@
-//! What nodes know, kept at others, over days of faults in simulated time. What is held against it is what each node knew
-//! at each moment.
+//! Hints that nodes store for others, over days of faults in simulated time. They are compared with what each node knew at
+//! each moment.
+
+mod checks;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -9,17 +11,15 @@
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::View;
 use glendeck_takeover::fault_injection::{InjectedFault, inject};
-use glendeck_takeover::warm_state::{
-    Hint, Hints, WarmStateAction, WarmStateExchange, WarmStateMessage, replicas_of,
-};
+use glendeck_takeover::warm_state::{Hint, Hints, WarmStateAction, WarmStateExchange, WarmStateMessage};
 use nanorand::{Rng, WyRand};
 use test_case::test_case;
 
 const NODES: usize = 6;
 const VOTERS: usize = 3;
-/// A link that brings nothing is given up after so long, in ms.
-const SILENT: u64 = 3_500;
-/// This group stands for no group: its host counts what its node has said.
+/// A silent link is closed after so long.
+const SILENT_LINK_MS: u64 = 3_500;
+/// The group of a hint that marks the others: its host is how often its node had published.
 const MARK: u64 = 999;
 
 enum Event {
@@ -33,7 +33,7 @@
     Kill(usize),
     Start(usize),
     Drain(usize),
-    /// Nothing comes through until then; or the link is reset.
+    /// Nothing passes for so long, in ms; or the link is reset.
     Cut(usize, usize, u64),
     Reset(usize, usize),
 }
@@ -41,11 +41,12 @@
 struct Node {
     exchange: Option<WarmStateExchange>,
     incarnation: u64,
-    since: u64,
+    started_at: u64,
     is_draining: bool,
     next_publish_at: u64,
     hints: Hints,
-    said: u64,
+    /// How often it has published hints.
+    publish_count: u64,
 }
 
 struct World {
@@ -53,18 +54,19 @@
     seq: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    chance: WyRand,
+    random: WyRand,
     nodes: Vec<Node>,
     /// Until when a pair is cut, and since when its link has stood.
     cuts: BTreeMap<(usize, usize), (u64, u64)>,
-    /// Of a hundred words: lost, said twice and late.
+    /// Percentages of messages: lost, sent twice and late.
     noise: [u64; 2],
     history: BTreeMap<(usize, u64, u64), Hints>,
-    /// The last that a replica was seen to have of a process.
+    /// The highest mark that a replica was seen to have of a process.
     marks: BTreeMap<(usize, u64, usize, u64), u64>,
-    told: BTreeMap<(usize, u64, usize, u64), u64>,
+    /// When each process last adopted another one's hints.
+    adopted_at: BTreeMap<(usize, u64, usize, u64), u64>,
     kills: Vec<(u64, usize, u64)>,
-    heard: u64,
+    adoption_count: u64,
     violation: Option<String>,
 }
 
@@ -80,7 +82,7 @@
     View { voter_slots: (0..VOTERS).map(name).collect(), hears_leader: true, ..View::default() }
 }
 
-/// Of which process it is, and the so-manieth that it said.
+/// The process whose hints these are, and how often it had published then.
 fn mark(hints: impl IntoIterator<Item = Hint>) -> Option<(u64, u64)> {
     hints.into_iter().find_map(|known| match known {
         Hint::Home { group, host } if group % 1_000 == MARK => Some((group / 1_000, host)),
@@ -97,26 +99,26 @@
         let fresh = |_| Node {
             exchange: None,
             incarnation: 0,
-            since: 0,
+            started_at: 0,
             is_draining: false,
             next_publish_at: 0,
             hints: Hints::new(),
-            said: 0,
+            publish_count: 0,
         };
         let mut world = World {
             now: 90_000_000,
             seq: 0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            chance: WyRand::new_seed(seed),
+            random: WyRand::new_seed(seed),
             nodes: (0..NODES).map(fresh).collect(),
             cuts: BTreeMap::new(),
             noise,
             history: BTreeMap::new(),
             marks: BTreeMap::new(),
-            told: BTreeMap::new(),
+            adopted_at: BTreeMap::new(),
             kills: Vec::new(),
-            heard: 0,
+            adoption_count: 0,
             violation: None,
         };
         (0..NODES).for_each(|at| world.start(at));
@@ -126,8 +128,8 @@
     }
 
     fn drawn(seed: u64) -> World {
-        let mut chance = WyRand::new_seed(seed ^ 0xe57a7e);
-        let mut roll = |below: u64| chance.generate_range(0..below);
+        let mut random = WyRand::new_seed(seed ^ 0xe57a7e);
+        let mut roll = |below: u64| random.generate_range(0..below);
         let mut faults = Vec::new();
         for _ in 0..3 + roll(10) {
             let (at, one, other) =
@@ -147,7 +149,7 @@
     }
 
     fn roll(&mut self, below: u64) -> u64 {
-        self.chance.generate_range(0..below)
+        self.random.generate_range(0..below)
     }
 
     fn schedule(&mut self, ms: u64, event: Event) {
@@ -174,14 +176,14 @@
         node.incarnation += 1;
         let incarnation = Incarnation(node.incarnation * 10 + at as u64);
         node.exchange = Some(WarmStateExchange::new(timestamp, name(at), incarnation));
-        (node.since, node.is_draining, node.next_publish_at) = (self.now, false, first);
-        (node.hints, node.said) = (Hints::new(), 0);
+        (node.started_at, node.is_draining, node.next_publish_at) = (self.now, false, first);
+        (node.hints, node.publish_count) = (Hints::new(), 0);
     }
 
     /// As a node sees it: a cut shows when the link has been silent for long.
     fn linked(&self, at: usize, to: usize) -> bool {
         let cut = self.cuts.get(&pair(at, to)).copied().unwrap_or_default();
-        let seen = cut.0 <= self.now || self.now < cut.1 + SILENT;
+        let seen = cut.0 <= self.now || self.now < cut.1 + SILENT_LINK_MS;
         at != to
             && (at < VOTERS || to < VOTERS)
             && self.nodes[to].exchange.is_some()
@@ -200,12 +202,12 @@
             self.now = at;
             match self.events.remove(&seq) {
                 Some(Event::Tick) => self.tick(),
-                Some(Event::MessageArrives(to, incarnation, from, said))
+                Some(Event::MessageArrives(to, incarnation, from, message))
                     if self.nodes[to].incarnation == incarnation =>
                 {
                     let timestamp = self.timestamp();
                     let Some(exchange) = &mut self.nodes[to].exchange else { continue };
-                    let actions = exchange.message_received(timestamp, &name(from), said, &view());
+                    let actions = exchange.message_received(timestamp, &name(from), message, &view());
                     self.carry_out(to, actions);
                 }
                 Some(Event::Fault(fault)) => self.apply_fault(fault),
@@ -219,7 +221,7 @@
         match fault {
             Fault::Kill(at) => {
                 let node = &mut self.nodes[at];
-                if node.exchange.take().is_some() && !node.is_draining && self.now > node.since + 7_000 {
+                if node.exchange.take().is_some() && !node.is_draining && self.now > node.started_at + 7_000 {
                     self.kills.push((self.now, at, node.incarnation));
                 }
             }
@@ -273,16 +275,16 @@
         }
         let node = &mut self.nodes[at];
         let marked = |incarnation, host| Hint::Home { group: incarnation * 1_000 + MARK, host };
-        node.hints.remove(&marked(node.incarnation, node.said));
-        node.said += 1;
-        node.hints.insert(marked(node.incarnation, node.said), 1);
-        self.history.insert((at, node.incarnation, node.said), node.hints.clone());
+        node.hints.remove(&marked(node.incarnation, node.publish_count));
+        node.publish_count += 1;
+        node.hints.insert(marked(node.incarnation, node.publish_count), 1);
+        self.history.insert((at, node.incarnation, node.publish_count), node.hints.clone());
     }
 
     fn carry_out(&mut self, at: usize, actions: Vec<WarmStateAction>) {
-        for act in actions {
-            match act {
-                WarmStateAction::Send(to, said) => self.send(at, number(&to), said),
+        for action in actions {
+            match action {
+                WarmStateAction::Send(to, message) => self.send(at, number(&to), message),
                 WarmStateAction::Adopt { node, hints } => {
                     let of = number(&node);
                     let hints: Hints = hints.into_iter().map(|known| (known.hint, known.value)).collect();
@@ -290,19 +292,19 @@
                         self.report_violation(format!("n{at} is told of n{of} what nobody said"));
                         continue;
                     };
-                    self.heard += 1;
+                    self.adoption_count += 1;
                     self.check_whole(at, of, &hints);
                     let mine = (at, self.nodes[at].incarnation, of, incarnation);
-                    if self.told.get(&mine).is_some_and(|before| self.now < before + 4_000) {
+                    if self.adopted_at.get(&mine).is_some_and(|before| self.now < before + 4_000) {
                         self.report_violation(format!("n{at} is told twice of n{of}, said {said}"));
                     }
-                    self.told.insert(mine, self.now);
+                    self.adopted_at.insert(mine, self.now);
                 }
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, said: WarmStateMessage) {
+    fn send(&mut self, from: usize, to: usize, message: WarmStateMessage) {
         let [lost, twice] = self.noise;
         let cut = self.cuts.get(&pair(from, to)).copied().unwrap_or_default();
         if !self.linked(from, to) || self.now < cut.0 {
@@ -311,89 +313,10 @@
         let (ms, incarnation) = (1 + self.roll(5), self.nodes[to].incarnation);
         if self.roll(100) < twice {
             let later = ms + self.roll(2_500);
-            self.schedule(later, Event::MessageArrives(to, incarnation, from, said.clone()));
+            self.schedule(later, Event::MessageArrives(to, incarnation, from, message.clone()));
         }
         if self.roll(100) >= lost {
-            self.schedule(ms, Event::MessageArrives(to, incarnation, from, said));
-        }
-    }
-
-    // What has to hold.
-
-    /// It is what one process knew at one moment, whole.
-    fn check_whole(&mut self, at: usize, of: usize, hints: &Hints) {
-        let was = mark(hints.keys().copied())
-            .and_then(|(incarnation, said)| self.history.get(&(of, incarnation, said)));
-        if was != Some(hints) {
-            self.report_violation(format!("n{at} has of n{of} what it never knew at one moment: {hints:?}"));
-        }
-    }
-
-    fn check_replicas(&mut self) {
-        for at in 0..VOTERS {
-            for of in 0..NODES {
-                let Some(exchange) = &self.nodes[at].exchange else { continue };
-                let kept = exchange.stored_hints(&name(of)).cloned();
-                if let Some(hints) = &kept {
-                    self.check_whole(at, of, hints);
-                }
-                let had = kept.and_then(|hints| mark(hints.keys().copied()));
-                if let Some((incarnation, said)) = had {
-                    let mine = (at, self.nodes[at].incarnation, of, incarnation);
-                    let before = self.marks.insert(mine, said);
-                    if before.is_some_and(|before| before > said) {
-                        self.report_violation(format!("n{at} goes back from {before:?} to {said} of n{of}"));
-                    }
-                }
-                // In peace a replica has what was said within the last two seconds, once it has had time to hear all.
-                let (one, other) = (&self.nodes[at], &self.nodes[of]);
-                let quiet = self.now > one.since.max(other.since) + 7_000
-                    && self.cuts.get(&pair(at, of)).is_none_or(|cut| self.now > cut.0.max(cut.1) + 7_000);
-                let keeps = replicas_of(&view(), &name(of)).contains(&name(at));
-                let well = self.noise == [0, 0] && quiet && keeps && other.exchange.is_some();
-                if well
-                    && had.is_none_or(|(incarnation, said)| {
-                        incarnation != other.incarnation || said + 2 < other.said
-                    })
-                {
-                    let (incarnation, said) = (other.incarnation, other.said);
-                    self.report_violation(format!(
-                        "n{at} has {had:?} of n{of}, whose process {incarnation} said {said}"
-                    ));
-                }
-            }
-        }
-    }
-
-    /// Everybody who is linked to a replica of it is told of a node that was killed, in time to be of use.
-    fn check_kills(&mut self) {
-        let due: Vec<_> = self.kills.iter().copied().filter(|kill| self.now >= kill.0 + 600).collect();
-        self.kills.retain(|kill| self.now < kill.0 + 600);
-        let quiet = |since: u64, at: u64| since + 8_000 < at;
-        for (killed, of, incarnation) in due {
-            // Back within that, or an uneasy time: nothing is asked.
-            let uneasy = self.noise != [0, 0]
-                || self.nodes[of].exchange.is_some()
-                || self.nodes[of].incarnation != incarnation
-                || self.cuts.values().any(|cut| !quiet(cut.0.max(cut.1), killed));
-            let replica = replicas_of(&view(), &name(of))
-                .iter()
-                .map(number)
-                .find(|at| self.nodes[*at].exchange.is_some() && quiet(self.nodes[*at].since, killed));
-            let Some(replica) = replica.filter(|_| !uneasy) else { continue };
-            for at in (0..NODES).filter(|at| *at != of) {
-                let node = &self.nodes[at];
-                let there = node.exchange.is_some() && quiet(node.since, killed);
-                let told = self
-                    .told
-                    .get(&(at, node.incarnation, of, incarnation))
-                    .is_some_and(|told| *told >= killed);
-                if there && !told {
-                    self.report_violation(format!(
-                        "n{at} is not told of n{of}, killed at {killed}, which n{replica} keeps"
-                    ));
-                }
-            }
+            self.schedule(ms, Event::MessageArrives(to, incarnation, from, message));
         }
     }
 }
@@ -431,7 +354,7 @@
                 for seed in seeds.filter(|seed| seed % threads == first) {
                     let world = play(seed);
                     assert_eq!(world.violation, None, "seed {seed}");
-                    heard.fetch_add(world.heard, std::sync::atomic::Ordering::Relaxed);
+                    heard.fetch_add(world.adoption_count, std::sync::atomic::Ordering::Relaxed);
                 }
             });
         }
