--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,48 +1,59 @@
-//! Three nodes on loopback with all that they need, a drain and a release, in under a minute.
+//! `glendeck demo`: three nodes on loopback with all that they need, a drain and a release, in under a minute.
 
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use glendeck_harness::{Cluster, ClusterSpec};
-use serde_json::json;
+use glendeck_harness::{AdminReply, Cluster, ClusterSpec};
+use serde::Deserialize;
+use serde_json::{Value, json};
 
-use crate::{Failure, show};
+use crate::error::CommandError;
+use crate::show;
+use crate::status::{ReleaseState, Status};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const NODES: usize = 3;
+const CLIENTS: u64 = 30;
 
-fn fault(fault: impl std::fmt::Display) -> Failure {
-    Failure::Unanswered(fault.to_string())
-}
+/// Each step of the demo takes less than this.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Beside this program, as both are built together.
-fn beside() -> Result<PathBuf, Failure> {
-    let here = std::env::current_exe().map_err(fault)?;
-    let program = here.with_file_name("glendeck-node");
-    if program.exists() {
-        Ok(program)
-    } else {
-        Err(Failure::Wrong(format!(
-            "no program at {}: build it, or name it with --program",
-            program.display()
-        )))
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How long a node is left out, so that its clients can be seen to go elsewhere.
+const OUT_TIME: Duration = Duration::from_secs(4);
+
+/// Plays the demo with this node program, and goes on for `stay` afterwards.
+pub fn run(program: Option<&Path>, stay: Duration) -> Result<(), CommandError> {
+    let program = program.map_or_else(default_program, |program| Ok(program.to_owned()))?;
+    let fleet = start(program)?;
+    drain_and_activate(&fleet)?;
+    release(&fleet)?;
+    if !stay.is_zero() {
+        println!(
+            "\nit goes on for {} s: try `glendeck fleet status --door {}`",
+            stay.as_secs(),
+            fleet.admin_address(0)
+        );
+        std::thread::sleep(stay);
     }
+    report_clients(fleet)
 }
 
-fn wait(what: &str, mut holds: impl FnMut() -> bool) -> Result<(), Failure> {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        if Instant::now() > until {
-            return Err(Failure::Unanswered(format!("not within {PATIENCE:?}: {what}")));
-        }
-        std::thread::sleep(Duration::from_millis(50));
+/// The node's program beside this one, as both are built together.
+fn default_program() -> Result<PathBuf, CommandError> {
+    let this_program = std::env::current_exe().map_err(unanswered)?;
+    let program = this_program.with_file_name("glendeck-node");
+    if program.exists() {
+        return Ok(program);
     }
-    Ok(())
+    let place = program.display();
+    Err(CommandError::Invalid(format!("no program at {place}: build it, or name it with --program")))
 }
 
-pub fn play(program: Option<&Path>, stay: Duration) -> Result<(), Failure> {
-    let program = program.map_or_else(beside, |program| Ok(program.to_owned()))?;
-    let spec = ClusterSpec {
-        nodes: 3,
+fn start(program: PathBuf) -> Result<Cluster, CommandError> {
+    let shape = ClusterSpec {
+        nodes: NODES,
         voters: 3,
         zones: 3,
         hosts: 3,
@@ -52,74 +63,106 @@
         logs: None,
     };
     println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
-    let mut cluster = Cluster::start(spec).map_err(fault)?;
-    cluster.clients.add_clients(30, 1);
-    let accepts_clients = |cluster: &Cluster, at: usize| {
-        cluster.clients.frontend().availability(at).is_some_and(|of| of.accepts_clients)
-    };
-    wait("all nodes serve", || (0..3).all(|at| accepts_clients(&cluster, at)))?;
-    // Before that all were out.
-    cluster.clients.reset_most_out();
-    let status = |cluster: &Cluster| cluster.leader().and_then(|at| cluster.status(at));
-    let settled = |cluster: &Cluster| {
-        let units =
-            status(cluster).unwrap_or_default()["state"]["units"].as_object().cloned().unwrap_or_default();
-        units.len() == 3 && units.values().all(|unit| unit["lost"] == false && unit["standing"] == "Serving")
-    };
+    let mut fleet = Cluster::start(shape).map_err(unanswered)?;
+    fleet.clients.add_clients(CLIENTS, 1);
+    wait("all nodes serve", || (0..NODES).all(|node| is_serving(&fleet, node)))?;
+    // Nodes that are not up yet would count as out.
+    fleet.clients.reset_most_out();
     println!("the group is being founded; each node counts once it was seen to serve for 5 s");
-    wait("all are seen to serve", || settled(&cluster))?;
-    for at in 0..3 {
-        println!("  n{at}: its operators' door is {}", cluster.admin_address(at));
+    wait("all are seen to serve", || is_settled(&fleet))?;
+    for node in 0..NODES {
+        println!("  n{node}: its operators' door is {}", fleet.admin_address(node));
     }
-    println!("{}\n", show::status(&status(&cluster).unwrap_or_default()));
-    let order = |path: &str, body: serde_json::Value| -> Result<(), Failure> {
-        let answer = cluster.call(0, "POST", path, &body).map_err(fault)?;
-        let (code, reply) = (answer.status, answer.body);
-        println!(
-            "POST {path} {body} -> {code} {}",
-            reply["said"].as_str().or(reply["why"].as_str()).unwrap_or("-")
-        );
-        Ok(())
-    };
-    order("/v1/fleet/drain", json!({"unit": "n2", "id": "demo drain"}))?;
-    order("/v1/fleet/drain", json!({"unit": "n1", "id": "demo second drain"}))?;
-    wait("n2 is out", || !accepts_clients(&cluster, 2))?;
+    println!("{}\n", show::status(&status(&fleet).unwrap_or_default()));
+    Ok(fleet)
+}
+
+fn drain_and_activate(fleet: &Cluster) -> Result<(), CommandError> {
+    order(fleet, "/v1/fleet/drain", &json!({"unit": "n2", "id": "demo drain"}))?;
+    order(fleet, "/v1/fleet/drain", &json!({"unit": "n1", "id": "demo second drain"}))?;
+    wait("n2 is out", || !is_serving(fleet, 2))?;
     println!("the front sends n2 nobody; its clients go to the others");
-    std::thread::sleep(Duration::from_secs(4));
-    order("/v1/fleet/activate", json!({"unit": "n2", "id": "demo activate"}))?;
-    wait("n2 is back", || settled(&cluster))?;
+    std::thread::sleep(OUT_TIME);
+    order(fleet, "/v1/fleet/activate", &json!({"unit": "n2", "id": "demo activate"}))?;
+    wait("n2 is back", || is_settled(fleet))?;
     println!("n2 is back\n");
-    let plan = json!({"version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60,
-                      // A node that has just come back turns some of the demo's crowd away until it knows its hosts.
-                      "gates": {"busy_per_thousand": 1000}});
-    order("/v1/fleet/release/start", json!({"plan": plan, "id": "demo release"}))?;
-    let mut before = String::new();
+    Ok(())
+}
+
+fn release(fleet: &Cluster) -> Result<(), CommandError> {
+    // A node that has just come back rejects some of the demo's many clients until it knows its hosts.
+    let gates = json!({"busy_per_thousand": 1000});
+    let plan = json!({
+        "version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60, "gates": gates,
+    });
+    order(fleet, "/v1/fleet/release/start", &json!({"plan": plan, "id": "demo release"}))?;
+    let mut printed = String::new();
     wait("the release is over", || {
-        let now = status(&cluster).unwrap_or_default();
-        let text = show::release(&now);
-        if !now.is_null() && text != before {
+        let Some(status) = status(fleet) else { return false };
+        let text = show::release(&status);
+        if text != printed {
             println!("{text}");
-            before = text;
+            printed = text;
         }
-        now["state"]["release"]["course"] == "Finished"
-    })?;
-    if !stay.is_zero() {
-        println!(
-            "\nit goes on for {} s: try `glendeck fleet status --door {}`",
-            stay.as_secs(),
-            cluster.admin_address(0)
-        );
-        std::thread::sleep(stay);
-    }
-    let stats = cluster.clients.end();
+        let state = status.state.release.map(|release| release.state);
+        matches!(state, Some(ReleaseState::Finished))
+    })
+}
+
+fn report_clients(fleet: Cluster) -> Result<(), CommandError> {
+    let seen = fleet.clients.end();
     println!(
         "\nclients: {} calls answered, {} turned away, {} failed, {} moved, {} lost; most nodes out at once: {}",
-        stats.answered,
-        stats.busy,
-        stats.failed,
-        stats.moved,
-        stats.lost.len(),
-        stats.most_out
+        seen.answered,
+        seen.busy,
+        seen.failed,
+        seen.moved,
+        seen.lost.len(),
+        seen.most_out
     );
-    if stats.lost.is_empty() { Ok(()) } else { Err(Failure::Refused(stats.lost.join("\n"))) }
+    if seen.lost.is_empty() { Ok(()) } else { Err(CommandError::Refused(seen.lost.join("\n"))) }
+}
+
+/// The status by the leader.
+fn status(fleet: &Cluster) -> Option<Status> {
+    let json = fleet.leader().and_then(|leader| fleet.status(leader))?;
+    Status::deserialize(&json).ok()
+}
+
+fn is_serving(fleet: &Cluster, node: usize) -> bool {
+    fleet.clients.frontend().availability(node).is_some_and(|standing| standing.accepts_clients)
+}
+
+fn is_settled(fleet: &Cluster) -> bool {
+    let units = status(fleet).unwrap_or_default().state.units;
+    units.len() == NODES && units.values().all(|unit| unit.is_serving() && !unit.is_lost)
+}
+
+/// Sends an order to the first node, and prints it with the reply.
+fn order(fleet: &Cluster, path: &str, body: &Value) -> Result<(), CommandError> {
+    #[derive(Default, Deserialize)]
+    struct Reply {
+        said: Option<String>,
+        why: Option<String>,
+    }
+    let AdminReply { status: code, body: json } = fleet.call(0, "POST", path, body).map_err(unanswered)?;
+    let reply = Reply::deserialize(&json).unwrap_or_default();
+    let text = reply.said.or(reply.why).unwrap_or_else(|| "-".into());
+    println!("POST {path} {body} -> {code} {text}");
+    Ok(())
+}
+
+fn wait(condition: &str, mut holds: impl FnMut() -> bool) -> Result<(), CommandError> {
+    let until = Instant::now() + STEP_TIMEOUT;
+    while !holds() {
+        if Instant::now() > until {
+            return Err(CommandError::Unanswered(format!("not within {STEP_TIMEOUT:?}: {condition}")));
+        }
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    Ok(())
+}
+
+fn unanswered(error: impl Display) -> CommandError {
+    CommandError::Unanswered(error.to_string())
 }
