--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -121,7 +121,7 @@
         match net::connect(&fd, &address) {
             Ok(()) => Ok(Connection::new(fd, false)),
             Err(Errno::INPROGRESS | Errno::INTR) => Ok(Connection::new(fd, true)),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         }
     }
 
@@ -173,7 +173,7 @@
                 Ok((_, count)) => Ok(ReadOutcome::Bytes(count)),
                 Err(Errno::INTR) => continue,
                 Err(Errno::AGAIN) => Ok(ReadOutcome::NothingYet),
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
         }
     }
@@ -219,7 +219,7 @@
                 Ok(count) => self.sent += count,
                 Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => break,
-                Err(fault) => return Err(fault),
+                Err(error) => return Err(error),
             }
         }
         if self.sent == self.outbox.len() {
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -25,7 +25,7 @@
         }
         let connection = match self.connect_to_host(id, host) {
             Ok(connection) => connection,
-            Err(fault) => return self.queue_attempt_end(id, number, outcome_of_connect(fault), false),
+            Err(cause) => return self.queue_attempt_end(id, number, outcome_of_connect(cause), false),
         };
         let deadline = self.now + within;
         self.attempts_out += 1;
@@ -226,8 +226,8 @@
 }
 
 /// A lack of descriptors or memory is this node's fault, and would make every host look bad.
-fn outcome_of_connect(fault: Errno) -> AttemptOutcome {
-    match fault {
+fn outcome_of_connect(cause: Errno) -> AttemptOutcome {
+    match cause {
         Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM => AttemptOutcome::NeverSent,
         _ => AttemptOutcome::Unreachable,
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,8 @@
-//! One node: the decisions on real sockets. A library so that the rig can put a bad disk under it; the program is `main`.
+//! One node: the decisions of `glendeck` on real sockets.
+//!
+//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`Machine`] with injected
+//! faults. `service` has the event loop; `clients`, `hosts`, `endpoint_list`, `handover`, `peers` and `admin` each deal
+//! with one kind of peer.
 
 mod admin;
 mod call;
@@ -29,38 +33,44 @@
 use service::{Service, ServiceError};
 use tracing::error;
 
+/// Why the program fails.
 #[derive(Debug, thiserror::Error)]
-enum Fault {
+enum RunError {
     #[error("bad configuration: {0}")]
     Config(#[from] config::ConfigError),
     #[error(transparent)]
     Service(#[from] ServiceError),
 }
 
-/// What is wrong with the machine under a node. The product's has nothing wrong.
+/// Injected faults of the machine under a node; by default there are none.
 #[derive(Clone, Debug, Default)]
 pub struct Machine {
-    /// The store's disk.
+    /// Faults of the store's disk.
     pub disk: Option<Arc<dyn glendeck_store::Faults>>,
-    /// Seconds that its wall clock is ahead.
+    /// How far its wall clock is ahead, in seconds.
     pub ahead_s: i64,
 }
 
-/// Starts, serves until it is told to end, and says by its exit code whether all went well.
+/// Starts a node that is configured by the environment, and serves until it is told to end.
+///
+/// The exit code says whether it could start and serve; what went wrong is logged.
 pub fn run(machine: Machine) -> ExitCode {
     match serve(machine) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            error!("{fault}");
+        Err(cause) => {
+            error!("{cause}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(machine: Machine) -> Result<(), Fault> {
+fn serve(machine: Machine) -> Result<(), RunError> {
     let level = config::log_level();
     let shown = *level.as_ref().unwrap_or(&tracing::level_filters::LevelFilter::INFO);
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(shown).init();
+    // A bad level is reported too, at the default level.
     level?;
-    Ok(Service::start(config::from_environment()?, machine)?.run()?)
+    let mut service = Service::start(config::from_environment()?, machine)?;
+    service.run()?;
+    Ok(())
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! One node.
+//! The node's program.
 
 fn main() -> std::process::ExitCode {
     glendeck_node::run(glendeck_node::Machine::default())
--- a/crates/node/src/service/drain.rs
+++ b/crates/node/src/service/drain.rs
@@ -44,7 +44,7 @@
     /// Whether everything that a drain waits for has gone.
     pub fn is_drained(&self) -> bool {
         let Phase::Draining { since } = self.phase else { return false };
-        self.now >= since + ALL_GONE && self.calls.len() == 0
+        self.now >= since + ALL_GONE && self.calls.is_empty()
     }
 
     /// The front sends no more: the clients that are connected go one by one.
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -43,7 +43,7 @@
     pub(super) fn reload(&mut self) {
         match config::anew() {
             Ok(config) => self.apply_config(config),
-            Err(fault) => error!("bad configuration, the old one stays: {fault}"),
+            Err(cause) => error!(%cause, "bad configuration, the old one stays"),
         }
         self.settle();
     }
@@ -53,7 +53,7 @@
         let change = self.config.renew(config);
         info!(discovery = %self.config.discovery, "configuration reloaded");
         for key in change.later {
-            warn!("{key} has changed in the configuration: that counts from the next start");
+            warn!(key, "configuration change takes effect at the next start");
         }
         if change.settings {
             let now = self.now;
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -45,12 +45,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     /// An address cannot be bound.
-    #[error("cannot listen on {address}: {fault}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
         /// What the system says.
-        fault: Errno,
+        source: Errno,
     },
     /// epoll failed.
     #[error("cannot wait for events: {0}")]
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -78,7 +78,7 @@
     /// Leaves a drained node as SIGTERM does, and exits early if no client is left.
     pub fn leave_drained(&mut self) {
         self.leave();
-        if self.calls.len() == 0 {
+        if self.calls.is_empty() {
             self.timers.set(self.now + STOP_ACCEPTING + EXIT_AFTER_STOP, TimerEvent::Exit);
         }
     }
@@ -88,7 +88,7 @@
         let is_used = |socket: &SocketEntry| {
             matches!(socket.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
         };
-        let is_busy = self.calls.len() > 0 || self.sockets.iter().any(|(_, socket)| is_used(socket));
+        let is_busy = !self.calls.is_empty() || self.sockets.iter().any(|(_, socket)| is_used(socket));
         if is_busy {
             self.timers.set(self.now + HANDOVER_TIME, TimerEvent::CheckIdleExit);
         } else {
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -146,7 +146,7 @@
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
-        .map_err(|(address, fault)| ServiceError::Listen { address, fault })?;
+        .map_err(|(address, source)| ServiceError::Listen { address, source })?;
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
@@ -160,7 +160,7 @@
 
 fn listen(config: &NodeConfig) -> Result<OwnedFd, ServiceError> {
     let address = config.listen;
-    connection::listen(address).map_err(|fault| ServiceError::Listen { address, fault })
+    connection::listen(address).map_err(|source| ServiceError::Listen { address, source })
 }
 
 /// A stream that becomes readable with each signal of this number.
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -1,54 +1,76 @@
-//! A table of numbered slots whose numbers are never used twice.
+//! A table of numbered entries whose numbers are never used twice.
 
 use slab::Slab;
 
-/// Danger: an event or a deadline of something that has ended must not reach what took over its slot. A
-/// number holds the slot below and a serial above, which rises with every entry; so it also tells who is older.
+/// 2^20 slots are far more than a process has descriptors; the other 44 bits, the serial, last for centuries.
+const SLOT_BITS: u32 = 20;
+
+const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
+
+/// Entries by number.
+///
+/// A number has the entry's slot in its low bits and above that a serial, which rises with every entry: so an event or a
+/// timer of an entry that has gone cannot reach the one that took over its slot, and the lower number is the older.
 pub struct Slots<T> {
-    entries: Slab<(u64, T)>,
-    serial: u64,
+    entries: Slab<Entry<T>>,
+    last_serial: u64,
 }
 
-/// 2^20 slots are far more than a process has descriptors; 44 bits of serial last for centuries.
-const SLOT_BITS: u32 = 20;
+struct Entry<T> {
+    number: u64,
+    value: T,
+}
 
 impl<T> Default for Slots<T> {
     fn default() -> Self {
-        Slots { entries: Slab::new(), serial: 0 }
+        Slots { entries: Slab::new(), last_serial: 0 }
     }
 }
 
-impl<T> Slots<T> {
-    fn slot(number: u64) -> usize {
-        (number & ((1 << SLOT_BITS) - 1)) as usize
-    }
+fn slot(number: u64) -> usize {
+    (number & SLOT_MASK) as usize
+}
 
+impl<T> Slots<T> {
+    /// Adds an entry and returns its number.
     pub fn insert(&mut self, value: T) -> u64 {
-        self.serial += 1;
-        let entry = self.entries.vacant_entry();
-        let number = self.serial << SLOT_BITS | entry.key() as u64;
-        entry.insert((number, value));
+        self.last_serial += 1;
+        let vacant = self.entries.vacant_entry();
+        let number = self.last_serial << SLOT_BITS | vacant.key() as u64;
+        vacant.insert(Entry { number, value });
         number
     }
 
+    /// The entry of this number, if it is still there.
     pub fn get(&self, number: u64) -> Option<&T> {
-        self.entries.get(Self::slot(number)).filter(|entry| entry.0 == number).map(|entry| &entry.1)
+        let entry = self.entries.get(slot(number))?;
+        (entry.number == number).then_some(&entry.value)
     }
 
+    /// The same, to change it.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.entries.get_mut(Self::slot(number)).filter(|entry| entry.0 == number).map(|entry| &mut entry.1)
+        let entry = self.entries.get_mut(slot(number))?;
+        (entry.number == number).then_some(&mut entry.value)
     }
 
+    /// Takes the entry of this number out, if it is still there.
     pub fn remove(&mut self, number: u64) -> Option<T> {
         self.get(number)?;
-        Some(self.entries.remove(Self::slot(number)).1)
+        Some(self.entries.remove(slot(number)).value)
     }
 
+    /// How many entries there are.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// All entries with their numbers, by slot.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
-        self.entries.iter().map(|(_, (number, value))| (*number, value))
+        self.entries.iter().map(|(_, entry)| (entry.number, &entry.value))
     }
 }
