--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -99,13 +99,13 @@
 
     pub fn accept_callers(&mut self) {
         for _ in 0..CALLERS {
-            let Some(listener) = &self.door.listener else { return };
+            let Some(listener) = &self.admin.listener else { return };
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(fd) => {
                     self.make_place();
                     if let Some(id) = self.add_connection(Connection::new(fd, false), SocketRole::Admin) {
                         let (incoming, answered) = (Incoming::default(), false);
-                        self.door.callers.push_back(Caller { id, incoming, answered });
+                        self.admin.callers.push_back(Caller { id, incoming, answered });
                         self.timers.set(self.now + CALL_LIMIT, TimerEvent::AdminTimeout(id));
                     }
                 }
@@ -124,11 +124,11 @@
     /// Danger: callers that finish no call hold every place, and a good one waits. The one that came first goes;
     /// one whose call is whole has been answered, and goes only when its answer has.
     fn make_place(&mut self) {
-        while self.door.callers.len() >= CALLERS {
+        while self.admin.callers.len() >= CALLERS {
             let sent = |caller: &Caller| {
                 self.sockets.get(caller.id.0).is_none_or(|seat| seat.connection.unsent() == 0)
             };
-            let callers = &self.door.callers;
+            let callers = &self.admin.callers;
             let done = callers.iter().position(|caller| caller.answered && sent(caller));
             let slow = callers.iter().position(|caller| !caller.answered);
             let Some(caller) = callers.get(done.or(slow).unwrap_or(0)) else { return };
@@ -138,7 +138,7 @@
 
     pub fn drop_caller(&mut self, id: ConnectionId) {
         if self.role(id) == Some(SocketRole::Admin) {
-            self.door.callers.retain(|caller| caller.id != id);
+            self.admin.callers.retain(|caller| caller.id != id);
             self.close_connection(id);
         }
     }
@@ -155,8 +155,8 @@
     }
 
     pub fn caller_came(&mut self, id: ConnectionId, got: ReadOutcome) {
-        let Some(at) = self.door.callers.iter().position(|caller| caller.id == id) else { return };
-        let caller = &mut self.door.callers[at];
+        let Some(at) = self.admin.callers.iter().position(|caller| caller.id == id) else { return };
+        let caller = &mut self.admin.callers[at];
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
         let read = match got {
             ReadOutcome::NothingYet => return,
@@ -168,7 +168,7 @@
                 return self.caller_over(id);
             }
             ReadOutcome::Bytes(n) => {
-                seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+                seat.connection.inbox.extend_from_slice(&self.read_buffer[..n]);
                 caller.incoming.read(&mut seat.connection.inbox)
             }
         };
@@ -193,14 +193,14 @@
     }
 
     fn answer_now(&mut self, id: ConnectionId, reply: &Reply, with_body: bool) {
-        let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         caller.answered = true;
         if let Some(seat) = self.sockets.get_mut(id.0) {
             encode(reply, with_body, &mut seat.connection.outbox);
             seat.connection.inbox = Vec::new();
             seat.connection.finish = true;
         }
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     fn answer_caller(&mut self, id: ConnectionId, request: &Request) -> Option<Reply> {
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -33,7 +33,7 @@
             let Some(listener) = &self.listener else { return true };
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(fd) => {
-                    let id = self.take_client(fd, Vec::new());
+                    let id = self.add_client(fd, Vec::new());
                     if let Some(socket) = id.and_then(|id| self.sockets.get_mut(id.0)) {
                         socket.queued_since = self.queued_since;
                     }
@@ -58,12 +58,12 @@
     /// would be busy for nothing.
     fn accept_later(&mut self) {
         self.queued_since.get_or_insert(self.now);
-        self.listen_for(false);
+        self.watch_for_clients(false);
         self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
     }
 
     /// Adds a client that has not opened anything, with the bytes that have come from it.
-    pub fn take_client(&mut self, fd: OwnedFd, inbox: Vec<u8>) -> Option<ConnectionId> {
+    pub fn add_client(&mut self, fd: OwnedFd, inbox: Vec<u8>) -> Option<ConnectionId> {
         let mut connection = Connection::new(fd, false);
         connection.inbox = inbox;
         let id = self.add_connection(connection, SocketRole::Client(None))?;
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -31,12 +31,12 @@
         }
         let Some(in_flight) = self.forget_call(id) else { return };
         if let Some(client) = in_flight.client {
-            self.answer_conn(client, answer);
+            self.answer_client(client, answer);
         }
     }
 
     /// Sends an answer and ends the connection.
-    pub fn answer_conn(&mut self, id: ConnectionId, answer: Answer) {
+    pub fn answer_client(&mut self, id: ConnectionId, answer: Answer) {
         let mut line = Vec::new();
         answer.encode(&mut line);
         self.close_with_last_bytes(id, &line);
@@ -56,7 +56,7 @@
         let linger = if is_short { SHORT_LINGER } else { LINGER };
         self.timers.set(self.now + linger, TimerEvent::ClosingTimeout(id));
         self.note_idle(id);
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// Closes a closing connection that is over, or whose peer sends on without end, which would keep the core busy
@@ -100,7 +100,7 @@
             if let Some(socket) = self.sockets.get_mut(host.0) {
                 socket.connection.finish = true;
             }
-            self.pump(host);
+            self.flush_connection(host);
         }
         self.sockets.watch(client);
     }
@@ -121,7 +121,7 @@
         debug!(call_id = call.0, ?peer, "client does not wait");
         in_flight.client = None;
         match peer {
-            PeerState::HasSent => self.answer_conn(client, Answer::Error),
+            PeerState::HasSent => self.answer_client(client, Answer::Error),
             PeerState::Ended | PeerState::Quiet => self.close_connection(client),
         }
         false
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -62,7 +62,7 @@
     /// Ends a connection that has opened nothing. Its line may have come in this very moment, so it is read first:
     /// whoever opens gets an answer.
     pub fn end_idle(&mut self, id: ConnectionId) {
-        self.readable(id, Flags::IN);
+        self.read_connection(id, Flags::IN);
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
         let is_over = self.phase == Phase::Flushing;
--- a/crates/node/src/clients/relay.rs
+++ b/crates/node/src/clients/relay.rs
@@ -26,7 +26,7 @@
         let mut is_host_slow = false;
         if length > 0 {
             self.move_lines(id, host, call, length);
-            self.pump(host);
+            self.flush_connection(host);
             let host_socket = self.sockets.get(host.0);
             is_host_slow = host_socket.is_some_and(|host| host.connection.unsent() > HIGH_WATER_MARK);
         }
@@ -42,7 +42,7 @@
         if let Some(in_flight) = self.calls.get_mut(call.0) {
             in_flight.client = None;
         }
-        self.answer_conn(id, Answer::Error);
+        self.answer_client(id, Answer::Error);
         self.give_up_call(call);
         self.settle();
     }
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -33,7 +33,7 @@
             ReadOutcome::Bytes(count) => count,
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
-        socket.connection.inbox.extend_from_slice(&self.scratch[..count]);
+        socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
         // A client that was accepted late has waited all the while since its connection came.
         let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE;
         let queued_since = socket.queued_since.take().filter(|_| is_fresh);
@@ -50,7 +50,7 @@
             let Some(length) = protocol::first_line_length(inbox) else {
                 if inbox.len() >= protocol::MAX_LINE_LENGTH {
                     debug!("client line too long");
-                    self.answer_conn(id, Answer::Error);
+                    self.answer_client(id, Answer::Error);
                 }
                 return;
             };
@@ -59,7 +59,7 @@
             // have hosts work for calls that are then refused.
             if !inbox.is_empty() {
                 debug!("client did not wait for its answer");
-                return self.answer_conn(id, Answer::Error);
+                return self.answer_client(id, Answer::Error);
             }
             match ClientMessage::parse(line, &self.config.names) {
                 Ok(ClientMessage::Ping) => {
@@ -67,12 +67,12 @@
                     answer.encode(&mut socket.connection.outbox);
                     self.timers.set(self.now + FIRST_LINE_TIMEOUT, TimerEvent::FirstLineTimeout(id));
                     socket.quiet_since = self.now;
-                    self.pump(id);
+                    self.flush_connection(id);
                 }
                 Ok(ClientMessage::Open(request)) => return self.take_call(id, sent_at, request),
                 Err(cause) => {
                     debug!(%cause, "client line refused");
-                    return self.answer_conn(id, Answer::Error);
+                    return self.answer_client(id, Answer::Error);
                 }
             }
         }
@@ -80,19 +80,19 @@
 
     fn take_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
         // Two connections of one id are one call to the hosts, and the owner's would be disturbed.
-        if self.ids.contains(&request.id) {
+        if self.client_ids.contains(&request.id) {
             debug!("client id is in use");
             self.metrics.count(request.traffic, Outcome::Failure);
-            return self.answer_conn(connection, Answer::Error);
+            return self.answer_client(connection, Answer::Error);
         }
         let is_leaving = self.is_leaving_without_successor();
         if is_leaving || !self.has_room_for_call() {
             let retry_after = self.config.settings.retry_after.map(|longest| longest.min(MAX_BUSY_RETRY));
             debug!(is_leaving, "call refused");
             self.metrics.count(request.traffic, Outcome::Busy);
-            return self.answer_conn(connection, Answer::Busy(retry_after));
+            return self.answer_client(connection, Answer::Busy(retry_after));
         }
-        self.ids.insert(request.id);
+        self.client_ids.insert(request.id);
         let work = self.work_of(&request);
         let must_look_up = work.is_some() && self.is_repeat(&request);
         let kept = work.map(|work| Kept { work, looks: must_look_up, ran: None });
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -144,7 +144,7 @@
     }
 
     /// The bytes that are still to be sent.
-    pub fn to_go(&self) -> &[u8] {
+    pub fn unsent_bytes(&self) -> &[u8] {
         &self.outbox[self.sent..]
     }
 
--- a/crates/node/src/endpoint_list/decode.rs
+++ b/crates/node/src/endpoint_list/decode.rs
@@ -26,18 +26,18 @@
     let entries =
         json.get("endpoints").and_then(Value::as_array).ok_or(EndpointListError::Missing("endpoints"))?;
     let update = if is_complete { ListUpdate::Complete } else { ListUpdate::Delta };
-    let mut lines = Vec::new();
+    let mut endpoints = Vec::new();
     let mut addresses = Vec::new();
     for entry in entries {
         match decode_entry(entry, zones) {
             Ok((endpoint, address)) => {
-                lines.push(endpoint);
+                endpoints.push(endpoint);
                 addresses.extend(address.map(|address| (endpoint.host, address)));
             }
             Err(cause) => warn!(%cause, %entry, "endpoint list entry skipped"),
         }
     }
-    Ok(EndpointListUpdate { index, update, lines, addresses })
+    Ok(EndpointListUpdate { index, update, endpoints, addresses })
 }
 
 /// What an entry says of its host, if that can be read.
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -31,7 +31,7 @@
     /// Whether it is the whole list.
     pub update: ListUpdate,
     /// The hosts' entries.
-    pub lines: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// Where they listen; hosts that have gone may have no address.
     pub addresses: Vec<(HostId, SocketAddr)>,
 }
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -48,7 +48,7 @@
     pub fn remember_list(&mut self, known: EndpointListUpdate) {
         self.hosts.apply(&known);
         let now = self.now;
-        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.lines, port));
+        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.endpoints, port));
     }
 
     /// Opens the watch unless it stands: then changes will be told, within [`MAX_LIST_AGE`].
@@ -102,7 +102,7 @@
             http::encode_get(&path, &authority, &mut socket.connection.outbox);
         }
         self.timers.set(deadline, TimerEvent::EndpointListTimeout(id));
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// A request may have passed its deadline. A connection that falls silent is opened anew once; that is no refusal
@@ -140,7 +140,7 @@
         let has_ended = match outcome {
             ReadOutcome::Bytes(count) => {
                 let Some(socket) = self.sockets.get_mut(id.0) else { return };
-                socket.connection.inbox.extend_from_slice(&self.scratch[..count]);
+                socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
                 false
             }
             ReadOutcome::NothingYet => return,
@@ -193,7 +193,7 @@
             self.list.watch = self.open_list_connection(wait);
         }
         if newer_index.is_some() {
-            update.lines.clear();
+            update.endpoints.clear();
             update.addresses.clear();
         }
         self.apply_list(update);
@@ -205,11 +205,16 @@
 
     fn apply_list(&mut self, update: EndpointListUpdate) {
         let is_complete = update.update == ListUpdate::Complete;
-        debug!(index = update.index, is_complete, endpoints = update.lines.len(), "endpoint list received");
+        debug!(
+            index = update.index,
+            is_complete,
+            endpoints = update.endpoints.len(),
+            "endpoint list received"
+        );
         let draining = self.hosts.apply(&update);
         self.list.heard = true;
         let endpoints: Vec<Endpoint> =
-            update.lines.iter().map(|endpoint| self.hosts.effective(endpoint)).collect();
+            update.endpoints.iter().map(|endpoint| self.hosts.effective(endpoint)).collect();
         // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and all
         // waiting calls every second.
         let was_established = std::mem::replace(&mut self.list.is_established, true);
@@ -220,6 +225,6 @@
         for host in draining {
             self.migrate_from(host);
         }
-        self.ready_now();
+        self.serve_if_ready();
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -308,7 +308,7 @@
         }
         self.timers.set(self.now + membership.ease_every, TimerEvent::MigrateFromDraining);
         if let Some(call) = self.hosts.next_to_migrate() {
-            self.move_client(call, AttemptOutcome::Canceled);
+            self.migrate_call(call, AttemptOutcome::Canceled);
         }
     }
 
@@ -335,7 +335,7 @@
         self.tell_fleet(|fleet, now| fleet.tick(now, node_status));
         self.work_tick();
         self.warm_state_tick();
-        self.ready_now();
+        self.serve_if_ready();
     }
 
     /// The process before has let go of the store: this one begins anew in the fleet, with it.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -28,7 +28,7 @@
 use crate::config::NodeConfig;
 use crate::connection::{Connection, ReadOutcome};
 use crate::endpoint_list::EndpointListUpdate;
-use crate::hosts::SEND_AWAY;
+use crate::hosts::MIGRATION_PERIOD;
 use crate::lifecycle::Phase;
 use crate::protocol::{ClientId, MAX_LINE_LENGTH, OpenLine, first_line_length};
 use crate::service::Service;
@@ -215,7 +215,7 @@
 fn encode(standing: &Standing) -> Value {
     let hosts: Vec<Value> = standing
         .list
-        .lines
+        .endpoints
         .iter()
         .zip(&standing.list.addresses)
         .map(|(line, (_, address))| {
@@ -315,8 +315,12 @@
             nominal: of.get("nominal").and_then(Value::as_f64).filter(|size| size.is_finite()).map(Size),
         });
     }
-    let list =
-        EndpointListUpdate { index: whole(&json, "index")?, update: ListUpdate::Complete, lines, addresses };
+    let list = EndpointListUpdate {
+        index: whole(&json, "index")?,
+        update: ListUpdate::Complete,
+        endpoints: lines,
+        addresses,
+    };
     let drained = json.get("drained")?.as_bool()?;
     Some(Standing {
         list,
@@ -366,7 +370,7 @@
             };
         };
         let Some(seat) = self.sockets.get_mut(id.0) else { return };
-        seat.connection.inbox.extend_from_slice(&self.scratch[..n]);
+        seat.connection.inbox.extend_from_slice(&self.read_buffer[..n]);
         while let Some(seat) = self.sockets.get_mut(id.0) {
             let Some(length) = first_line_length(&seat.connection.inbox) else {
                 return if seat.connection.inbox.len() > MAX_LINE_LENGTH {
@@ -417,7 +421,7 @@
             self.say_on(predecessor, &format!("{SUCCEEDED}\n"));
         }
         self.handover.door = None;
-        self.listen_for(false);
+        self.watch_for_clients(false);
         if matches!(self.phase, Phase::Serving | Phase::Starting) {
             self.phase = Phase::Replaced;
         }
@@ -444,7 +448,7 @@
         if self.phase == Phase::Replaced {
             self.phase = Phase::Serving;
         }
-        self.listen_for(true);
+        self.watch_for_clients(true);
         self.listen_for_successor();
     }
 
@@ -504,8 +508,8 @@
             "id": held.client_id.0, "traffic": of.traffic.0, "type": self.config.names.traffic.get(usize::from(of.traffic.0)), "tenant": of.tenant.0,
             "subject": of.subject.map(|subject| subject.0), "group": of.group.map(|group| group.0),
             "load": of.load, "host": attempt.host.0, "asked": held.awaiting_host_since.map(|asked| self.now.since(asked).0),
-            "client_in": hex(&ours.connection.inbox), "client_out": hex(ours.connection.to_go()),
-            "host_in": hex(&theirs.connection.inbox), "host_out": hex(theirs.connection.to_go()),
+            "client_in": hex(&ours.connection.inbox), "client_out": hex(ours.connection.unsent_bytes()),
+            "host_in": hex(&theirs.connection.inbox), "host_out": hex(theirs.connection.unsent_bytes()),
         });
         let (host, connection, no) = (attempt.host, attempt.connection, attempt.number);
         let line = format!("CALL {said}\n");
@@ -517,7 +521,7 @@
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended.push_back(AttemptEnd {
+        self.ended_attempts.push_back(AttemptEnd {
             call,
             attempt: no,
             outcome: AttemptOutcome::Canceled,
@@ -561,7 +565,7 @@
         if let Some(seat) = self.sockets.get_mut(id.0) {
             seat.connection.outbox.extend_from_slice(text.as_bytes());
         }
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// What is open at a host has changed.
@@ -587,7 +591,7 @@
         }
         self.listen_for_successor();
         self.handover.took_over = true;
-        self.listen_for(true);
+        self.watch_for_clients(true);
         if let Some(id) = self.handover.predecessor {
             self.say_on(id, &format!("{SERVING}\n"));
         }
@@ -599,7 +603,7 @@
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let buffers = &mut [IoSliceMut::new(&mut self.scratch)];
+            let buffers = &mut [IoSliceMut::new(&mut self.read_buffer)];
             let got = match recvmsg(&seat.connection.fd, buffers, &mut control, RecvFlags::CMSG_CLOEXEC) {
                 Ok(got) if got.bytes > 0 => got.bytes,
                 Err(Errno::AGAIN) => return,
@@ -611,7 +615,7 @@
                     self.handover.sockets.extend(fds);
                 }
             }
-            seat.connection.inbox.extend_from_slice(&self.scratch[..got]);
+            seat.connection.inbox.extend_from_slice(&self.read_buffer[..got]);
             self.predecessor_lines(id);
         }
     }
@@ -645,7 +649,7 @@
                 ["IDLE", inbox] => {
                     let fd = self.handover.sockets.pop_front();
                     if let Some((fd, inbox)) = fd.zip(unhex(inbox)) {
-                        self.take_client(fd, inbox);
+                        self.add_client(fd, inbox);
                     }
                 }
                 _ => debug!(%said, "the process before said something unknown"),
@@ -707,7 +711,7 @@
         (held.awaiting_host_since, held.has_silence_timer) = (asked, asked.is_some());
         let number = CallId(self.calls.insert(held));
         self.calls.get_mut(number.0)?.call.id = number;
-        self.ids.insert(id);
+        self.client_ids.insert(id);
         self.attempts_out += 1;
         for (connection, role) in
             [(client, SocketRole::Client(Some(number))), (host, SocketRole::Host(number))]
@@ -723,10 +727,10 @@
             self.timers.set(now, TimerEvent::HostSilence(number));
         }
         if self.hosts.is_leaving(at) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(number));
+            self.timers.set(now + MIGRATION_PERIOD, TimerEvent::Migrate(number));
         }
-        self.pump(client);
-        self.pump(host);
+        self.flush_connection(client);
+        self.flush_connection(host);
         Some(())
     }
 
@@ -736,8 +740,8 @@
         info!("the process before has gone");
         (self.handover.predecessor, self.handover.other_uses) = (None, 0);
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
-        self.listen_for(self.accepts());
-        self.ready_now();
+        self.watch_for_clients(self.accepts());
+        self.serve_if_ready();
     }
 }
 
@@ -776,8 +780,12 @@
             ..NodeSnapshot::default()
         };
         let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
-        let list =
-            EndpointListUpdate { index: 41, update: ListUpdate::Complete, lines: vec![listed], addresses };
+        let list = EndpointListUpdate {
+            index: 41,
+            update: ListUpdate::Complete,
+            endpoints: vec![listed],
+            addresses,
+        };
         let (zones, types) = (vec!["x".into(), "y".into()], vec!["chat".into(), "pay".into()]);
         Standing { list, node, drained: true, zones, types }
     }
@@ -789,15 +797,15 @@
         let read = decode(text.as_bytes(), &zones, &types).unwrap();
         assert_eq!((&read.node, read.drained), (&told.node, true));
         assert_eq!(
-            (read.list.index, &read.list.lines, &read.list.addresses),
-            (41, &told.list.lines, &told.list.addresses)
+            (read.list.index, &read.list.endpoints, &read.list.addresses),
+            (41, &told.list.endpoints, &told.list.addresses)
         );
         // A zone that the settings do not name any more is none of ours.
-        assert_eq!(decode(text.as_bytes(), &[], &types).unwrap().list.lines[0].zone, Zone(0));
+        assert_eq!(decode(text.as_bytes(), &[], &types).unwrap().list.endpoints[0].zone, Zone(0));
         // Another order, and more of them: a name is what counts.
         let (zones, types) = (["y", "z", "x"].map(String::from), ["fax", "pay", "chat"].map(String::from));
         let read = decode(text.as_bytes(), &zones, &types).unwrap();
-        assert_eq!((read.list.lines[0].zone, read.node.of_type), (Zone(0), vec![0.0, 0.2, 0.1]));
+        assert_eq!((read.list.endpoints[0].zone, read.node.of_type), (Zone(0), vec![0.0, 0.2, 0.1]));
     }
 
     /// Danger: half a message taken for a whole one would be hosts taken for empty. It is all or nothing.
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -65,7 +65,7 @@
         outcome: AttemptOutcome,
         is_final: bool,
     ) {
-        self.ended.push_back(AttemptEnd { call, attempt, outcome, is_final });
+        self.ended_attempts.push_back(AttemptEnd { call, attempt, outcome, is_final });
     }
 
     /// Sends the client's line once the connection is up, if the attempt may be sent.
@@ -87,7 +87,7 @@
             }
             self.queue_line(id, call);
         }
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// Writes the client's line with the time that is left.
@@ -208,11 +208,11 @@
             self.forget_call(id);
             return;
         }
-        let ended_before = self.ended.len();
+        let ended_before = self.ended_attempts.len();
         self.open_attempt(id, host, time_left);
-        if self.ended.len() > ended_before {
+        if self.ended_attempts.len() > ended_before {
             // It could not even begin, and the decisions do not know of it.
-            self.ended.pop_back();
+            self.ended_attempts.pop_back();
             self.retry_return(id, AttemptOutcome::NeverSent);
         }
     }
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -3,7 +3,7 @@
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Span, Time};
 use tracing::debug;
 
-use super::SEND_AWAY;
+use super::MIGRATION_PERIOD;
 use crate::call::{AttemptEnd, CallStage, InFlightCall};
 use crate::protocol::{Answer, HostMessage};
 use crate::service::Service;
@@ -58,7 +58,12 @@
             HostClose::Graceful if has_host_ended => self.close_connection(attempt.connection),
             HostClose::Graceful => self.close_with_last_bytes(attempt.connection, b""),
         }
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
+        self.ended_attempts.push_back(AttemptEnd {
+            call: id,
+            attempt: attempt.number,
+            outcome,
+            is_final: true,
+        });
     }
 
     /// Migrates the client of a host that has fallen silent: a machine that vanished ends no connection.
@@ -72,19 +77,19 @@
         }
         if in_flight.stage == CallStage::Open {
             debug!(call_id = id.0, "host silent");
-            self.move_client(id, AttemptOutcome::Broken);
+            self.migrate_call(id, AttemptOutcome::Broken);
         }
         self.settle();
     }
 
     /// Sends the client away politely and ends the host's side.
-    pub fn move_client(&mut self, id: CallId, outcome: AttemptOutcome) {
+    pub fn migrate_call(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         if in_flight.stage != CallStage::Open {
             return;
         }
         let Some(client) = in_flight.client.take() else { return };
-        self.answer_conn(client, Answer::Move);
+        self.answer_client(client, Answer::Move);
         self.close_attempt(id, outcome, HostClose::Graceful);
     }
 
@@ -93,7 +98,7 @@
         let calls = self.hosts.open_calls(host);
         let count = calls.len().max(1) as f64;
         for (index, call) in calls.into_iter().enumerate() {
-            let due = self.now + SEND_AWAY.times(index as f64 / count);
+            let due = self.now + MIGRATION_PERIOD.times(index as f64 / count);
             self.timers.set(due, TimerEvent::Migrate(call));
         }
     }
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -3,7 +3,7 @@
 use glendeck::domain::{AttemptOutcome, CallId, News};
 use tracing::{debug, trace, warn};
 
-use super::SEND_AWAY;
+use super::MIGRATION_PERIOD;
 use crate::call::CallStage;
 use crate::connection::{HIGH_WATER_MARK, ReadOutcome};
 use crate::metrics::Outcome;
@@ -19,7 +19,7 @@
             ReadOutcome::NothingYet => {}
             ReadOutcome::Bytes(count) => {
                 let Some(socket) = self.sockets.get_mut(id.0) else { return };
-                socket.connection.inbox.extend_from_slice(&self.scratch[..count]);
+                socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
                 self.handle_host_lines(id, call);
             }
             ReadOutcome::End => {
@@ -119,7 +119,7 @@
         if let Some(socket) = self.sockets.get_mut(client.0) {
             socket.connection.outbox.extend_from_slice(line);
         }
-        self.pump(client);
+        self.flush_connection(client);
         self.hosts.opened(host, call);
         self.notify_successor(host);
         let now = self.now;
@@ -129,10 +129,10 @@
             self.tell(|node, port| node.attempt_established(now, call, number, setup_time, port));
         }
         if self.hosts.is_leaving(host) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(call));
+            self.timers.set(now + MIGRATION_PERIOD, TimerEvent::Migrate(call));
         }
         self.relay_to_client(id, call);
-        self.move_before_leaving(call);
+        self.schedule_late_migration(call);
     }
 
     /// Hands all complete lines of an open connection to the client, and reads from them what concerns the node.
@@ -168,7 +168,7 @@
         if let Some(socket) = self.sockets.get_mut(client.0) {
             socket.connection.outbox.extend_from_slice(&inbox[..length]);
         }
-        self.pump(client);
+        self.flush_connection(client);
         let is_client_slow =
             self.sockets.get(client.0).is_some_and(|socket| socket.connection.unsent() > HIGH_WATER_MARK);
         inbox.drain(..length);
--- a/crates/node/src/hosts/mod.rs
+++ b/crates/node/src/hosts/mod.rs
@@ -12,4 +12,4 @@
 pub use table::HostTable;
 
 /// Clients of a leaving host are migrated one by one within this time: little enough for the shortest drain.
-pub const SEND_AWAY: Span = Span::ms(1_000);
+pub const MIGRATION_PERIOD: Span = Span::ms(1_000);
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -21,12 +21,12 @@
         }
         let connection = self.hosts.address(host).and_then(|address| Connection::connect(address).ok());
         let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Probe(host)));
-        let Some(id) = id else { return self.probes_failed.push(host) };
+        let Some(id) = id else { return self.failed_probes.push(host) };
         if let Some(socket) = self.sockets.get_mut(id.0) {
             socket.connection.outbox.extend_from_slice(protocol::PROBE);
         }
         self.timers.set(self.now + PROBE_TIMEOUT, TimerEvent::ProbeTimeout(id));
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// A probe has ended: tells the decisions.
@@ -55,7 +55,7 @@
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         let inbox = &mut socket.connection.inbox;
-        inbox.extend_from_slice(&self.scratch[..count]);
+        inbox.extend_from_slice(&self.read_buffer[..count]);
         let Some(length) = protocol::first_line_length(inbox) else {
             if inbox.len() >= protocol::MAX_LINE_LENGTH {
                 self.finish_probe(id, host, AttemptOutcome::Error);
--- a/crates/node/src/hosts/table.rs
+++ b/crates/node/src/hosts/table.rs
@@ -39,7 +39,7 @@
             host.address = *address;
         }
         let mut draining = Vec::new();
-        for endpoint in &update.lines {
+        for endpoint in &update.endpoints {
             let Some(host) = self.hosts.get_mut(&endpoint.host) else { continue };
             if endpoint.condition == Condition::Draining && host.condition == Condition::Ready {
                 draining.push(endpoint.host);
@@ -48,7 +48,7 @@
             host.listed = Some(*endpoint);
         }
         if update.update == ListUpdate::Complete {
-            let listed: BTreeSet<HostId> = update.lines.iter().map(|endpoint| endpoint.host).collect();
+            let listed: BTreeSet<HostId> = update.endpoints.iter().map(|endpoint| endpoint.host).collect();
             for (_, host) in self.hosts.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 host.condition = Condition::Gone;
             }
@@ -95,14 +95,14 @@
 
     /// The whole list as it is known, with this index.
     pub fn to_update(&self, index: u64) -> EndpointListUpdate {
-        let mut lines = Vec::new();
+        let mut endpoints = Vec::new();
         let mut addresses = Vec::new();
         for host in self.hosts.values().filter(|host| host.condition != Condition::Gone) {
             let Some(endpoint) = host.listed else { continue };
-            lines.push(endpoint);
+            endpoints.push(endpoint);
             addresses.push((endpoint.host, host.address));
         }
-        EndpointListUpdate { index, update: ListUpdate::Complete, lines, addresses }
+        EndpointListUpdate { index, update: ListUpdate::Complete, endpoints, addresses }
     }
 
     /// How many connections are open at a host.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -234,7 +234,7 @@
     }
 
     pub fn peer_up(&mut self, id: ConnectionId) {
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     pub fn peer_lost(&mut self, id: ConnectionId) {
@@ -255,7 +255,7 @@
         match got {
             ReadOutcome::NothingYet => return,
             ReadOutcome::End => return self.peer_lost(id),
-            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
+            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.read_buffer[..n]),
         }
         loop {
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
@@ -307,7 +307,7 @@
             if let Some(seat) = self.sockets.get_mut(id.0) {
                 frame(&back, &mut seat.connection.outbox);
             }
-            self.pump(id);
+            self.flush_connection(id);
         }
         self.peer_linked(&hello.name);
     }
@@ -350,7 +350,7 @@
         membership.peers.sent.0 += 1;
         membership.peers.sent.1 += bytes.len() as u64;
         frame(&bytes, &mut seat.connection.outbox);
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     pub fn listen_for_peers(&mut self, address: std::net::SocketAddr) -> Result<(), Errno> {
--- a/crates/node/src/service/drain.rs
+++ b/crates/node/src/service/drain.rs
@@ -36,7 +36,7 @@
         if let Phase::Draining { .. } = self.phase {
             info!(calls = self.calls.len(), "active again");
             self.phase = Phase::Starting;
-            self.ready_now();
+            self.serve_if_ready();
         }
         !matches!(self.phase, Phase::Replaced | Phase::Leaving { .. } | Phase::Flushing | Phase::Left)
     }
@@ -64,7 +64,7 @@
     /// The moment of one client has come.
     pub(super) fn drain_client(&mut self, number: u32, call: CallId) {
         if self.is_current_drain(number) {
-            self.move_client(call, AttemptOutcome::Canceled);
+            self.migrate_call(call, AttemptOutcome::Canceled);
         }
     }
 
@@ -74,7 +74,7 @@
             return;
         }
         for call in self.open_calls() {
-            self.move_client(call, AttemptOutcome::Canceled);
+            self.migrate_call(call, AttemptOutcome::Canceled);
         }
         info!(calls = self.calls.len(), "drained");
     }
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -81,7 +81,7 @@
     /// When connections were last accepted.
     pub last_accepted: Time,
     /// The admin interface.
-    pub door: AdminServer,
+    pub admin: AdminServer,
     /// How this process stands to its predecessor and its successor.
     pub handover: Handover,
     /// The node's part in a fleet, if it is in one.
@@ -102,7 +102,7 @@
     /// Calls in flight, by the numbers of their [`glendeck::domain::CallId`].
     pub calls: Slots<InFlightCall>,
     /// The clients' own ids of these calls.
-    pub ids: FxHashSet<ClientId>,
+    pub client_ids: FxHashSet<ClientId>,
     /// Connections of no use to a call, the longest idle first, each with the time since when.
     pub idle: VecDeque<(Time, ConnectionId)>,
     /// Calls that have a socket to a host.
@@ -114,13 +114,13 @@
     /// Requests for the list that could not be sent, which the decisions have not been told of.
     pub list_failures: u32,
     /// Hosts that could not be probed, which the decisions have not been told of.
-    pub probes_failed: Vec<HostId>,
+    pub failed_probes: Vec<HostId>,
     /// `None` only while it decides.
     node: Option<Box<Node>>,
     /// Attempts that have ended, which the decisions have not been told of.
-    pub ended: VecDeque<AttemptEnd>,
+    pub ended_attempts: VecDeque<AttemptEnd>,
     /// What was read last.
-    pub scratch: Vec<u8>,
+    pub read_buffer: Vec<u8>,
 }
 
 impl Service {
@@ -202,13 +202,13 @@
             self.connection_writable(id);
         }
         if flags.intersects(Flags::IN | Flags::ERR | Flags::HUP) {
-            self.readable(id, flags);
+            self.read_connection(id, flags);
         }
     }
 
     /// Some of the outbox has been sent: whoever fills it may be read again.
     fn connection_writable(&mut self, id: ConnectionId) {
-        self.pump(id);
+        self.flush_connection(id);
         let Some(socket) = self.sockets.get(id.0) else { return };
         if socket.connection.unsent() > LOW_WATER_MARK {
             return;
@@ -239,7 +239,7 @@
     }
 
     /// Reads a socket that is ready and hands what came to whoever it is for.
-    pub fn readable(&mut self, id: ConnectionId, flags: Flags) {
+    pub fn read_connection(&mut self, id: ConnectionId, flags: Flags) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         if socket.connection.read_ended {
             // Nothing more can come: the peer has gone for good.
@@ -254,7 +254,7 @@
         }
         // A connection that has not opened needs room for one line.
         let limit = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { READ_SIZE };
-        let outcome = match socket.connection.read(&mut self.scratch[..limit]) {
+        let outcome = match socket.connection.read(&mut self.read_buffer[..limit]) {
             Ok(outcome) => outcome,
             Err(_) => return self.connection_lost(id),
         };
@@ -310,7 +310,7 @@
             TimerEvent::RetryReturn(call) => self.return_to_host(call),
             TimerEvent::HostSilence(call) => self.check_silence(call),
             TimerEvent::HalfClosedTimeout(call) => self.half_closed_timeout(call),
-            TimerEvent::Migrate(call) => self.move_client(call, AttemptOutcome::Canceled),
+            TimerEvent::Migrate(call) => self.migrate_call(call, AttemptOutcome::Canceled),
             TimerEvent::DrainStart(number) => self.drain_clients(number),
             TimerEvent::DrainMigrate(number, call) => self.drain_client(number, call),
             TimerEvent::DrainEnd(number) => self.end_drain(number),
@@ -324,12 +324,12 @@
                 }
             }
             TimerEvent::RetryAccept => {
-                self.listen_for(self.accepts());
+                self.watch_for_clients(self.accepts());
                 self.watch_admin(true);
             }
             TimerEvent::EndpointListOverdue => {
                 self.handover.waited = true;
-                self.ready_now();
+                self.serve_if_ready();
             }
             TimerEvent::StopAccepting => self.stop_accepting(),
             TimerEvent::ContinueHandover => self.hand_on(),
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -45,12 +45,12 @@
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
         loop {
-            if let Some(AttemptEnd { call, attempt, outcome, is_final }) = self.ended.pop_front() {
+            if let Some(AttemptEnd { call, attempt, outcome, is_final }) = self.ended_attempts.pop_front() {
                 node.attempt_ended(now, call, attempt, outcome, is_final, self);
                 if is_final {
                     self.forget_call(call);
                 }
-            } else if let Some(host) = self.probes_failed.pop() {
+            } else if let Some(host) = self.failed_probes.pop() {
                 node.probe_finished(now, host, AttemptOutcome::Unreachable, Span::ZERO, self);
             } else if self.list_failures > 0 {
                 self.list_failures -= 1;
@@ -82,7 +82,7 @@
     }
 
     fn migrate(&mut self, call: CallId) {
-        self.move_client(call, AttemptOutcome::Canceled);
+        self.migrate_call(call, AttemptOutcome::Canceled);
     }
 
     fn probe(&mut self, host: HostId) {
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -98,7 +98,7 @@
 
     /// A call that opens while the node sends its clients away is migrated with the last ones, each at a random
     /// moment: those that are sent away together come back together.
-    pub fn move_before_leaving(&mut self, call: CallId) {
+    pub fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
             Phase::Leaving { until } => (until - LAST_MIGRATIONS - LATE_MIGRATIONS, until - LAST_MIGRATIONS),
@@ -152,7 +152,7 @@
     }
 
     fn answer_before_exit(&mut self, id: CallId) {
-        self.move_client(id, AttemptOutcome::Canceled);
+        self.migrate_call(id, AttemptOutcome::Canceled);
         let Some(in_flight) = self.calls.get(id.0) else { return };
         if in_flight.stage.is_established() {
             return;
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sends what can be sent. If the connection breaks, the next event shows it.
-    pub fn pump(&mut self, id: ConnectionId) {
+    pub fn flush_connection(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         let _ = socket.connection.flush();
         if let SocketRole::Host(call) = socket.role {
@@ -130,7 +130,7 @@
     }
 
     /// Watches the listening socket for clients, or stops watching it.
-    pub fn listen_for(&mut self, clients: bool) {
+    pub fn watch_for_clients(&mut self, clients: bool) {
         if let Some(listener) = &self.listener {
             let _ = self.sockets.reactor.change(listener, LISTENER, readable_if(clients));
         }
@@ -138,7 +138,7 @@
 
     /// Watches the admin interface for callers, or stops watching it.
     pub fn watch_admin(&mut self, open: bool) {
-        if let Some(listener) = &self.door.listener {
+        if let Some(listener) = &self.admin.listener {
             let _ = self.sockets.reactor.change(listener, ADMIN, readable_if(open));
         }
     }
@@ -167,7 +167,7 @@
         let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
         self.reserved_descriptors() + self.handover.other_uses + self.sockets.len()
             - peer_links
-            - self.door.callers.len()
+            - self.admin.callers.len()
             + future_attempts
     }
 
@@ -179,7 +179,7 @@
     /// What the node needs for itself, for its peers, and for the admin interface however many clients there are.
     fn reserved_descriptors(&self) -> usize {
         let peers = self.membership.as_ref().map_or(0, |membership| membership.descriptors());
-        let admin = if self.door.listener.is_some() { 1 + CALLERS } else { 0 };
+        let admin = if self.admin.listener.is_some() { 1 + CALLERS } else { 0 };
         OWN_DESCRIPTORS + peers + admin
     }
 
@@ -191,7 +191,7 @@
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
             self.metrics.count(in_flight.call.traffic, outcome);
         }
-        self.ids.remove(&in_flight.client_id);
+        self.client_ids.remove(&in_flight.client_id);
         Some(in_flight)
     }
 }
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -75,7 +75,7 @@
         if service.config.list_is_pushed {
             service.timers.set(service.now + AGENT_TIMEOUT, TimerEvent::EndpointListOverdue);
         }
-        service.ready_now();
+        service.serve_if_ready();
         Ok(service)
     }
 
@@ -88,7 +88,7 @@
             listener: Some(sources.listener),
             queued_since: None,
             last_accepted: Time(0),
-            door: sources.admin,
+            admin: sources.admin,
             handover: Handover::default(),
             membership: None,
             metrics: Metrics::new(&config.names.traffic),
@@ -100,16 +100,16 @@
             reloads: sources.reloads,
             sockets: SocketTable::new(sources.reactor),
             calls: Slots::default(),
-            ids: FxHashSet::default(),
+            client_ids: FxHashSet::default(),
             idle: VecDeque::new(),
             attempts_out: 0,
             hosts: HostTable::default(),
             list: EndpointListClient::default(),
             list_failures: 0,
-            probes_failed: Vec::new(),
+            failed_probes: Vec::new(),
             node: None,
-            ended: VecDeque::new(),
-            scratch: vec![0; READ_SIZE],
+            ended_attempts: VecDeque::new(),
+            read_buffer: vec![0; READ_SIZE],
             config,
         }
     }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -337,7 +337,7 @@
         held.outcome =
             Some(if ran { crate::metrics::Outcome::Failure } else { crate::metrics::Outcome::Busy });
         if let Some(client) = client {
-            self.answer_conn(client, answer);
+            self.answer_client(client, answer);
         }
         self.end_attempt(call, AttemptOutcome::NeverSent, None);
         self.settle();
