--- /dev/null
+++ b/crates/node/tests/sockets/connection.rs
@@ -0,0 +1,82 @@
+//! One end of a connection that a scenario holds, and addresses for the node.
+
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::os::fd::OwnedFd;
+use std::time::Duration;
+
+use rustix::net::{self, sockopt};
+
+use crate::PATIENCE;
+
+/// A stand-in's end of a connection, read line by line.
+pub struct Connection {
+    reader: BufReader<TcpStream>,
+}
+
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        Connection { reader: BufReader::new(stream) }
+    }
+
+    pub fn stream(&self) -> &TcpStream {
+        self.reader.get_ref()
+    }
+
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.reader.get_mut().write_all(bytes).unwrap();
+    }
+
+    /// Sends what the node takes before it closes the connection, if it does.
+    pub fn send_until_closed(&mut self, bytes: &[u8]) {
+        let _ = self.reader.get_mut().write_all(bytes);
+    }
+
+    /// The next line, `end` or `reset`.
+    pub fn receive(&mut self) -> String {
+        let mut line = String::new();
+        match self.reader.read_line(&mut line) {
+            Ok(0) => "end".into(),
+            Ok(_) => line.trim_end().to_owned(),
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => "reset".into(),
+            Err(error) => panic!("{error}"),
+        }
+    }
+
+    /// Exactly so many bytes.
+    pub fn receive_bytes(&mut self, count: usize) -> Vec<u8> {
+        let mut bytes = vec![0; count];
+        self.reader.read_exact(&mut bytes).unwrap();
+        bytes
+    }
+
+    pub fn end_sending(&self) {
+        self.stream().shutdown(Shutdown::Write).unwrap();
+    }
+
+    /// The close that follows resets the connection.
+    pub fn reset_on_close(&self) {
+        sockopt::set_socket_linger(self.stream(), Some(Duration::ZERO)).unwrap();
+    }
+}
+
+/// An address that stays this run's own.
+///
+/// It is bound and never listened at: nodes share their port, so one that was only free a moment ago may be another
+/// run's by now, and each would get the other's clients.
+pub struct ReservedAddress {
+    pub address: SocketAddr,
+    _socket: OwnedFd,
+}
+
+impl ReservedAddress {
+    pub fn new() -> ReservedAddress {
+        let socket = net::socket(net::AddressFamily::INET, net::SocketType::STREAM, None).unwrap();
+        sockopt::set_socket_reuseaddr(&socket, true).unwrap();
+        sockopt::set_socket_reuseport(&socket, true).unwrap();
+        net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let address = SocketAddr::try_from(net::getsockname(&socket).unwrap()).unwrap();
+        ReservedAddress { address, _socket: socket }
+    }
+}
