--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -1,9 +1,11 @@
 //! Calls in flight and their attempts.
 
 use glendeck::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, Time};
+use rustc_hash::FxHashSet;
 
 use crate::metrics::Outcome;
 use crate::protocol::{ClientId, HostMessage, OpenLine};
+use crate::slots::Slots;
 use crate::socket::ConnectionId;
 use crate::takeover::Kept;
 
@@ -108,6 +110,64 @@
     }
 }
 
+/// All calls in flight, with ids that are never used twice.
+#[derive(Default)]
+pub struct CallTable {
+    calls: Slots<InFlightCall>,
+    /// The clients' own ids of these calls.
+    client_ids: FxHashSet<ClientId>,
+}
+
+impl CallTable {
+    /// Adds a call and gives it its id.
+    pub fn insert(&mut self, in_flight: InFlightCall) -> CallId {
+        self.client_ids.insert(in_flight.client_id);
+        let number = self.calls.insert(in_flight);
+        let id = CallId(number);
+        if let Some(in_flight) = self.calls.get_mut(number) {
+            in_flight.call.id = id;
+        }
+        id
+    }
+
+    /// Takes the call of this number out, if it is in flight.
+    pub fn remove(&mut self, number: u64) -> Option<InFlightCall> {
+        let in_flight = self.calls.remove(number)?;
+        self.client_ids.remove(&in_flight.client_id);
+        Some(in_flight)
+    }
+
+    /// The call of this number, if it is in flight.
+    pub fn get(&self, number: u64) -> Option<&InFlightCall> {
+        self.calls.get(number)
+    }
+
+    /// The same, to change it.
+    pub fn get_mut(&mut self, number: u64) -> Option<&mut InFlightCall> {
+        self.calls.get_mut(number)
+    }
+
+    /// Whether a call with this id of the client's own is in flight.
+    pub fn has_client(&self, id: ClientId) -> bool {
+        self.client_ids.contains(&id)
+    }
+
+    /// How many calls are in flight.
+    pub fn len(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Whether none is.
+    pub fn is_empty(&self) -> bool {
+        self.calls.is_empty()
+    }
+
+    /// All calls with their numbers.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
+        self.calls.iter()
+    }
+}
+
 /// The end of an attempt that the decisions have not been told yet.
 pub struct AttemptEnd {
     /// The call that it was for.
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -2,6 +2,7 @@
 
 use std::os::fd::OwnedFd;
 
+use glendeck::domain::Time;
 use rustix::io::Errno;
 use rustix::net::{self, SocketFlags};
 use tracing::warn;
@@ -15,16 +16,30 @@
 /// Connections accepted in one turn of the loop: open ones must not wait for a whole burst.
 const MAX_ACCEPTS: usize = 64;
 
+/// What is known of the listening socket's queue.
+#[derive(Default)]
+pub struct AcceptQueue {
+    /// Since when connections may wait in it.
+    waiting_since: Option<Time>,
+    /// When connections were last accepted.
+    last_accepted: Time,
+}
+
+impl AcceptQueue {
+    /// When the last connection of a queue was accepted no event tells so, and whoever comes next would count as
+    /// having waited since. While connections wait, accepting is tried again within [`ACCEPT_AGAIN`].
+    fn begin_accepting(&mut self, now: Time) {
+        if now.since(self.last_accepted) > ACCEPT_AGAIN.times(2.0) {
+            self.waiting_since = None;
+        }
+        self.last_accepted = now;
+    }
+}
+
 impl Service {
     /// Accepts connections, and says whether the listening socket's queue is empty.
     pub fn accept(&mut self) -> bool {
-        // When the last connection of a queue was accepted no event tells so, and whoever comes next would count as
-        // having waited since. While connections wait, this is called again within the pause below.
-        let since_last = self.now.since(self.last_accepted);
-        if self.queued_since.is_some() && since_last > ACCEPT_AGAIN.times(2.0) {
-            self.queued_since = None;
-        }
-        self.last_accepted = self.now;
+        self.accept_queue.begin_accepting(self.now);
         for _ in 0..MAX_ACCEPTS {
             if !self.make_room(RESERVED_FOR_ATTEMPTS + 1) {
                 self.accept_later();
@@ -35,11 +50,11 @@
                 Ok(fd) => {
                     let id = self.add_client(fd, Vec::new());
                     if let Some(socket) = id.and_then(|id| self.sockets.get_mut(id.0)) {
-                        socket.queued_since = self.queued_since;
+                        socket.queued_since = self.accept_queue.waiting_since;
                     }
                 }
                 Err(Errno::AGAIN) => {
-                    self.queued_since = None;
+                    self.accept_queue.waiting_since = None;
                     return true;
                 }
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
@@ -50,14 +65,14 @@
                 }
             }
         }
-        self.queued_since.get_or_insert(self.now);
+        self.accept_queue.waiting_since.get_or_insert(self.now);
         false
     }
 
     /// The listening socket stays ready while nothing can be accepted, so it is not watched for a moment: the loop
     /// would be busy for nothing.
     fn accept_later(&mut self) {
-        self.queued_since.get_or_insert(self.now);
+        self.accept_queue.waiting_since.get_or_insert(self.now);
         self.watch_for_clients(false);
         self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
     }
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -8,6 +8,8 @@
 
 use glendeck::domain::Span;
 
+pub use accept::AcceptQueue;
+
 /// While accepting fails, the system is asked again after this: soon, but without a busy loop.
 pub const ACCEPT_AGAIN: Span = Span::ms(20);
 
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -80,7 +80,7 @@
 
     fn take_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
         // Two connections of one id are one call to the hosts, and the owner's would be disturbed.
-        if self.client_ids.contains(&request.id) {
+        if self.calls.has_client(request.id) {
             debug!("client id is in use");
             self.metrics.count(request.traffic, Outcome::Failure);
             return self.answer_client(connection, Answer::Error);
@@ -92,12 +92,11 @@
             self.metrics.count(request.traffic, Outcome::Busy);
             return self.answer_client(connection, Answer::Busy(retry_after));
         }
-        self.client_ids.insert(request.id);
         let work = self.work_of(&request);
         let must_look_up = work.is_some() && self.is_repeat(&request);
         let kept = work.map(|work| Kept { work, looks: must_look_up, ran: None });
         let call = new_call(&request, sent_at);
-        let Some(id) = self.insert_call(connection, request, call, kept) else { return };
+        let id = self.insert_call(connection, request, call, kept);
         self.place_call(id, must_look_up);
     }
 
@@ -111,14 +110,12 @@
         request: OpenRequest,
         call: Call,
         kept: Option<Kept>,
-    ) -> Option<CallId> {
+    ) -> CallId {
         let OpenRequest { id: client_id, line, previous_host, .. } = request;
         let stage = if previous_host.is_some() { CallStage::Returning } else { CallStage::Waiting };
-        let in_flight = InFlightCall::new(client_id, connection, line, call, stage, previous_host);
-        let id = CallId(self.calls.insert(in_flight));
-        let in_flight = self.calls.get_mut(id.0)?;
-        in_flight.call.id = id;
+        let mut in_flight = InFlightCall::new(client_id, connection, line, call, stage, previous_host);
         in_flight.kept = kept;
+        let id = self.calls.insert(in_flight);
         if let Some(socket) = self.sockets.get_mut(connection.0) {
             socket.role = SocketRole::Client(Some(id));
         }
@@ -132,7 +129,7 @@
             previous_host = ?previous_host.map(|host| host.0),
             "call received"
         );
-        Some(id)
+        id
     }
 
     /// Returns the call to its host, looks up what replicas know of it, or has it decided on.
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -6,7 +6,7 @@
 use super::{EndpointListError, EndpointListUpdate, decode};
 use crate::connection::{Connection, ReadOutcome};
 use crate::http::{self, Arriving};
-use crate::service::Service;
+use crate::service::{Report, Service};
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
@@ -59,7 +59,7 @@
         // The first request does not wait: what is known may be old, and the answer says that the watch stands.
         self.list.watch = self.open_list_connection(Span::ZERO);
         if self.list.watch.is_none() {
-            self.list_failures += 1;
+            self.reports.push(Report::WatchFailed);
         }
     }
 
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -521,7 +521,7 @@
         self.forget_call(call);
         self.attempts_out -= 1;
         self.hosts.closed(host, call);
-        self.ended_attempts.push_back(AttemptEnd {
+        self.report_attempt_end(AttemptEnd {
             call,
             attempt: no,
             outcome: AttemptOutcome::Canceled,
@@ -709,9 +709,7 @@
             }),
         );
         (held.awaiting_host_since, held.has_silence_timer) = (asked, asked.is_some());
-        let number = CallId(self.calls.insert(held));
-        self.calls.get_mut(number.0)?.call.id = number;
-        self.client_ids.insert(id);
+        let number = self.calls.insert(held);
         self.attempts_out += 1;
         for (connection, role) in
             [(client, SocketRole::Client(Some(number))), (host, SocketRole::Host(number))]
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -16,17 +16,20 @@
 
 impl Service {
     /// Opens the connection of an attempt that times out after `within`. What becomes of it is told later.
-    pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) {
-        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+    ///
+    /// # Errors
+    ///
+    /// The end of an attempt that could not even begin.
+    pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) -> Result<(), AttemptEnd> {
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return Ok(()) };
         let number = AttemptNumber(in_flight.attempt_count);
         in_flight.attempt_count += 1;
+        let end = |outcome, is_final| AttemptEnd { call: id, attempt: number, outcome, is_final };
         if !self.client_waits(id) {
-            return self.queue_attempt_end(id, number, AttemptOutcome::NeverSent, true);
+            return Err(end(AttemptOutcome::NeverSent, true));
         }
-        let connection = match self.connect_to_host(id, host) {
-            Ok(connection) => connection,
-            Err(cause) => return self.queue_attempt_end(id, number, outcome_of_connect(cause), false),
-        };
+        let connection =
+            self.connect_to_host(id, host).map_err(|cause| end(outcome_of_connect(cause), false))?;
         let deadline = self.now + within;
         self.attempts_out += 1;
         if let Some(in_flight) = self.calls.get_mut(id.0) {
@@ -50,6 +53,7 @@
             self.timers.set(connect_deadline, TimerEvent::ConnectTimeout(id, number));
         }
         self.attempt_connected(connection);
+        Ok(())
     }
 
     fn connect_to_host(&mut self, id: CallId, host: HostId) -> Result<ConnectionId, Errno> {
@@ -58,16 +62,6 @@
         self.add_connection(connection, SocketRole::Host(id)).ok_or(Errno::MFILE)
     }
 
-    fn queue_attempt_end(
-        &mut self,
-        call: CallId,
-        attempt: AttemptNumber,
-        outcome: AttemptOutcome,
-        is_final: bool,
-    ) {
-        self.ended_attempts.push_back(AttemptEnd { call, attempt, outcome, is_final });
-    }
-
     /// Sends the client's line once the connection is up, if the attempt may be sent.
     pub fn attempt_connected(&mut self, id: ConnectionId) {
         let Some(SocketRole::Host(call)) = self.role(id) else { return };
@@ -175,7 +169,7 @@
             self.close_with_last_bytes(client, answer);
         }
         self.close_connection(attempt.connection);
-        self.queue_attempt_end(id, attempt.number, outcome, is_final);
+        self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final });
     }
 
     /// The decisions have no part in a call that returns: it belongs where it was, and is tried there again.
@@ -208,11 +202,8 @@
             self.forget_call(id);
             return;
         }
-        let ended_before = self.ended_attempts.len();
-        self.open_attempt(id, host, time_left);
-        if self.ended_attempts.len() > ended_before {
-            // It could not even begin, and the decisions do not know of it.
-            self.ended_attempts.pop_back();
+        // The decisions do not know of this attempt, so its end is not theirs.
+        if self.open_attempt(id, host, time_left).is_err() {
             self.retry_return(id, AttemptOutcome::NeverSent);
         }
     }
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -58,12 +58,7 @@
             HostClose::Graceful if has_host_ended => self.close_connection(attempt.connection),
             HostClose::Graceful => self.close_with_last_bytes(attempt.connection, b""),
         }
-        self.ended_attempts.push_back(AttemptEnd {
-            call: id,
-            attempt: attempt.number,
-            outcome,
-            is_final: true,
-        });
+        self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
     }
 
     /// Migrates the client of a host that has fallen silent: a machine that vanished ends no connection.
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -5,7 +5,7 @@
 
 use crate::connection::{Connection, ReadOutcome};
 use crate::protocol::{self, HostMessage};
-use crate::service::Service;
+use crate::service::{Report, Service};
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
@@ -21,7 +21,7 @@
         }
         let connection = self.hosts.address(host).and_then(|address| Connection::connect(address).ok());
         let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Probe(host)));
-        let Some(id) = id else { return self.failed_probes.push(host) };
+        let Some(id) = id else { return self.reports.push(Report::ProbeFailed(host)) };
         if let Some(socket) = self.sockets.get_mut(id.0) {
             socket.connection.outbox.extend_from_slice(protocol::PROBE);
         }
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -7,6 +7,7 @@
 mod drain;
 mod lifecycle;
 mod port;
+mod reports;
 mod shutdown;
 mod sockets;
 mod start;
@@ -17,14 +18,14 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-use glendeck::domain::{AttemptOutcome, HostId, Span, Time};
+use glendeck::domain::{AttemptOutcome, Span, Time};
 use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
-use rustc_hash::FxHashSet;
 use rustix::io::Errno;
 
 use crate::admin::AdminServer;
-use crate::call::{AttemptEnd, InFlightCall};
+use crate::call::CallTable;
+use crate::clients::AcceptQueue;
 use crate::config::NodeConfig;
 use crate::connection::{LOW_WATER_MARK, READ_SIZE, ReadOutcome};
 use crate::endpoint_list::EndpointListClient;
@@ -33,14 +34,16 @@
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
-use crate::protocol::{ClientId, MAX_LINE_LENGTH};
+use crate::protocol::MAX_LINE_LENGTH;
 use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOADS, SIGNALS, STORE, SUCCESSORS};
-use crate::slots::Slots;
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::{TimerEvent, Timers};
 use clock::Clock;
+use reports::PendingReports;
 use sockets::SocketTable;
 
+pub use reports::Report;
+
 /// Why a node cannot start, or stops serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
@@ -76,10 +79,8 @@
     pub timers: Timers<TimerEvent>,
     /// Where clients connect, until the front sends nothing more.
     pub listener: Option<OwnedFd>,
-    /// Since when connections may wait in the listener's queue.
-    pub queued_since: Option<Time>,
-    /// When connections were last accepted.
-    pub last_accepted: Time,
+    /// Whether connections wait in the listener's queue.
+    pub accept_queue: AcceptQueue,
     /// The admin interface.
     pub admin: AdminServer,
     /// How this process stands to its predecessor and its successor.
@@ -99,10 +100,8 @@
     reloads: UnixStream,
     /// All sockets but the listening ones.
     pub sockets: SocketTable,
-    /// Calls in flight, by the numbers of their [`glendeck::domain::CallId`].
-    pub calls: Slots<InFlightCall>,
-    /// The clients' own ids of these calls.
-    pub client_ids: FxHashSet<ClientId>,
+    /// Calls in flight.
+    pub calls: CallTable,
     /// Connections of no use to a call, the longest idle first, each with the time since when.
     pub idle: VecDeque<(Time, ConnectionId)>,
     /// Calls that have a socket to a host.
@@ -111,14 +110,10 @@
     pub hosts: HostTable,
     /// The watch on the endpoint list.
     pub list: EndpointListClient,
-    /// Requests for the list that could not be sent, which the decisions have not been told of.
-    pub list_failures: u32,
-    /// Hosts that could not be probed, which the decisions have not been told of.
-    pub failed_probes: Vec<HostId>,
     /// `None` only while it decides.
     node: Option<Box<Node>>,
-    /// Attempts that have ended, which the decisions have not been told of.
-    pub ended_attempts: VecDeque<AttemptEnd>,
+    /// What the decisions have not been told of.
+    pub reports: PendingReports,
     /// What was read last.
     pub read_buffer: Vec<u8>,
 }
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -6,6 +6,7 @@
 use tracing::debug;
 
 use super::Service;
+use super::reports::Report;
 use crate::call::AttemptEnd;
 use crate::protocol::Answer;
 use crate::timers::TimerEvent;
@@ -40,23 +41,27 @@
         self.node.as_ref().is_some_and(|node| node.avoids(host))
     }
 
+    /// The decisions are told of the end of an attempt when they are next settled.
+    pub fn report_attempt_end(&mut self, end: AttemptEnd) {
+        self.reports.push(Report::AttemptEnded(end));
+    }
+
     /// Tells the decisions of all that has ended or failed, until nothing new comes of it.
     pub fn settle(&mut self) {
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
-        loop {
-            if let Some(AttemptEnd { call, attempt, outcome, is_final }) = self.ended_attempts.pop_front() {
-                node.attempt_ended(now, call, attempt, outcome, is_final, self);
-                if is_final {
-                    self.forget_call(call);
+        while let Some(report) = self.reports.pop() {
+            match report {
+                Report::AttemptEnded(AttemptEnd { call, attempt, outcome, is_final }) => {
+                    node.attempt_ended(now, call, attempt, outcome, is_final, self);
+                    if is_final {
+                        self.forget_call(call);
+                    }
                 }
-            } else if let Some(host) = self.failed_probes.pop() {
-                node.probe_finished(now, host, AttemptOutcome::Unreachable, Span::ZERO, self);
-            } else if self.list_failures > 0 {
-                self.list_failures -= 1;
-                node.watch_failed(now, self);
-            } else {
-                break;
+                Report::ProbeFailed(host) => {
+                    node.probe_finished(now, host, AttemptOutcome::Unreachable, Span::ZERO, self);
+                }
+                Report::WatchFailed => node.watch_failed(now, self),
             }
         }
         self.node = Some(node);
@@ -65,7 +70,9 @@
 
 impl Port for Service {
     fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
-        self.open_attempt(call, host, within);
+        if let Err(end) = self.open_attempt(call, host, within) {
+            self.report_attempt_end(end);
+        }
     }
 
     fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -191,7 +191,6 @@
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
             self.metrics.count(in_flight.call.traffic, outcome);
         }
-        self.client_ids.remove(&in_flight.client_id);
         Some(in_flight)
     }
 }
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -4,15 +4,17 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-use glendeck::domain::{NodeSnapshot, Span, Time};
+use glendeck::domain::{NodeSnapshot, Span};
 use glendeck::rules::Node;
 use nanorand::WyRand;
-use rustc_hash::FxHashSet;
 
 use super::clock::Clock;
+use super::reports::PendingReports;
 use super::sockets::SocketTable;
 use super::{Service, ServiceError};
 use crate::admin::AdminServer;
+use crate::call::CallTable;
+use crate::clients::AcceptQueue;
 use crate::config::NodeConfig;
 use crate::connection::{self, READ_SIZE};
 use crate::endpoint_list::{EndpointListClient, EndpointListUpdate};
@@ -21,7 +23,6 @@
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
 use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
-use crate::slots::Slots;
 use crate::timers::{TimerEvent, Timers};
 
 /// An agent on the node's own machine answers within milliseconds, or its service is down and it knows nothing new.
@@ -86,8 +87,7 @@
             clock,
             timers: Timers::default(),
             listener: Some(sources.listener),
-            queued_since: None,
-            last_accepted: Time(0),
+            accept_queue: AcceptQueue::default(),
             admin: sources.admin,
             handover: Handover::default(),
             membership: None,
@@ -99,16 +99,13 @@
             signals: sources.signals,
             reloads: sources.reloads,
             sockets: SocketTable::new(sources.reactor),
-            calls: Slots::default(),
-            client_ids: FxHashSet::default(),
+            calls: CallTable::default(),
             idle: VecDeque::new(),
             attempts_out: 0,
             hosts: HostTable::default(),
             list: EndpointListClient::default(),
-            list_failures: 0,
-            failed_probes: Vec::new(),
             node: None,
-            ended_attempts: VecDeque::new(),
+            reports: PendingReports::default(),
             read_buffer: vec![0; READ_SIZE],
             config,
         }
