--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -26,8 +26,8 @@
 }
 
 impl AcceptQueue {
-    /// When the last connection of a queue was accepted no event tells so, and whoever comes next would count as
-    /// having waited since. While connections wait, accepting is tried again within [`ACCEPT_AGAIN`].
+    /// When the last connection of a queue was accepted no event tells so, and whoever comes next would count
+    /// as having waited since. While connections wait, accepting is tried again within [`ACCEPT_AGAIN`].
     fn begin_accepting(&mut self, now: Time) {
         if now.since(self.last_accepted) > ACCEPT_AGAIN.times(2.0) {
             self.waiting_since = None;
@@ -69,8 +69,8 @@
         false
     }
 
-    /// The listening socket stays ready while nothing can be accepted, so it is not watched for a moment: the loop
-    /// would be busy for nothing.
+    /// The listening socket stays ready while nothing can be accepted, so it is not watched for a moment: the
+    /// loop would be busy for nothing.
     fn accept_later(&mut self) {
         self.accept_queue.waiting_since.get_or_insert(self.now);
         self.watch_for_clients(false);
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -42,8 +42,9 @@
         self.close_with_last_bytes(id, &line);
     }
 
-    /// Ends a connection after `bytes` have been sent. Closing with input unread would reset the connection, and the
-    /// answer could be lost with that: so sending is ended first, and what still comes is read for a while.
+    /// Ends a connection after `bytes` have been sent. Closing with input unread would reset the connection,
+    /// and the answer could be lost with that: so sending is ended first, and what still comes is read for a
+    /// while.
     pub fn close_with_last_bytes(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.role = SocketRole::Closing;
@@ -59,8 +60,8 @@
         self.flush_connection(id);
     }
 
-    /// Closes a closing connection that is over, or whose peer sends on without end, which would keep the core busy
-    /// for as long as it lingers.
+    /// Closes a closing connection that is over, or whose peer sends on without end, which would keep the
+    /// core busy for as long as it lingers.
     pub fn closing_progressed(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get(id.0) else { return };
         if socket.connection.is_over() || socket.connection.discarded > MAX_DISCARDED {
@@ -108,8 +109,8 @@
     /// The one check that a call's client is there, made wherever something new would go to a host for it.
     ///
     /// The client's end may lie in the socket behind its line, unread while the node was slow, the client not
-    /// accepted or its call waiting, and hosts would work for nobody. A client that has sent more did not wait for its
-    /// answer.
+    /// accepted or its call waiting, and hosts would work for nobody. A client that has sent more did not
+    /// wait for its answer.
     pub fn client_waits(&mut self, call: CallId) -> bool {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return false };
         let Some(client) = in_flight.client else { return false };
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -12,8 +12,8 @@
 impl Service {
     /// Closes the longest idle connections until `count` descriptors are free, and says whether they are.
     ///
-    /// Connections by the hundred that say nothing, or send `PING` and stay, or linger after their answer, would
-    /// otherwise take every descriptor while usual clients wait to be accepted.
+    /// Connections by the hundred that say nothing, or send `PING` and stay, or linger after their answer,
+    /// would otherwise take every descriptor while usual clients wait to be accepted.
     pub(super) fn make_room(&mut self, count: usize) -> bool {
         while self.descriptors() + count > self.config.descriptors {
             let Some((since, id)) = self.idle.front().copied() else { return false };
@@ -32,8 +32,8 @@
 
     /// Notes that a connection is of no use to a call from now on.
     pub(super) fn note_idle(&mut self, id: ConnectionId) {
-        // Entries of connections that are not idle any more leave the queue only at its front, so that one that
-        // stays would keep all of them.
+        // Entries of connections that are not idle any more leave the queue only at its front, so that one
+        // that stays would keep all of them.
         if self.idle.len() > 2 * self.config.descriptors {
             let mut idle = std::mem::take(&mut self.idle);
             idle.retain(|(since, id)| self.is_idle(*since, *id));
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Ends a connection that has opened nothing. Its line may have come in this very moment, so it is read first:
-    /// whoever opens gets an answer.
+    /// Ends a connection that has opened nothing. Its line may have come in this very moment, so it is read
+    /// first: whoever opens gets an answer.
     pub fn end_idle(&mut self, id: ConnectionId) {
         self.read_connection(id, Flags::IN);
         let Some(socket) = self.sockets.get(id.0) else { return };
@@ -76,9 +76,9 @@
         self.descriptors() + RESERVED_FOR_ATTEMPTS < self.config.descriptors
     }
 
-    /// Whether another call can be served. In a burst, connections that have not asked yet fill the table; counted
-    /// with them, all would be turned away though many could be served. So what counts is what the calls in flight
-    /// need, and that two descriptors are free now.
+    /// Whether another call can be served. In a burst, connections that have not asked yet fill the table;
+    /// counted with them, all would be turned away though many could be served. So what counts is what the
+    /// calls in flight need, and that two descriptors are free now.
     pub(super) fn has_room_for_call(&mut self) -> bool {
         let needed = self.committed_descriptors() + 2 + RESERVED_DESCRIPTORS;
         needed <= self.config.descriptors && self.make_room(2)
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -20,8 +20,8 @@
 /// How long a connection from before may take to be up at its host again; then its client is better off anew.
 const MAX_RETURN_TIME: Span = Span::ms(10_000);
 
-/// Clients that are turned away for want of descriptors come back after this at the latest, where clients are told a
-/// time.
+/// Clients that are turned away for want of descriptors come back after this at the latest, where clients are
+/// told a time.
 const MAX_BUSY_RETRY: Span = Span::ms(500);
 
 impl Service {
@@ -55,8 +55,8 @@
                 return;
             };
             let line: Vec<u8> = inbox.drain(..length).collect();
-            // A client waits after its line. One that sends hundreds at once, or goes on before a host has it, would
-            // have hosts work for calls that are then refused.
+            // A client waits after its line. One that sends hundreds at once, or goes on before a host has
+            // it, would have hosts work for calls that are then refused.
             if !inbox.is_empty() {
                 debug!("client did not wait for its answer");
                 return self.answer_client(id, Answer::Error);
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -198,8 +198,8 @@
     ///
     /// # Errors
     ///
-    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had been, nor
-    /// be the place from where a later line is counted.
+    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had
+    /// been, nor be the place from where a later line is counted.
     pub fn flush(&mut self) -> Result<(), Errno> {
         let flushed = self.send_outbox();
         if flushed.is_err() {
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -65,19 +65,19 @@
     }
 }
 
-/// Refused requests are put again after 1.2 s at the latest, which leaves time for three within the bound of the
-/// list's age.
+/// Refused requests are put again after 1.2 s at the latest, which leaves time for three within the bound of
+/// the list's age.
 const MAX_POLL_INTERVAL: Span = Span::ms(3_000);
 
-/// Where the list is pushed, only the node's own agent is asked, and what it has counts as known at once: refused
-/// requests are put again within a tenth of a second.
+/// Where the list is pushed, only the node's own agent is asked, and what it has counts as known at once:
+/// refused requests are put again within a tenth of a second.
 const PUSHED_POLL_INTERVAL: Span = Span::ms(250);
 
-/// The interval within which the decisions spread first requests and repeat refused ones; `None` if the settings say
-/// that the list is pushed.
+/// The interval within which the decisions spread first requests and repeat refused ones; `None` if the
+/// settings say that the list is pushed.
 ///
-/// Nothing comes unasked on sockets but what a watch brings, so a watch stands under either mode: a node that waited
-/// for a push would never hear of its hosts.
+/// Nothing comes unasked on sockets but what a watch brings, so a watch stands under either mode: a node that
+/// waited for a push would never hear of its hosts.
 pub fn poll_interval(settings: Option<Span>) -> Span {
     settings.map_or(PUSHED_POLL_INTERVAL, |interval| interval.min(MAX_POLL_INTERVAL))
 }
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -14,27 +14,28 @@
 
 const STATUS_OK: u16 = 200;
 
-/// A change is known this long after the list's service had it and could be reached, whatever failed meanwhile.
+/// A change is known this long after the list's service had it and could be reached, whatever failed
+/// meanwhile.
 ///
-/// This is the one bound on the list's age. A connection that died silently is noticed when its watch should have
-/// ended and was not answered; it is opened anew, and the answer to that may wait in the service's queue. Longer
-/// watches are noticed later, and calls would go to hosts that have drained long before.
+/// This is the one bound on the list's age. A connection that died silently is noticed when its watch should
+/// have ended and was not answered; it is opened anew, and the answer to that may wait in the service's
+/// queue. Longer watches are noticed later, and calls would go to hosts that have drained long before.
 const MAX_LIST_AGE: Span = Span::ms(6_000);
 
-/// How long a watch may wait: what the others leave of the bound. A request that comes at once after an answer goes
-/// on with the watch and costs the service little; after a pause it would be a new one, and hundreds of these are
-/// more than it bears.
+/// How long a watch may wait: what the others leave of the bound. A request that comes at once after an
+/// answer goes on with the watch and costs the service little; after a pause it would be a new one, and
+/// hundreds of these are more than it bears.
 const WATCH_WAIT: Span = Span::ms(1_200);
 
-/// Each watch waits a random part of [`WATCH_WAIT`], at least this: nodes whose watches end with one change would
-/// otherwise ask in step from then on.
+/// Each watch waits a random part of [`WATCH_WAIT`], at least this: nodes whose watches end with one change
+/// would otherwise ask in step from then on.
 const MIN_WATCH_FRACTION: f64 = 0.6;
 
 /// A watch whose wait is over is answered at once; after this its connection has fallen silent.
 const WATCH_TIMEOUT: Span = Span::ms(1_000);
 
-/// Answers wait in the service's queue for up to 3 s or fail there; after this nothing will come. A node that gave up
-/// sooner would ask again, the service would have done its work for nobody, and never catch up.
+/// Answers wait in the service's queue for up to 3 s or fail there; after this nothing will come. A node that
+/// gave up sooner would ask again, the service would have done its work for nobody, and never catch up.
 const REQUEST_TIMEOUT: Span = Span::ms(3_200);
 
 /// Left for the loop and the network; the grace that settings give comes on top.
@@ -56,16 +57,17 @@
         if self.list.watch.is_some() {
             return;
         }
-        // The first request does not wait: what is known may be old, and the answer says that the watch stands.
+        // The first request does not wait: what is known may be old, and the answer says that the watch
+        // stands.
         self.list.watch = self.open_list_connection(Span::ZERO);
         if self.list.watch.is_none() {
             self.reports.push(Report::WatchFailed);
         }
     }
 
-    /// The list's service is at another address now. The old watch ends here, which is no failure; hosts stay until
-    /// the new list. Versions are each service's own, so the old one's must not be asked from, and an answer of the
-    /// old service that is still on its way must not undo what the new one says.
+    /// The list's service is at another address now. The old watch ends here, which is no failure; hosts stay
+    /// until the new list. Versions are each service's own, so the old one's must not be asked from, and an
+    /// answer of the old service that is still on its way must not undo what the new one says.
     pub fn restart_watch(&mut self) {
         if let Some(id) = std::mem::take(&mut self.list).watch {
             self.close_connection(id);
@@ -105,8 +107,8 @@
         self.flush_connection(id);
     }
 
-    /// A request may have passed its deadline. A connection that falls silent is opened anew once; that is no refusal
-    /// yet, and nodes' connections do so at moments of their own.
+    /// A request may have passed its deadline. A connection that falls silent is opened anew once; that is no
+    /// refusal yet, and nodes' connections do so at moments of their own.
     pub fn list_timeout(&mut self, id: ConnectionId) {
         let Some(SocketRole::EndpointList(deadline)) = self.role(id) else { return };
         if self.now < deadline {
@@ -179,8 +181,9 @@
     /// Sends the next request before anything is done with the update, so that the watch goes on.
     fn handle_list(&mut self, id: ConnectionId, mut update: EndpointListUpdate, can_reuse: bool) {
         self.list.is_reopened = false;
-        // A service that began anew counts from the start again: its complete list is the newest there is, and a node
-        // that held on to its own version would never hear again. Changes to an older list are none.
+        // A service that began anew counts from the start again: its complete list is the newest there is,
+        // and a node that held on to its own version would never hear again. Changes to an older list are
+        // none.
         let is_complete = update.update == ListUpdate::Complete;
         let newer_index = self.list.index.filter(|known| !is_complete && update.index < *known);
         self.list.index = newer_index.or(Some(update.index));
@@ -215,8 +218,8 @@
         self.list.heard = true;
         let endpoints: Vec<Endpoint> =
             update.endpoints.iter().map(|endpoint| self.hosts.effective(endpoint)).collect();
-        // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and all
-        // waiting calls every second.
+        // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and
+        // all waiting calls every second.
         let was_established = std::mem::replace(&mut self.list.is_established, true);
         if !was_established || is_complete || !endpoints.is_empty() {
             let now = self.now;
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -72,8 +72,8 @@
             && attempt.may_send
             && !attempt.is_line_queued
         {
-            // A connection that comes up late, or an intent that is replicated late, would send a new call to a host
-            // that has begun to drain meanwhile. A call that was open there before belongs there.
+            // A connection that comes up late, or an intent that is replicated late, would send a new call to
+            // a host that has begun to drain meanwhile. A call that was open there before belongs there.
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if is_host_closed || !self.client_waits(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
@@ -94,8 +94,8 @@
         in_flight.line.encode(time_left, &mut socket.connection.outbox);
     }
 
-    /// Notes when the last byte of the line has been sent: before that the host cannot have run the call, after
-    /// that it may have.
+    /// Notes when the last byte of the line has been sent: before that the host cannot have run the call,
+    /// after that it may have.
     pub fn note_line_sent(&mut self, call: CallId) {
         let in_flight = self.calls.get_mut(call.0);
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.as_mut()) else { return };
@@ -129,8 +129,8 @@
         }
     }
 
-    /// The attempt of this number, if it is still out. A number may be given twice, to an attempt that was never sent
-    /// and to one that was, so whether a timer is due is checked against the attempt itself.
+    /// The attempt of this number, if it is still out. A number may be given twice, to an attempt that was
+    /// never sent and to one that was, so whether a timer is due is checked against the attempt itself.
     fn unanswered_attempt(&self, id: CallId, number: AttemptNumber) -> Option<&Attempt> {
         let in_flight = self.calls.get(id.0)?;
         if in_flight.stage.is_established() {
@@ -148,7 +148,8 @@
         self.end_attempt(id, outcome, None);
     }
 
-    /// The attempt of a call that is not open has ended; `answer` is the host's line to the client, if it is final.
+    /// The attempt of a call that is not open has ended; `answer` is the host's line to the client, if it is
+    /// final.
     pub fn end_attempt(&mut self, id: CallId, outcome: AttemptOutcome, answer: Option<&[u8]>) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = in_flight.attempt.take() else { return };
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -9,9 +9,10 @@
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// How long a host may bring nothing back on a connection on which the client has spoken. A healthy host answers
-/// within milliseconds, however crowded; this leaves room for TCP to send again three times (after 0.2, 0.4 and
-/// 0.8 s). Clients speak every 2 s: a vanished host's are migrated within 4 s, of the 7 s allowed.
+/// How long a host may bring nothing back on a connection on which the client has spoken. A healthy host
+/// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after
+/// 0.2, 0.4 and 0.8 s). Clients speak every 2 s: a vanished host's are migrated within 4 s, of the 7 s
+/// allowed.
 const HOST_SILENCE: Span = Span::ms(2_000);
 
 /// How the socket to a host is closed.
@@ -100,8 +101,8 @@
 }
 
 impl InFlightCall {
-    /// The client has spoken: notes that the host owes a line, and returns when to check that it has come, if no
-    /// timer is set for that yet.
+    /// The client has spoken: notes that the host owes a line, and returns when to check that it has come, if
+    /// no timer is set for that yet.
     pub fn note_client_spoke(&mut self, now: Time) -> Option<Time> {
         self.awaiting_host_since.get_or_insert(now);
         let had_timer = std::mem::replace(&mut self.has_silence_timer, true);
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -4,7 +4,7 @@
 use tracing::{debug, trace, warn};
 
 use super::MIGRATION_PERIOD;
-use crate::call::CallStage;
+use crate::call::{CallStage, InFlightCall};
 use crate::connection::{HIGH_WATER_MARK, ReadOutcome};
 use crate::metrics::Outcome;
 use crate::protocol::{self, HostMessage};
@@ -48,7 +48,8 @@
         self.settle();
     }
 
-    /// Goes through the complete lines in the inbox, until the connection is open and lines are relayed unread.
+    /// Goes through the complete lines in the inbox, until the connection is open and lines are relayed
+    /// unread.
     fn handle_host_lines(&mut self, id: ConnectionId, call: CallId) {
         while let Some(in_flight) = self.calls.get(call.0) {
             if in_flight.stage.is_established() {
@@ -112,8 +113,8 @@
         let number = attempt.number;
         let host = attempt.host;
         let setup_time = self.now.since(attempt.opened_at);
-        let decided_call = in_flight.call;
-        self.metrics.count(decided_call.traffic, Outcome::Success);
+        let established_call = in_flight.call;
+        self.metrics.count(established_call.traffic, Outcome::Success);
         let setup_ms = setup_time.0 / 1_000_000;
         debug!(call_id = call.0, attempt = number.0, host_id = host.0, setup_ms, "call established");
         if let Some(socket) = self.sockets.get_mut(client.0) {
@@ -124,7 +125,7 @@
         self.notify_successor(host);
         let now = self.now;
         if is_returning {
-            self.tell(|node, _| node.existing_connection(now, decided_call, host));
+            self.tell(|node, _| node.existing_connection(now, established_call, host));
         } else {
             self.tell(|node, port| node.attempt_established(now, call, number, setup_time, port));
         }
@@ -135,7 +136,8 @@
         self.schedule_late_migration(call);
     }
 
-    /// Hands all complete lines of an open connection to the client, and reads from them what concerns the node.
+    /// Hands all complete lines of an open connection to the client, and reads from them what concerns the
+    /// node.
     fn relay_to_client(&mut self, id: ConnectionId, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         let Some(client) = in_flight.client else { return };
@@ -153,18 +155,7 @@
         if let Some(since) = in_flight.awaiting_host_since.take() {
             trace!(call_id = call.0, took_us = self.now.since(since).0 / 1_000, "host answered");
         }
-        let mut last_load = None;
-        for line in inbox[..length].split_inclusive(|byte| *byte == b'\n') {
-            match HostMessage::parse(line) {
-                HostMessage::Load(load) => last_load = Some(load),
-                message @ (HostMessage::Bye | HostMessage::Move) => in_flight.final_message = Some(message),
-                HostMessage::Up
-                | HostMessage::Error
-                | HostMessage::Busy
-                | HostMessage::Pong
-                | HostMessage::Other => {}
-            }
-        }
+        let last_load = in_flight.read_relayed_lines(&inbox[..length]);
         if let Some(socket) = self.sockets.get_mut(client.0) {
             socket.connection.outbox.extend_from_slice(&inbox[..length]);
         }
@@ -182,3 +173,23 @@
         }
     }
 }
+
+impl InFlightCall {
+    /// Reads what concerns the node from lines that go to the client: notes `BYE` and `MOVE`, and returns the
+    /// last load that the host has told.
+    fn read_relayed_lines(&mut self, lines: &[u8]) -> Option<f64> {
+        let mut last_load = None;
+        for line in lines.split_inclusive(|byte| *byte == b'\n') {
+            match HostMessage::parse(line) {
+                HostMessage::Load(load) => last_load = Some(load),
+                message @ (HostMessage::Bye | HostMessage::Move) => self.final_message = Some(message),
+                HostMessage::Up
+                | HostMessage::Error
+                | HostMessage::Busy
+                | HostMessage::Pong
+                | HostMessage::Other => {}
+            }
+        }
+        last_load
+    }
+}
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -13,8 +13,8 @@
 const PROBE_TIMEOUT: Span = Span::ms(500);
 
 impl Service {
-    /// Probes a host. Probes go out by the dozen; one that found no descriptor would blame the host for what is this
-    /// node's fault, so then none is sent.
+    /// Probes a host. Probes go out by the dozen; one that found no descriptor would blame the host for what
+    /// is this node's fault, so then none is sent.
     pub fn open_probe(&mut self, host: HostId) {
         if !self.has_room_for_probe() {
             return;
--- a/crates/node/src/hosts/table.rs
+++ b/crates/node/src/hosts/table.rs
@@ -56,7 +56,8 @@
         draining
     }
 
-    /// What the decisions are told of an endpoint: a host that the fleet drains is draining, whatever the list says.
+    /// What the decisions are told of an endpoint: a host that the fleet drains is draining, whatever the
+    /// list says.
     pub fn effective(&self, endpoint: &Endpoint) -> Endpoint {
         let is_drained =
             endpoint.condition == Condition::Ready && self.drained_by_fleet.contains(&endpoint.host);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
 //! One node: the decisions of `glendeck` on real sockets.
 //!
-//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`Machine`] with injected
-//! faults. `service` has the event loop; `clients`, `hosts`, `endpoint_list`, `handover`, `peers` and `admin` each deal
-//! with one kind of peer.
+//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`Machine`] with
+//! injected faults. `service` has the event loop; `clients`, `hosts`, `endpoint_list`, `handover`, `peers`
+//! and `admin` each deal with one kind of peer.
 
 mod admin;
 mod call;
--- a/crates/node/src/protocol/host.rs
+++ b/crates/node/src/protocol/host.rs
@@ -21,7 +21,8 @@
     Other,
 }
 
-/// More than a million cores is no load, and sums of such would not be finite. In microseconds of work per second.
+/// More than a million cores is no load, and sums of such would not be finite. In microseconds of work per
+/// second.
 const MAX_LOAD_MICROSECONDS: f64 = 1e12;
 
 impl HostMessage {
--- a/crates/node/src/protocol/mod.rs
+++ b/crates/node/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! The line protocol that clients and hosts speak: ASCII lines that end in CRLF, each one typed message.
 //!
-//! `open` parses a connection's first line, `host` what hosts send, `answer` writes what the node itself says to
-//! clients. All other bytes pass through the node unread.
+//! `open` parses a connection's first line, `host` what hosts send, `answer` writes what the node itself says
+//! to clients. All other bytes pass through the node unread.
 
 mod answer;
 mod host;
@@ -104,8 +104,8 @@
 }
 
 impl OpenLine {
-    /// Writes the line as it goes to a host: unchanged, but with `wait`, the time that the node waits, in whole
-    /// milliseconds and at least one.
+    /// Writes the line as it goes to a host: unchanged, but with `wait`, the time that the node waits, in
+    /// whole milliseconds and at least one.
     pub fn encode(&self, wait: Span, buffer: &mut Vec<u8>) {
         let milliseconds = (wait.0 / 1_000_000).max(1);
         buffer.extend_from_slice(&self.bytes[..self.wait_range.start]);
--- a/crates/node/src/protocol/open.rs
+++ b/crates/node/src/protocol/open.rs
@@ -7,7 +7,8 @@
 use super::{ClientId, ClientMessage, Names, OpenLine, OpenRequest, ProtocolError};
 use crate::hash::hash_name;
 
-/// The longest that a client may say it waits, in milliseconds: a day. Connections from before a start say hours.
+/// The longest that a client may say it waits, in milliseconds: a day. Connections from before a start say
+/// hours.
 const MAX_WAIT_MILLISECONDS: f64 = 86_400_000.0;
 
 /// More than a million cores is no load. In milliseconds of work per second.
@@ -19,8 +20,8 @@
 impl ClientMessage {
     /// Parses a first line with its end.
     ///
-    /// It is strict: a line that is let through unread costs a host a connection and counts there as the host's
-    /// failure.
+    /// It is strict: a line that is let through unread costs a host a connection and counts there as the
+    /// host's failure.
     ///
     /// # Errors
     ///
--- a/crates/node/src/protocol/tests.rs
+++ b/crates/node/src/protocol/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the line protocol: which first lines are accepted, and every parsed and written form against a trace.
+//! Tests of the line protocol: which first lines are accepted, and every parsed and written form against a
+//! trace.
 
 use std::fmt::Write as _;
 use std::ops::Range;
--- a/crates/node/src/reactor.rs
+++ b/crates/node/src/reactor.rs
@@ -25,8 +25,8 @@
 /// The fleet's store has something to say.
 pub const STORE: u64 = u64::MAX - 6;
 
-/// Events taken at once; more are taken in the next turn. As many as a process usually has descriptors, so that admin
-/// requests are among them however many clients are ready.
+/// Events taken at once; more are taken in the next turn. As many as a process usually has descriptors, so
+/// that admin requests are among them however many clients are ready.
 const MAX_EVENTS: usize = 1024;
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
@@ -57,8 +57,8 @@
         epoll::add(&self.epoll, fd, epoll::EventData::new_u64(number), flags)
     }
 
-    /// Stops watching a descriptor whose socket another process holds too. Epoll watches the open socket, not this
-    /// process's descriptor of it: without this its events would go on after the close here.
+    /// Stops watching a descriptor whose socket another process holds too. Epoll watches the open socket, not
+    /// this process's descriptor of it: without this its events would go on after the close here.
     pub fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
     }
--- a/crates/node/src/service/clock.rs
+++ b/crates/node/src/service/clock.rs
@@ -6,8 +6,8 @@
 
 const NANOSECONDS_PER_SECOND: i128 = 1_000_000_000;
 
-/// Wall time at the start and monotonic time since: hosts tell their start in wall time, and what is due here must
-/// not jump with it.
+/// Wall time at the start and monotonic time since: hosts tell their start in wall time, and what is due here
+/// must not jump with it.
 pub struct Clock {
     start: Instant,
     wall_start: Time,
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -10,7 +10,8 @@
 impl Service {
     /// Serves as soon as a host is ready and nothing else has to be waited for.
     pub fn serve_if_ready(&mut self) {
-        // What an agent of the node's own has counts as known from the first moment, so its answer is waited for.
+        // What an agent of the node's own has counts as known from the first moment, so its answer is waited
+        // for.
         let needs_list = self.handover.follows() || self.config.list_is_pushed;
         let awaits_list = needs_list && !self.list.heard && !self.handover.waited;
         let must_wait = awaits_list || self.waits_for_fleet();
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -1,7 +1,7 @@
 //! A node as one object: its state, and the loop that hands events to the modules that deal with them.
 //!
-//! `start` sets it up, `lifecycle`, `drain` and `shutdown` move it from phase to phase, `sockets` has the table of
-//! its sockets, and `port` joins it to the decisions.
+//! `start` sets it up, `lifecycle`, `drain` and `shutdown` move it from phase to phase, `sockets` has the
+//! table of its sockets, and `port` joins it to the decisions.
 
 mod clock;
 mod drain;
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -96,8 +96,8 @@
         self.open_probe(host);
     }
 
-    /// The watch brings whatever changes, and a lost one is opened again within its bound. A second request beside
-    /// it would tell nothing more, and be one for each node that doubts.
+    /// The watch brings whatever changes, and a lost one is opened again within its bound. A second request
+    /// beside it would tell nothing more, and be one for each node that doubts.
     fn fetch_endpoints(&mut self) {}
 
     fn watch_endpoints(&mut self) {
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -14,8 +14,8 @@
 /// The front goes on sending new clients for up to 0.4 s after the node was told to leave.
 const CLIENTS_COME_AFTER_TERM: Span = Span::ms(450);
 
-/// After this nobody comes, and the listening socket closes. Where the successor listens beside this process, the
-/// kernel would go on dealing connections to both.
+/// After this nobody comes, and the listening socket closes. Where the successor listens beside this process,
+/// the kernel would go on dealing connections to both.
 const STOP_ACCEPTING: Span = Span::ms(600);
 
 /// A drained node exits this long after it stops accepting.
@@ -36,13 +36,13 @@
 /// The last clients are migrated this long before the exit, so that their connections can end in order.
 pub(super) const LAST_MIGRATIONS: Span = Span::ms(500);
 
-/// After its last answers the process waits this long for its clients to end: the platform kills 0.3 s after the
-/// last answers, at the soonest.
+/// After its last answers the process waits this long for its clients to end: the platform kills 0.3 s after
+/// the last answers, at the soonest.
 const FLUSH: Span = Span::ms(150);
 
-/// All clients are migrated within this time before the last ones: as much as those of a leaving host get, so that
-/// setups elsewhere are spread. They do not go earlier, as in a rolling restart the node restarted before this one
-/// may not be back yet, and they would have nowhere to go.
+/// All clients are migrated within this time before the last ones: as much as those of a leaving host get, so
+/// that setups elsewhere are spread. They do not go earlier, as in a rolling restart the node restarted
+/// before this one may not be back yet, and they would have nowhere to go.
 const MIGRATIONS: Span = Span::ms(1_000);
 
 impl Service {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A call that opens while the node sends its clients away is migrated with the last ones, each at a random
-    /// moment: those that are sent away together come back together.
+    /// A call that opens while the node sends its clients away is migrated with the last ones, each at a
+    /// random moment: those that are sent away together come back together.
     pub fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
@@ -116,8 +116,8 @@
         self.timers.set(due, event);
     }
 
-    /// The front sends nobody any more. Connections that wait in the listening socket's queue would be reset by
-    /// its close, so all of them are accepted first, as descriptors become free.
+    /// The front sends nobody any more. Connections that wait in the listening socket's queue would be reset
+    /// by its close, so all of them are accepted first, as descriptors become free.
     pub(super) fn stop_accepting(&mut self) {
         if !matches!(self.phase, Phase::Leaving { .. }) || self.handover.is_replaced() {
             return;
@@ -129,8 +129,8 @@
         self.listener = None;
     }
 
-    /// Answers all calls. When the process ends, bytes that are not sent are lost, and bytes that are not read reset
-    /// their connection and with that the answer before them; hence [`Phase::Flushing`].
+    /// Answers all calls. When the process ends, bytes that are not sent are lost, and bytes that are not
+    /// read reset their connection and with that the answer before them; hence [`Phase::Flushing`].
     pub(super) fn exit(&mut self) {
         if matches!(self.phase, Phase::Flushing | Phase::Left) {
             return;
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -15,9 +15,9 @@
 use crate::slots::Slots;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 
-/// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the successor,
-/// one to accept with or to read the configuration from, and one for the endpoint list. Without the last, a list
-/// that is lost while idle clients hold every descriptor could not be asked for again.
+/// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the
+/// successor, one to accept with or to read the configuration from, and one for the endpoint list. Without
+/// the last, a list that is lost while idle clients hold every descriptor could not be asked for again.
 const OWN_DESCRIPTORS: usize = 12;
 
 /// Sockets with their ids, each watched by the reactor as long as it is in the table.
@@ -89,7 +89,8 @@
         self.close(id);
     }
 
-    /// Closes this process's descriptor of a socket that another process has too: the connection goes on there.
+    /// Closes this process's descriptor of a socket that another process has too: the connection goes on
+    /// there.
     pub fn abandon(&mut self, id: ConnectionId) {
         if let Some(socket) = self.entries.get(id.0) {
             self.reactor.remove(&socket.connection.fd);
@@ -176,7 +177,8 @@
         self.reserved_descriptors() + self.handover.other_uses + 2 * self.calls.len()
     }
 
-    /// What the node needs for itself, for its peers, and for the admin interface however many clients there are.
+    /// What the node needs for itself, for its peers, and for the admin interface however many clients there
+    /// are.
     fn reserved_descriptors(&self) -> usize {
         let peers = self.membership.as_ref().map_or(0, |membership| membership.descriptors());
         let admin = if self.admin.listener.is_some() { 1 + CALLERS } else { 0 };
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -25,7 +25,8 @@
 use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
 use crate::timers::{TimerEvent, Timers};
 
-/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows nothing new.
+/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows
+/// nothing new.
 const AGENT_TIMEOUT: Span = Span::ms(1_000);
 
 /// The listening sockets and the signals, watched by a reactor.
@@ -60,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be joined.
+    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be
+    /// joined.
     pub fn start(mut config: NodeConfig, machine: crate::Machine) -> Result<Service, ServiceError> {
         let inherited = Inherited::ask(&config);
         let configured_list = config.known.take();
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -9,8 +9,9 @@
 
 /// Entries by number.
 ///
-/// A number has the entry's slot in its low bits and above that a serial, which rises with every entry: so an event or a
-/// timer of an entry that has gone cannot reach the one that took over its slot, and the lower number is the older.
+/// A number has the entry's slot in its low bits and above that a serial, which rises with every entry: so an
+/// event or a timer of an entry that has gone cannot reach the one that took over its slot, and the lower
+/// number is the older.
 pub struct Slots<T> {
     entries: Slab<Entry<T>>,
     last_serial: u64,
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -62,8 +62,8 @@
 
 /// An ordered set of events with their times.
 ///
-/// Events of the same time come in the order in which they were set. None is removed early: what an event names
-/// has ended by then or is found not to be due, and ids are never used twice.
+/// Events of the same time come in the order in which they were set. None is removed early: what an event
+/// names has ended by then or is found not to be due, and ids are never used twice.
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Time, u64, T)>>,
     /// How many events were ever set.
--- a/crates/node/tests/sockets/admin.rs
+++ b/crates/node/tests/sockets/admin.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Every call was answered once or waits, and nothing was counted that no stand-in saw. Scenarios that write calls
-    /// by other means than `opens`, or have more than one process, are not held to it.
+    /// Every call was answered once or waits, and nothing was counted that no stand-in saw. Scenarios that
+    /// write calls by other means than `opens`, or have more than one process, are not held to it.
     pub fn check_metrics(&mut self) {
         if !self.predecessors.is_empty() || !matches!(self.process.child.try_wait(), Ok(None)) {
             return;
--- a/crates/node/tests/sockets/connection.rs
+++ b/crates/node/tests/sockets/connection.rs
@@ -63,8 +63,8 @@
 
 /// An address that stays this run's own.
 ///
-/// It is bound and never listened at: nodes share their port, so one that was only free a moment ago may be another
-/// run's by now, and each would get the other's clients.
+/// It is bound and never listened at: nodes share their port, so one that was only free a moment ago may be
+/// another run's by now, and each would get the other's clients.
 pub struct ReservedAddress {
     pub address: SocketAddr,
     _socket: OwnedFd,
--- a/crates/node/tests/sockets/discovery.rs
+++ b/crates/node/tests/sockets/discovery.rs
@@ -159,8 +159,8 @@
         });
     }
 
-    /// Counts versions from the start again, as soon as the node has heard all: a version that it still stands at
-    /// would come again and mean another list.
+    /// Counts versions from the start again, as soon as the node has heard all: a version that it still
+    /// stands at would come again and mean another list.
     pub fn restart_versions(&self) {
         let is_behind = |registry: &mut Registry| registry.last_requested_after != Some(registry.index);
         let waited = self.shared.changed.wait_timeout_while(self.shared.lock(), PATIENCE, is_behind).unwrap();
--- a/crates/node/tests/sockets/peers.rs
+++ b/crates/node/tests/sockets/peers.rs
@@ -62,26 +62,33 @@
     }
 
     pub fn play_peer(&mut self, side: &str, name: &str, words: &[&str]) {
-        match words {
-            ["connects"] if side == "client" => {
+        match (side, words) {
+            ("client", ["connects"]) => {
                 let client = self.connect();
                 self.clients.insert(name.to_owned(), client);
                 self.restart_timer();
             }
-            ["opens", rest @ ..] if side == "client" => self.open_client(name, rest),
-            ["finishes", rest] if side == "client" => {
+            ("client", ["opens", rest @ ..]) => self.open_client(name, rest),
+            ("client", ["finishes", rest]) => {
                 self.tally.opened += 1;
                 self.connection("client", name).send(format!("{rest}\r\n").as_bytes());
                 self.restart_timer();
             }
-            ["gone"] if side == "host" => drop(self.hosts.remove(name)),
-            ["full"] if side == "host" => self.fill_host_queue(name),
-            ["takes", client] if side == "host" => {
+            ("host", ["gone"]) => drop(self.hosts.remove(name)),
+            ("host", ["full"]) => self.fill_host_queue(name),
+            ("host", ["takes", client]) => {
                 // What came after the queue was full comes up now, and is not read yet.
                 drop(self.accept(name));
                 let connection = self.accept(name);
                 self.attempts.insert((*client).to_owned(), connection);
             }
+            _ => self.play_connection(side, name, words),
+        }
+    }
+
+    /// What either end of a client's connection does.
+    fn play_connection(&mut self, side: &str, name: &str, words: &[&str]) {
+        match words {
             ["writes", rest @ ..] => self.connection(side, name).send(rest.join(" ").as_bytes()),
             ["says", rest @ ..] => {
                 self.connection(side, name).send(format!("{}\r\n", rest.join(" ")).as_bytes());
@@ -173,8 +180,8 @@
         }
     }
 
-    /// Sends far more than the node may keep while the host does not read: the node must stop reading, and lose
-    /// nothing.
+    /// Sends far more than the node may keep while the host does not read: the node must stop reading, and
+    /// lose nothing.
     pub fn flood(&mut self, name: &str, kib: &str) {
         let kib: usize = kib.parse().unwrap();
         let mut client = self.clients[name].stream().try_clone().unwrap();
--- a/crates/node/tests/sockets/processes.rs
+++ b/crates/node/tests/sockets/processes.rs
@@ -12,8 +12,9 @@
 use crate::front::SteadyFront;
 use crate::world::{NodeProcess, World};
 
-/// A process that is told to end has exited by now: the longest deadline of the scenarios' settings (1.5 s), what the
-/// node adds to that (0.4 s) and the time to send its last answers (0.15 s), with room for a busy machine.
+/// A process that is told to end has exited by now: the longest deadline of the scenarios' settings (1.5 s),
+/// what the node adds to that (0.4 s) and the time to send its last answers (0.15 s), with room for a busy
+/// machine.
 const EXIT_LIMIT: Duration = Duration::from_millis(2_500);
 
 impl World {
@@ -136,7 +137,8 @@
     }
 }
 
-/// Applies `/path/to/key=value`; for the key `-`, inserts a copy of a list's first item of this name before the others.
+/// Applies `/path/to/key=value`; for the key `-`, inserts a copy of a list's first item of this name before
+/// the others.
 fn change_setting(settings: &mut Value, change: &str) {
     let (path, value) = change.split_once('=').unwrap();
     let (parent, key) = path.rsplit_once('/').unwrap();
