--- /dev/null
+++ b/crates/node/src/admin/mod.rs
@@ -0,0 +1,178 @@
+//! The admin interface: HTTP for operators, one request a connection.
+//!
+//! This module accepts its callers and reads their requests; [`routes`] has the paths, [`reply`] the responses.
+
+pub mod reply;
+mod routes;
+#[cfg(test)]
+mod tests;
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+use glendeck::domain::Span;
+use rustix::io::Errno;
+use rustix::net::{self, SocketFlags};
+use tracing::{debug, warn};
+
+use self::reply::Reply;
+use crate::clients::ACCEPT_AGAIN;
+use crate::connection::{self, Connection, ReadOutcome};
+use crate::http::{Incoming, Method};
+use crate::reactor::ADMIN;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
+
+/// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back from
+/// the clients, so there are not more.
+pub const CALLERS: usize = 12;
+
+/// A caller that has not sent its request by then, or has not taken the reply, is dropped.
+const CALLER_TIMEOUT: Span = Span::ms(5_000);
+
+/// Bytes that a caller may send after its request before it is cut off.
+const MAX_DISCARDED: usize = 64 << 10;
+
+/// One connection to the admin interface.
+pub struct Caller {
+    id: ConnectionId,
+    incoming: Incoming,
+    /// Its reply is on its way.
+    is_answered: bool,
+}
+
+/// The listening socket for operators, if there is one, and its callers, the one that has waited longest first.
+#[derive(Default)]
+pub struct AdminServer {
+    /// The listening socket, if an address is configured.
+    pub listener: Option<OwnedFd>,
+    /// Those who are connected.
+    pub callers: VecDeque<Caller>,
+}
+
+impl AdminServer {
+    /// Listens on this address, if there is one.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the address and the cause if it cannot listen there.
+    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, (SocketAddr, Errno)> {
+        let listener = address.map(|address| connection::listen(address).map_err(|cause| (address, cause)));
+        Ok(AdminServer { listener: listener.transpose()?, callers: VecDeque::new() })
+    }
+}
+
+impl Service {
+    /// Whether an event of this number is the admin interface's.
+    pub fn is_admin_socket(&self, number: u64) -> bool {
+        number == ADMIN || self.role(ConnectionId(number)) == Some(SocketRole::Admin)
+    }
+
+    /// Accepts who waits at the admin interface.
+    pub fn accept_callers(&mut self) {
+        for _ in 0..CALLERS {
+            let Some(listener) = &self.admin.listener else { return };
+            match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
+                Ok(socket) => self.add_caller(socket),
+                Err(Errno::INTR | Errno::CONNABORTED) => {}
+                Err(Errno::AGAIN) => return,
+                Err(cause) => {
+                    // While accepting fails the socket stays ready, and the event loop would spin.
+                    warn!(%cause, "cannot accept connections to the admin interface");
+                    self.watch_admin(false);
+                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
+                }
+            }
+        }
+    }
+
+    fn add_caller(&mut self, socket: OwnedFd) {
+        self.make_place();
+        let connection = Connection::new(socket, false);
+        let Some(id) = self.add_connection(connection, SocketRole::Admin) else { return };
+        self.admin.callers.push_back(Caller { id, incoming: Incoming::default(), is_answered: false });
+        self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
+    }
+
+    /// Drops callers while there are too many, or some that finish no request would keep the others out. First goes
+    /// one whose reply has been sent; else the oldest without a whole request; else the oldest.
+    fn make_place(&mut self) {
+        while self.admin.callers.len() >= CALLERS {
+            let has_reply_sent = |caller: &Caller| {
+                self.sockets.get(caller.id.0).is_none_or(|entry| entry.connection.unsent() == 0)
+            };
+            let callers = &self.admin.callers;
+            let done = callers.iter().position(|caller| caller.is_answered && has_reply_sent(caller));
+            let unfinished = callers.iter().position(|caller| !caller.is_answered);
+            let Some(caller) = callers.get(done.or(unfinished).unwrap_or(0)) else { return };
+            self.drop_caller(caller.id);
+        }
+    }
+
+    /// Closes a caller's connection.
+    pub fn drop_caller(&mut self, id: ConnectionId) {
+        if self.role(id) == Some(SocketRole::Admin) {
+            self.admin.callers.retain(|caller| caller.id != id);
+            self.close_connection(id);
+        }
+    }
+
+    /// Drops a caller whose reply has gone and who has ended its side, or sends on without end.
+    pub fn caller_over(&mut self, id: ConnectionId) {
+        let Some(entry) = self.sockets.get(id.0) else { return };
+        if entry.connection.is_over() || entry.connection.discarded > MAX_DISCARDED {
+            self.drop_caller(id);
+        }
+    }
+
+    /// Handles what a caller has sent, or its end.
+    pub fn caller_came(&mut self, id: ConnectionId, got: ReadOutcome) {
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        let Some(entry) = self.sockets.get_mut(id.0) else { return };
+        match got {
+            ReadOutcome::NothingYet => {}
+            ReadOutcome::End if caller.is_answered => self.caller_over(id),
+            // Half a request needs no reply.
+            ReadOutcome::End => self.drop_caller(id),
+            ReadOutcome::Bytes(length) if caller.is_answered => {
+                entry.connection.discarded += length;
+                self.caller_over(id);
+            }
+            ReadOutcome::Bytes(length) => {
+                entry.connection.inbox.extend_from_slice(&self.read_buffer[..length]);
+                self.read_request(id);
+            }
+        }
+    }
+
+    fn read_request(&mut self, id: ConnectionId) {
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        let Some(entry) = self.sockets.get_mut(id.0) else { return };
+        match caller.incoming.read(&mut entry.connection.inbox) {
+            Ok(None) => {}
+            Ok(Some(request)) => {
+                if let Some(reply) = self.handle_request(id, &request) {
+                    self.send_reply(id, &reply, request.method != Method::Head);
+                }
+            }
+            Err(cause) => {
+                debug!(%cause, "unreadable request at the admin interface");
+                self.send_reply(id, &Reply::from(cause), true);
+            }
+        }
+    }
+
+    /// Sends a reply, after which the caller's connection ends.
+    pub fn send_reply(&mut self, id: ConnectionId, reply: &Reply, with_body: bool) {
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        caller.is_answered = true;
+        if let Some(entry) = self.sockets.get_mut(id.0) {
+            reply.encode(with_body, &mut entry.connection.outbox);
+            entry.connection.inbox = Vec::new();
+            entry.connection.finish = true;
+        }
+        self.flush_connection(id);
+    }
+}
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -18,8 +18,8 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
+use glendeck::Node;
 use glendeck::domain::{AttemptOutcome, Span, Time};
-use glendeck::rules::Node;
 use nanorand::{Rng, WyRand};
 use rustix::io::Errno;
 
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -1,8 +1,8 @@
 //! The port on which the decisions act, and what they are told.
 
+use glendeck::Node;
 use glendeck::domain::{AttemptNumber, AttemptOutcome, CallId, HostId, NodeSnapshot, Span, Time, TimerToken};
 use glendeck::port::Port;
-use glendeck::rules::Node;
 use tracing::debug;
 
 use super::Service;
@@ -38,7 +38,7 @@
 
     /// Whether the decisions send nothing to a host now.
     pub fn avoids(&self, host: HostId) -> bool {
-        self.node.as_ref().is_some_and(|node| node.avoids(host))
+        self.node.as_ref().is_some_and(|node| node.is_ejected(host))
     }
 
     /// The decisions are told of the end of an attempt when they are next settled.
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -12,7 +12,7 @@
 use glendeck_takeover::{
     Action, Attempt, Outcome, PriorAttempt, ReplicaHandover, ReplicaMessage, Takeover, View, WorkId,
 };
-use serde_json::{Value, json};
+use serde::Serialize;
 use tracing::{debug, info, warn};
 
 use crate::call::InFlightCall;
@@ -91,16 +91,48 @@
         self.takeover.view()
     }
 
-    pub fn metrics(&self, now: Timestamp) -> Value {
-        let Counts { kept, unkept, looked, taken_over, given_up, raced } = self.counts;
-        json!({
-            "records_held": self.takeover.replica.held(), "in_hand": self.takeover.owner.in_hand(),
-            "keeps": self.hears, "remembers": self.takeover.replica.remembers(now), "intents_kept": kept, "intents_not_kept": unkept, "repeats_looked_up": looked,
-            "repeats_after_a_record": taken_over, "repeats_given_up": given_up, "met_elsewhere": raced,
-        })
+    /// The metrics of replicated work.
+    pub fn metrics(&self, now: Timestamp) -> WorkMetrics {
+        WorkMetrics {
+            records_held: self.takeover.replica().record_count(),
+            in_hand: self.takeover.owner().call_count(),
+            keeps: self.hears,
+            remembers: self.takeover.replica().has_full_history(now),
+            intents_kept: self.counts.kept,
+            intents_not_kept: self.counts.unkept,
+            repeats_looked_up: self.counts.looked,
+            repeats_after_a_record: self.counts.taken_over,
+            repeats_given_up: self.counts.given_up,
+            met_elsewhere: self.counts.raced,
+        }
     }
 }
 
+/// Metrics of replicated work, under the names that the admin interface shows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct WorkMetrics {
+    /// Records that this node stores for others' calls.
+    pub records_held: usize,
+    /// This node's calls that others store intents of.
+    pub in_hand: usize,
+    /// Whether this node stores intents for others now.
+    pub keeps: bool,
+    /// Whether this node answers for what has been before a repeat.
+    pub remembers: bool,
+    /// Attempts that went after their intent was replicated.
+    pub intents_kept: u64,
+    /// Attempts that did not go, as their intent was not replicated.
+    pub intents_not_kept: u64,
+    /// Repeats that were looked up.
+    pub repeats_looked_up: u64,
+    /// Repeats of which a record was found.
+    pub repeats_after_a_record: u64,
+    /// Repeats that failed, as nobody could say what had been before them.
+    pub repeats_given_up: u64,
+    /// Calls whose work turned out to be in flight at another node.
+    pub met_elsewhere: u64,
+}
+
 /// As the file holds it, from which process by the store's count.
 ///
 /// Danger: a disk that turns a bit over makes a record another work's, and this replica would forget one that it swears by.
@@ -146,7 +178,7 @@
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
         what(&mut work.takeover, now);
-        let actions = work.takeover.take_all();
+        let actions = work.takeover.take_actions();
         if self.is_deciding() {
             // Danger: what is told to decisions that are out of their place is lost.
             return self.work().map_or((), |work| work.pending.extend(actions));
@@ -156,7 +188,7 @@
 
     pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
-            self.tell_work(|takeover, now| takeover.heard(now, peer, message));
+            self.tell_work(|takeover, now| takeover.message_received(now, peer, message));
         }
     }
 
@@ -171,7 +203,7 @@
                 if let Some(left) = work.inherits.take() {
                     work.takeover.restore(now, left);
                     info!(
-                        records = work.takeover.replica.held(),
+                        records = work.takeover.replica().record_count(),
                         "takes over what the process before kept for others"
                     );
                 }
@@ -186,7 +218,8 @@
             (work.applied, work.hears) = (state.applied, hears);
             let voter_slots = state.voter_slots.iter().map(|voter_slot| voter_slot.name.clone()).collect();
             let terms = state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect();
-            work.takeover.agreed(now, View { voter_slots, version: state.voter_slots_changed, hears, terms });
+            let version = state.voter_slots_changed;
+            work.takeover.membership_changed(now, View { voter_slots, version, hears_leader: hears, terms });
         }
         self.tell_work(Takeover::tick);
     }
@@ -213,7 +246,7 @@
         let Some(membership) = &mut self.membership else { return };
         let Some(folder) = &membership.folder else { return };
         let Some(work) = &mut membership.work else { return };
-        let left = (membership.fleet.boot_count().0, work.takeover.leave(now));
+        let left = (membership.fleet.boot_count().0, work.takeover.hand_over(now));
         let (fresh, path) = (folder.join("work.new"), folder.join(LEFT));
         let write = || -> std::io::Result<()> {
             let mut file = std::fs::File::create(&fresh)?;
@@ -255,7 +288,7 @@
         if let Some(work) = self.work() {
             work.counts.looked += 1;
         }
-        self.tell_work(|takeover, now| takeover.returned(now, call.0, work, left.0 / 1_000_000));
+        self.tell_work(|takeover, now| takeover.call_repeated(now, call.0, work, left.0 / 1_000_000));
     }
 
     /// The attempt that was just opened waits until its intent is kept; its connection comes up meanwhile.
@@ -271,21 +304,17 @@
         };
         let latest = (recalled.min(attempt.deadline) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
         let host = attempt.host.0;
-        let ran = kept.ran.map(|(host, at)| (host.0, self.timestamp_of(at)));
-        let attempt =
-            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.timestamp_of(latest.0) };
-        self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
-    }
-
-    fn timestamp_of(&self, time: Time) -> Timestamp {
-        self.membership.as_ref().map_or(Timestamp(0), |membership| Timestamp(time.since(membership.began).0))
+        let prior = kept.ran.map(|(host, at)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(at) });
+        let send_before = self.timestamp_of(latest.0);
+        let attempt = Attempt { work: kept.work, host, prior, remaining_ms: latest.1, send_before };
+        self.tell_work(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
     }
 
     /// The call is over here, or has its answer.
     pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
         let Some(kept) = kept else { return };
         let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
-        self.tell_work(|takeover, now| takeover.ended(now, call.0, outcome));
+        self.tell_work(|takeover, now| takeover.call_ended(now, call.0, outcome));
     }
 
     fn do_for_work(&mut self, action: Action) {
@@ -363,7 +392,7 @@
 
     fn place_again(&mut self, call: CallId, before: Option<PriorAttempt>) {
         let (began, now) = (self.membership.as_ref().map_or(self.now, |of| of.began), self.now);
-        let before = before.map(|before| (HostId(before.host), began + Span(before.at.0)));
+        let before = before.map(|before| (HostId(before.host), began + Span(before.sent_at.0)));
         if let Some(work) = self.work().filter(|_| before.is_some()) {
             work.counts.taken_over += 1;
         }
@@ -381,3 +410,5 @@
         self.tell(|node, port| node.call_arrived(now, call, port));
     }
 }
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -6,10 +6,10 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::warm_state::{
-    Hint, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
+    Hint, HintValue, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
 };
 use nanorand::Rng;
-use serde_json::{Value, json};
+use serde::Serialize;
 use tracing::{debug, info};
 
 use crate::lifecycle::Phase;
@@ -38,12 +38,24 @@
         }
     }
 
-    pub fn metrics(&self) -> Value {
-        let (nodes, known) = self.estates.held();
-        json!({"nodes": nodes, "known": known, "lost_expected": self.expected})
+    /// The metrics of warm state.
+    pub fn metrics(&self) -> WarmStateMetrics {
+        let (nodes, known) = (self.estates.node_count(), self.estates.hint_count());
+        WarmStateMetrics { nodes, known, lost_expected: self.expected }
     }
 }
 
+/// Metrics of warm state, under the names that the admin interface shows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct WarmStateMetrics {
+    /// Nodes whose warm state is held here.
+    pub nodes: usize,
+    /// Hints that are held of them.
+    pub known: usize,
+    /// Lost nodes whose clients were expected here.
+    pub lost_expected: u64,
+}
+
 /// To an eighth of its power of two: a load that wavers is no news.
 fn rounded(load: f64) -> u32 {
     let micro = (load * 1e6) as u32;
@@ -77,7 +89,7 @@
             // Danger: a fleet that was started together would say it in step.
             of.next = now + EVERY.times(0.9 + 0.2 * f64::from(membership.chance.generate::<f32>()));
             of.parting = parting;
-            acts = of.estates.tell(timestamp, hints, parting, work.view(), &linked);
+            acts = of.estates.publish(timestamp, hints, parting, work.view(), &linked);
         }
         acts.extend(of.estates.tick(timestamp, &linked));
         self.carry_out_warm_state(acts);
@@ -87,7 +99,7 @@
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
-        let acts = of.estates.heard(timestamp, peer, said, work.view());
+        let acts = of.estates.message_received(timestamp, peer, said, work.view());
         self.carry_out_warm_state(acts);
     }
 
@@ -95,16 +107,16 @@
         for act in acts {
             match act {
                 WarmStateAction::Send(to, said) => self.send_peer(&to, &Frame::WarmState(said)),
-                WarmStateAction::Adopt(of, hints) => self.adopt_warm_state(&of, hints),
+                WarmStateAction::Adopt { node, hints } => self.adopt_warm_state(&node, hints),
             }
         }
     }
 
-    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<(Hint, u32)>) {
+    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<HintValue>) {
         info!(%of, known = hints.len(), "has gone: its clients are expected");
         let mut back = Back::default();
-        for (known, value) in hints {
-            match known {
+        for HintValue { hint, value } in hints {
+            match hint {
                 Hint::Home { group, host } => back.homes.push((GroupId(group), HostId(host))),
                 Hint::Load { subject } => back.loads.push((SubjectId(subject), f64::from(value) / 1e6)),
             }
