--- a/crates/node/tests/sockets/connection.rs
+++ b/crates/node/tests/sockets/connection.rs
@@ -71,11 +71,17 @@
 }
 
 impl ReservedAddress {
+    /// Any free address.
     pub fn new() -> ReservedAddress {
+        ReservedAddress::at(SocketAddr::from(([127, 0, 0, 1], 0)))
+    }
+
+    /// This address, at which nobody may listen.
+    pub fn at(address: SocketAddr) -> ReservedAddress {
         let socket = net::socket(net::AddressFamily::INET, net::SocketType::STREAM, None).unwrap();
         sockopt::set_socket_reuseaddr(&socket, true).unwrap();
         sockopt::set_socket_reuseport(&socket, true).unwrap();
-        net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        net::bind(&socket, &address).unwrap();
         let address = SocketAddr::try_from(net::getsockname(&socket).unwrap()).unwrap();
         ReservedAddress { address, _socket: socket }
     }
--- a/crates/node/tests/sockets/peers.rs
+++ b/crates/node/tests/sockets/peers.rs
@@ -7,7 +7,7 @@
 use rustix::net;
 
 use crate::PATIENCE;
-use crate::connection::Connection;
+use crate::connection::{Connection, ReservedAddress};
 use crate::world::World;
 
 /// A line of 1 KiB with its end.
@@ -74,7 +74,7 @@
                 self.connection("client", name).send(format!("{rest}\r\n").as_bytes());
                 self.restart_timer();
             }
-            ("host", ["gone"]) => drop(self.hosts.remove(name)),
+            ("host", ["gone"]) => self.close_host(name),
             ("host", ["full"]) => self.fill_host_queue(name),
             ("host", ["takes", client]) => {
                 // What came after the queue was full comes up now, and is not read yet.
@@ -131,6 +131,15 @@
         drop(connections.remove(name));
     }
 
+    /// The host's listening socket closes. Its address stays this run's own, or the node could meet a socket of another
+    /// scenario there.
+    fn close_host(&mut self, name: &str) {
+        let listener = self.hosts.remove(name).unwrap();
+        let address = listener.local_addr().unwrap();
+        drop(listener);
+        self.reserved.push(ReservedAddress::at(address));
+    }
+
     /// What connects to the host now comes up later.
     fn fill_host_queue(&mut self, name: &str) {
         net::listen(&self.hosts[name], 0).unwrap();
--- a/crates/node/tests/sockets/world.rs
+++ b/crates/node/tests/sockets/world.rs
@@ -78,6 +78,8 @@
     listen: ReservedAddress,
     pub discovery: Discovery,
     pub hosts: HashMap<String, TcpListener>,
+    /// Addresses of hosts that have gone.
+    pub reserved: Vec<ReservedAddress>,
     pub clients: HashMap<String, Connection>,
     /// The hosts' ends of attempts, by the client's name.
     pub attempts: HashMap<String, Connection>,
@@ -132,6 +134,7 @@
             listen,
             discovery,
             hosts,
+            reserved: vec![],
             clients: HashMap::new(),
             attempts: HashMap::new(),
             timer_start: Instant::now(),
