--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -1,10 +1,13 @@
 //! What happens to calls and attempts, as the host of the node reports it.
 
-use super::{Node, QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
-use crate::domain::{AttemptNumber, AttemptOutcome, Call, CallId, HostId, News, Span, Time, TimerToken};
+use super::Node;
+use crate::domain::{
+    AttemptNumber, AttemptOutcome, AttemptReport, Call, CallId, HostId, Span, Time, TimerToken,
+};
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 use crate::state::host::HostIndex;
+use crate::state::timers::{QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
 
 /// A queue timer that fires so much early counts as due.
 const TIMER_TOLERANCE: Span = Span(1000);
@@ -14,7 +17,7 @@
     pub fn call_arrived(&mut self, now: Time, call: Call, port: &mut dyn Port) {
         self.now = now;
         self.retries.record_call(&self.settings, now);
-        self.traffic.new_clients += u32::from(!call.returning && !call.mid_flow);
+        self.traffic.new_clients += u32::from(!call.is_returning && !call.is_mid_flow);
         let call_index = self.admit(call);
         if self.exceeds_remaining_capacity(call_index) {
             return self.answer(call_index, port);
@@ -50,13 +53,12 @@
         self.hosts[host].pending_setups -= 1;
         self.record_setup_time(call_index, Some(took));
         self.setup_limit.in_progress -= 1;
-        self.hosts[host].reject_backoff = Span::ZERO;
-        self.record_success(host);
+        self.hosts[host].outlier.record_success();
         let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
         // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
         // long, a message is late too.
         if !self.settings.reports_message_times {
-            let excess = self.hosts[host].record_setup_excess(took.seconds() - allowed_time);
+            let excess = self.hosts[host].overload.record_setup_excess(took.seconds() - allowed_time);
             self.record_message_time(host, excess, port);
         }
     }
@@ -104,18 +106,18 @@
         now: Time,
         call: CallId,
         attempt: AttemptNumber,
-        news: News,
+        report: AttemptReport,
         port: &mut dyn Port,
     ) {
         self.now = now;
         let Some((call_index, host)) = self.outstanding_attempt(call, attempt) else { return };
-        match news {
-            News::Load(load) => {
+        match report {
+            AttemptReport::Load(load) => {
                 self.count_load(call_index, host, -1.0);
                 self.calls[call_index].load = Some(load);
                 self.count_load(call_index, host, 1.0);
             }
-            News::MessageTime(took) => self.record_message_time(host, took, port),
+            AttemptReport::MessageTime(took) => self.record_message_time(host, took, port),
         }
     }
 
