--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -121,7 +121,7 @@
         match net::connect(&fd, &address) {
             Ok(()) => Ok(Connection::new(fd, false)),
             Err(Errno::INPROGRESS | Errno::INTR) => Ok(Connection::new(fd, true)),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// The bytes that are still to be sent.
-    pub fn to_go(&self) -> &[u8] {
+    pub fn unsent_bytes(&self) -> &[u8] {
         &self.outbox[self.sent..]
     }
 
@@ -173,7 +173,7 @@
                 Ok((_, count)) => Ok(ReadOutcome::Bytes(count)),
                 Err(Errno::INTR) => continue,
                 Err(Errno::AGAIN) => Ok(ReadOutcome::NothingYet),
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
         }
     }
@@ -198,8 +198,8 @@
     ///
     /// # Errors
     ///
-    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had been, nor
-    /// be the place from where a later line is counted.
+    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had
+    /// been, nor be the place from where a later line is counted.
     pub fn flush(&mut self) -> Result<(), Errno> {
         let flushed = self.send_outbox();
         if flushed.is_err() {
@@ -219,7 +219,7 @@
                 Ok(count) => self.sent += count,
                 Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => break,
-                Err(fault) => return Err(fault),
+                Err(error) => return Err(error),
             }
         }
         if self.sent == self.outbox.len() {
--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -121,7 +121,7 @@
         }
         self.timers.set(self.now + hosts.migration_interval, TimerEvent::MigrateFromDraining);
         if let Some(call) = self.hosts.next_to_migrate() {
-            self.move_client(call, AttemptOutcome::Canceled);
+            self.migrate_call(call, AttemptOutcome::Canceled);
         }
     }
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -243,7 +243,7 @@
         self.tell_fleet(|fleet, now| fleet.tick(now, node_status));
         self.work_tick();
         self.warm_state_tick();
-        self.ready_now();
+        self.serve_if_ready();
     }
 
     /// A link to this peer has come up.
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -87,6 +87,6 @@
         if let Some(entry) = self.sockets.get_mut(id.0) {
             entry.connection.outbox.extend_from_slice(text.as_bytes());
         }
-        self.pump(id);
+        self.flush_connection(id);
     }
 }
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -11,7 +11,7 @@
 use super::socket::receive_with_sockets;
 use crate::call::{Attempt, CallStage, InFlightCall};
 use crate::connection::Connection;
-use crate::hosts::SEND_AWAY;
+use crate::hosts::MIGRATION_PERIOD;
 use crate::protocol::{ClientId, OpenLine, first_line_length};
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
@@ -52,7 +52,7 @@
         }
         self.listen_for_successor();
         self.handover.took_over = true;
-        self.listen_for(true);
+        self.watch_for_clients(true);
         if let Some(id) = self.handover.predecessor {
             self.send_text(id, &format!("{}\n", SuccessorMessage::Serving));
         }
@@ -62,7 +62,7 @@
     pub fn predecessor_readable(&mut self, id: ConnectionId) {
         for _ in 0..READS_PER_TURN {
             let Some(entry) = self.sockets.get_mut(id.0) else { return };
-            let length = match receive_with_sockets(&entry.connection.fd, &mut self.scratch) {
+            let length = match receive_with_sockets(&entry.connection.fd, &mut self.read_buffer) {
                 Ok((length, sockets)) if length > 0 => {
                     self.handover.received_sockets.extend(sockets);
                     length
@@ -71,7 +71,7 @@
                 Err(Errno::INTR) => continue,
                 Ok(_) | Err(_) => return self.predecessor_gone(id),
             };
-            entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
+            entry.connection.inbox.extend_from_slice(&self.read_buffer[..length]);
             self.read_predecessor_lines(id);
         }
     }
@@ -111,7 +111,7 @@
             }
             PredecessorMessage::IdleClient(received) => {
                 if let Some(socket) = self.handover.received_sockets.pop_front() {
-                    self.take_client(socket, received.into_bytes());
+                    self.add_client(socket, received.into_bytes());
                 }
             }
         }
@@ -166,8 +166,8 @@
         in_flight.has_silence_timer = asked.is_some();
         let id = self.insert_adopted_call(in_flight);
         self.start_adopted_call(Call { id, ..call }, host_id, asked.is_some());
-        self.pump(client);
-        self.pump(host);
+        self.flush_connection(client);
+        self.flush_connection(host);
         Ok(())
     }
 
@@ -218,14 +218,9 @@
 
     /// Gives the call its number, and its connections their roles.
     fn insert_adopted_call(&mut self, in_flight: InFlightCall) -> CallId {
-        let client_id = in_flight.client_id;
         let client = in_flight.client;
         let host = in_flight.attempt.as_ref().map(|attempt| attempt.connection);
-        let id = CallId(self.calls.insert(in_flight));
-        if let Some(in_flight) = self.calls.get_mut(id.0) {
-            in_flight.call.id = id;
-        }
-        self.ids.insert(client_id);
+        let id = self.calls.insert(in_flight);
         self.attempts_out += 1;
         for (connection, role) in [(client, SocketRole::Client(Some(id))), (host, SocketRole::Host(id))] {
             if let Some(entry) = connection.and_then(|connection| self.sockets.get_mut(connection.0)) {
@@ -244,7 +239,7 @@
             self.timers.set(now, TimerEvent::HostSilence(call.id));
         }
         if self.hosts.is_leaving(host) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(call.id));
+            self.timers.set(now + MIGRATION_PERIOD, TimerEvent::Migrate(call.id));
         }
     }
 
@@ -255,7 +250,7 @@
         self.handover.predecessor = None;
         self.handover.other_uses = 0;
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
-        self.listen_for(self.accepts());
-        self.ready_now();
+        self.watch_for_clients(self.accepts());
+        self.serve_if_ready();
     }
 }
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -141,7 +141,7 @@
     fn from(state: &HandoverState) -> StateMessage {
         let node = &state.node;
         let addresses = state.list.addresses.iter().map(|(_, address)| *address);
-        let endpoints = state.list.lines.iter().zip(addresses);
+        let endpoints = state.list.endpoints.iter().zip(addresses);
         let loads = node.loads.iter().take(MAX_LOADS);
         StateMessage {
             arrival: node.new_client_rate,
@@ -171,7 +171,7 @@
         let list = EndpointListUpdate {
             index: self.index,
             update: ListUpdate::Complete,
-            lines: endpoints.collect::<Result<_, _>>()?,
+            endpoints: endpoints.collect::<Result<_, _>>()?,
             addresses,
         };
         let of_type = match &self.classes {
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -71,7 +71,7 @@
             ReadOutcome::Bytes(length) => length,
         };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
+        entry.connection.inbox.extend_from_slice(&self.read_buffer[..length]);
         while let Some(entry) = self.sockets.get_mut(id.0) {
             let inbox = &mut entry.connection.inbox;
             let Some(length) = first_line_length(inbox) else {
@@ -143,7 +143,7 @@
             self.send_text(predecessor, &format!("{}\n", SuccessorMessage::Succeeded));
         }
         self.handover.listener = None;
-        self.listen_for(false);
+        self.watch_for_clients(false);
         if matches!(self.phase, Phase::Serving | Phase::Starting) {
             self.phase = Phase::Replaced;
         }
@@ -171,7 +171,7 @@
         if self.phase == Phase::Replaced {
             self.phase = Phase::Serving;
         }
-        self.listen_for(true);
+        self.watch_for_clients(true);
         self.listen_for_successor();
     }
 
@@ -245,11 +245,11 @@
         let handover = CallHandover {
             waiting_for_host_ns: in_flight.awaiting_host_since.map(|asked| self.now.since(asked).0),
             client_inbox: HexBytes::from(client.inbox.as_slice()),
-            client_outbox: HexBytes::from(client.to_go()),
+            client_outbox: HexBytes::from(client.unsent_bytes()),
             group: call.group.map(|group| group.0),
             host: attempt.host.0,
             host_inbox: HexBytes::from(host.inbox.as_slice()),
-            host_outbox: HexBytes::from(host.to_go()),
+            host_outbox: HexBytes::from(host.unsent_bytes()),
             client_id: in_flight.client_id.0,
             load: call.load,
             subject: call.subject.map(|subject| subject.0),
@@ -272,7 +272,7 @@
         self.attempts_out -= 1;
         self.hosts.closed(attempt.host, call);
         let outcome = AttemptOutcome::Canceled;
-        self.ended.push_back(AttemptEnd { call, attempt: attempt.number, outcome, is_final: true });
+        self.report_attempt_end(AttemptEnd { call, attempt: attempt.number, outcome, is_final: true });
         Some(attempt.host)
     }
 
--- a/crates/node/src/handover/tests.rs
+++ b/crates/node/src/handover/tests.rs
@@ -50,7 +50,7 @@
     };
     let addresses = vec![(host, "127.0.0.1:4000".parse().unwrap())];
     let list =
-        EndpointListUpdate { index: 41, update: ListUpdate::Complete, lines: vec![endpoint], addresses };
+        EndpointListUpdate { index: 41, update: ListUpdate::Complete, endpoints: vec![endpoint], addresses };
     HandoverState { list, node, drained: true, zones: names(["x", "y"]), classes: names(["chat", "pay"]) }
 }
 
@@ -58,7 +58,7 @@
 fn recorded_state() -> HandoverState {
     let mut state = sample_state();
     let host = HostId(u64::MAX);
-    state.list.lines.push(Endpoint {
+    state.list.endpoints.push(Endpoint {
         host,
         zone: Zone(0),
         cell: Cell(0),
@@ -85,7 +85,7 @@
     assert_eq!(state.encode().unwrap(), STATE.trim_end());
     let read = HandoverState::decode(STATE.trim_end().as_bytes(), &state.zones, &state.classes).unwrap();
     assert_eq!((read.node, read.drained), (state.node, state.drained));
-    assert_eq!((read.list.index, read.list.lines), (state.list.index, state.list.lines));
+    assert_eq!((read.list.index, read.list.endpoints), (state.list.index, state.list.endpoints));
     assert_eq!(read.list.addresses, state.list.addresses);
     assert_eq!((read.zones, read.classes), (state.zones, state.classes));
 }
@@ -162,8 +162,8 @@
     let read = HandoverState::decode(text.as_bytes(), &state.zones, &state.classes).unwrap();
     assert_eq!((&read.node, read.drained), (&state.node, true));
     assert_eq!(
-        (read.list.index, &read.list.lines, &read.list.addresses),
-        (41, &state.list.lines, &state.list.addresses)
+        (read.list.index, &read.list.endpoints, &read.list.addresses),
+        (41, &state.list.endpoints, &state.list.addresses)
     );
 }
 
@@ -174,10 +174,10 @@
         HandoverState::decode(text.as_bytes(), zones, classes).unwrap()
     };
     // A zone that the settings do not name any more is none of ours.
-    assert_eq!(decode(&[], &names(["chat", "pay"])).list.lines[0].zone, Zone(0));
+    assert_eq!(decode(&[], &names(["chat", "pay"])).list.endpoints[0].zone, Zone(0));
     // Another order, and more of them.
     let read = decode(&names(["y", "z", "x"]), &names(["fax", "pay", "chat"]));
-    assert_eq!((read.list.lines[0].zone, read.node.mean_load_by_class), (Zone(0), vec![0.0, 0.2, 0.1]));
+    assert_eq!((read.list.endpoints[0].zone, read.node.mean_load_by_class), (Zone(0), vec![0.0, 0.2, 0.1]));
 }
 
 /// Half a message taken for a whole one would be hosts taken for empty.
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -16,17 +16,20 @@
 
 impl Service {
     /// Opens the connection of an attempt that times out after `within`. What becomes of it is told later.
-    pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) {
-        let Some(in_flight) = self.calls.get_mut(id.0) else { return };
+    ///
+    /// # Errors
+    ///
+    /// The end of an attempt that could not even begin.
+    pub fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) -> Result<(), AttemptEnd> {
+        let Some(in_flight) = self.calls.get_mut(id.0) else { return Ok(()) };
         let number = AttemptNumber(in_flight.attempt_count);
         in_flight.attempt_count += 1;
+        let end = |outcome, is_final| AttemptEnd { call: id, attempt: number, outcome, is_final };
         if !self.client_waits(id) {
-            return self.queue_attempt_end(id, number, AttemptOutcome::NeverSent, true);
+            return Err(end(AttemptOutcome::NeverSent, true));
         }
-        let connection = match self.connect_to_host(id, host) {
-            Ok(connection) => connection,
-            Err(fault) => return self.queue_attempt_end(id, number, outcome_of_connect(fault), false),
-        };
+        let connection =
+            self.connect_to_host(id, host).map_err(|cause| end(outcome_of_connect(cause), false))?;
         let deadline = self.now + within;
         self.attempts_out += 1;
         if let Some(in_flight) = self.calls.get_mut(id.0) {
@@ -50,6 +53,7 @@
             self.timers.set(connect_deadline, TimerEvent::ConnectTimeout(id, number));
         }
         self.attempt_connected(connection);
+        Ok(())
     }
 
     fn connect_to_host(&mut self, id: CallId, host: HostId) -> Result<ConnectionId, Errno> {
@@ -58,16 +62,6 @@
         self.add_connection(connection, SocketRole::Host(id)).ok_or(Errno::MFILE)
     }
 
-    fn queue_attempt_end(
-        &mut self,
-        call: CallId,
-        attempt: AttemptNumber,
-        outcome: AttemptOutcome,
-        is_final: bool,
-    ) {
-        self.ended.push_back(AttemptEnd { call, attempt, outcome, is_final });
-    }
-
     /// Sends the client's line once the connection is up, if the attempt may be sent.
     pub fn attempt_connected(&mut self, id: ConnectionId) {
         let Some(SocketRole::Host(call)) = self.role(id) else { return };
@@ -78,8 +72,8 @@
             && attempt.may_send
             && !attempt.is_line_queued
         {
-            // A connection that comes up late, or an intent that is replicated late, would send a new call to a host
-            // that has begun to drain meanwhile. A call that was open there before belongs there.
+            // A connection that comes up late, or an intent that is replicated late, would send a new call to
+            // a host that has begun to drain meanwhile. A call that was open there before belongs there.
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if is_host_closed || !self.client_waits(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
@@ -87,7 +81,7 @@
             }
             self.queue_line(id, call);
         }
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// Writes the client's line with the time that is left.
@@ -100,8 +94,8 @@
         in_flight.line.encode(time_left, &mut socket.connection.outbox);
     }
 
-    /// Notes when the last byte of the line has been sent: before that the host cannot have run the call, after
-    /// that it may have.
+    /// Notes when the last byte of the line has been sent: before that the host cannot have run the call,
+    /// after that it may have.
     pub fn note_line_sent(&mut self, call: CallId) {
         let in_flight = self.calls.get_mut(call.0);
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.as_mut()) else { return };
@@ -135,8 +129,8 @@
         }
     }
 
-    /// The attempt of this number, if it is still out. A number may be given twice, to an attempt that was never sent
-    /// and to one that was, so whether a timer is due is checked against the attempt itself.
+    /// The attempt of this number, if it is still out. A number may be given twice, to an attempt that was
+    /// never sent and to one that was, so whether a timer is due is checked against the attempt itself.
     fn unanswered_attempt(&self, id: CallId, number: AttemptNumber) -> Option<&Attempt> {
         let in_flight = self.calls.get(id.0)?;
         if in_flight.stage.is_established() {
@@ -154,7 +148,8 @@
         self.end_attempt(id, outcome, None);
     }
 
-    /// The attempt of a call that is not open has ended; `answer` is the host's line to the client, if it is final.
+    /// The attempt of a call that is not open has ended; `answer` is the host's line to the client, if it is
+    /// final.
     pub fn end_attempt(&mut self, id: CallId, outcome: AttemptOutcome, answer: Option<&[u8]>) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = in_flight.attempt.take() else { return };
@@ -175,7 +170,7 @@
             self.close_with_last_bytes(client, answer);
         }
         self.close_connection(attempt.connection);
-        self.queue_attempt_end(id, attempt.number, outcome, is_final);
+        self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final });
     }
 
     /// The decisions have no part in a call that returns: it belongs where it was, and is tried there again.
@@ -208,11 +203,8 @@
             self.forget_call(id);
             return;
         }
-        let ended_before = self.ended.len();
-        self.open_attempt(id, host, time_left);
-        if self.ended.len() > ended_before {
-            // It could not even begin, and the decisions do not know of it.
-            self.ended.pop_back();
+        // The decisions do not know of this attempt, so its end is not theirs.
+        if self.open_attempt(id, host, time_left).is_err() {
             self.retry_return(id, AttemptOutcome::NeverSent);
         }
     }
@@ -226,8 +218,8 @@
 }
 
 /// A lack of descriptors or memory is this node's fault, and would make every host look bad.
-fn outcome_of_connect(fault: Errno) -> AttemptOutcome {
-    match fault {
+fn outcome_of_connect(cause: Errno) -> AttemptOutcome {
+    match cause {
         Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM => AttemptOutcome::NeverSent,
         _ => AttemptOutcome::Unreachable,
     }
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -3,15 +3,16 @@
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Span, Time};
 use tracing::debug;
 
-use super::SEND_AWAY;
+use super::MIGRATION_PERIOD;
 use crate::call::{AttemptEnd, CallStage, InFlightCall};
 use crate::protocol::{Answer, HostMessage};
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// How long a host may bring nothing back on a connection on which the client has spoken. A healthy host answers
-/// within milliseconds, however crowded; this leaves room for TCP to send again three times (after 0.2, 0.4 and
-/// 0.8 s). Clients speak every 2 s: a vanished host's are migrated within 4 s, of the 7 s allowed.
+/// How long a host may bring nothing back on a connection on which the client has spoken. A healthy host
+/// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after
+/// 0.2, 0.4 and 0.8 s). Clients speak every 2 s: a vanished host's are migrated within 4 s, of the 7 s
+/// allowed.
 const HOST_SILENCE: Span = Span::ms(2_000);
 
 /// How the socket to a host is closed.
@@ -58,7 +59,7 @@
             HostClose::Graceful if has_host_ended => self.close_connection(attempt.connection),
             HostClose::Graceful => self.close_with_last_bytes(attempt.connection, b""),
         }
-        self.ended.push_back(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
+        self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
     }
 
     /// Migrates the client of a host that has fallen silent: a machine that vanished ends no connection.
@@ -72,19 +73,19 @@
         }
         if in_flight.stage == CallStage::Open {
             debug!(call_id = id.0, "host silent");
-            self.move_client(id, AttemptOutcome::Broken);
+            self.migrate_call(id, AttemptOutcome::Broken);
         }
         self.settle();
     }
 
     /// Sends the client away politely and ends the host's side.
-    pub fn move_client(&mut self, id: CallId, outcome: AttemptOutcome) {
+    pub fn migrate_call(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         if in_flight.stage != CallStage::Open {
             return;
         }
         let Some(client) = in_flight.client.take() else { return };
-        self.answer_conn(client, Answer::Move);
+        self.answer_client(client, Answer::Move);
         self.close_attempt(id, outcome, HostClose::Graceful);
     }
 
@@ -93,15 +94,15 @@
         let calls = self.hosts.open_calls(host);
         let count = calls.len().max(1) as f64;
         for (index, call) in calls.into_iter().enumerate() {
-            let due = self.now + SEND_AWAY.times(index as f64 / count);
+            let due = self.now + MIGRATION_PERIOD.times(index as f64 / count);
             self.timers.set(due, TimerEvent::Migrate(call));
         }
     }
 }
 
 impl InFlightCall {
-    /// The client has spoken: notes that the host owes a line, and returns when to check that it has come, if no
-    /// timer is set for that yet.
+    /// The client has spoken: notes that the host owes a line, and returns when to check that it has come, if
+    /// no timer is set for that yet.
     pub fn note_client_spoke(&mut self, now: Time) -> Option<Time> {
         self.awaiting_host_since.get_or_insert(now);
         let had_timer = std::mem::replace(&mut self.has_silence_timer, true);
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -5,7 +5,7 @@
 
 use crate::connection::{Connection, ReadOutcome};
 use crate::protocol::{self, HostMessage};
-use crate::service::Service;
+use crate::service::{Report, Service};
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
@@ -13,20 +13,20 @@
 const PROBE_TIMEOUT: Span = Span::ms(500);
 
 impl Service {
-    /// Probes a host. Probes go out by the dozen; one that found no descriptor would blame the host for what is this
-    /// node's fault, so then none is sent.
+    /// Probes a host. Probes go out by the dozen; one that found no descriptor would blame the host for what
+    /// is this node's fault, so then none is sent.
     pub fn open_probe(&mut self, host: HostId) {
         if !self.has_room_for_probe() {
             return;
         }
         let connection = self.hosts.address(host).and_then(|address| Connection::connect(address).ok());
         let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Probe(host)));
-        let Some(id) = id else { return self.probes_failed.push(host) };
+        let Some(id) = id else { return self.reports.push(Report::ProbeFailed(host)) };
         if let Some(socket) = self.sockets.get_mut(id.0) {
             socket.connection.outbox.extend_from_slice(protocol::PROBE);
         }
         self.timers.set(self.now + PROBE_TIMEOUT, TimerEvent::ProbeTimeout(id));
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     /// A probe has ended: tells the decisions.
@@ -55,7 +55,7 @@
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         let inbox = &mut socket.connection.inbox;
-        inbox.extend_from_slice(&self.scratch[..count]);
+        inbox.extend_from_slice(&self.read_buffer[..count]);
         let Some(length) = protocol::first_line_length(inbox) else {
             if inbox.len() >= protocol::MAX_LINE_LENGTH {
                 self.finish_probe(id, host, AttemptOutcome::Error);
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -246,7 +246,7 @@
     }
 
     pub fn peer_up(&mut self, id: ConnectionId) {
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     pub fn peer_lost(&mut self, id: ConnectionId) {
@@ -267,7 +267,7 @@
         match got {
             ReadOutcome::NothingYet => return,
             ReadOutcome::End => return self.peer_lost(id),
-            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.scratch[..n]),
+            ReadOutcome::Bytes(n) => seat.connection.inbox.extend_from_slice(&self.read_buffer[..n]),
         }
         loop {
             let Some(seat) = self.sockets.get_mut(id.0) else { return };
@@ -319,7 +319,7 @@
             if let Some(seat) = self.sockets.get_mut(id.0) {
                 frame(&back, &mut seat.connection.outbox);
             }
-            self.pump(id);
+            self.flush_connection(id);
         }
         self.peer_linked(&hello.name);
     }
@@ -362,7 +362,7 @@
         membership.peers.traffic.frames_sent += 1;
         membership.peers.traffic.bytes_sent += bytes.len() as u64;
         frame(&bytes, &mut seat.connection.outbox);
-        self.pump(id);
+        self.flush_connection(id);
     }
 
     pub fn listen_for_peers(&mut self, address: std::net::SocketAddr) -> Result<(), Errno> {
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -9,8 +9,9 @@
 
 impl Service {
     /// Serves as soon as a host is ready and nothing else has to be waited for.
-    pub fn ready_now(&mut self) {
-        // What an agent of the node's own has counts as known from the first moment, so its answer is waited for.
+    pub fn serve_if_ready(&mut self) {
+        // What an agent of the node's own has counts as known from the first moment, so its answer is waited
+        // for.
         let needs_list = self.handover.follows() || self.config.list_is_pushed;
         let awaits_list = needs_list && !self.list.heard && !self.handover.waited;
         let must_wait = awaits_list || self.waits_for_fleet();
@@ -43,7 +44,7 @@
     pub(super) fn reload(&mut self) {
         match config::anew() {
             Ok(config) => self.apply_config(config),
-            Err(fault) => error!("bad configuration, the old one stays: {fault}"),
+            Err(cause) => error!(%cause, "bad configuration, the old one stays"),
         }
         self.settle();
     }
@@ -53,7 +54,7 @@
         let change = self.config.renew(config);
         info!(discovery = %self.config.discovery, "configuration reloaded");
         for key in change.later {
-            warn!("{key} has changed in the configuration: that counts from the next start");
+            warn!(key, "configuration change takes effect at the next start");
         }
         if change.settings {
             let now = self.now;
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -1,12 +1,13 @@
 //! A node as one object: its state, and the loop that hands events to the modules that deal with them.
 //!
-//! `start` sets it up, `lifecycle`, `drain` and `shutdown` move it from phase to phase, `sockets` has the table of
-//! its sockets, and `port` joins it to the decisions.
+//! `start` sets it up, `lifecycle`, `drain` and `shutdown` move it from phase to phase, `sockets` has the
+//! table of its sockets, and `port` joins it to the decisions.
 
 mod clock;
 mod drain;
 mod lifecycle;
 mod port;
+mod reports;
 mod shutdown;
 mod sockets;
 mod start;
@@ -18,13 +19,13 @@
 use std::os::unix::net::UnixStream;
 
 use glendeck::Node;
-use glendeck::domain::{AttemptOutcome, HostId, Span, Time};
+use glendeck::domain::{AttemptOutcome, Span, Time};
 use nanorand::{Rng, WyRand};
-use rustc_hash::FxHashSet;
 use rustix::io::Errno;
 
 use crate::admin::AdminServer;
-use crate::call::{AttemptEnd, InFlightCall};
+use crate::call::CallTable;
+use crate::clients::AcceptQueue;
 use crate::config::NodeConfig;
 use crate::connection::{LOW_WATER_MARK, READ_SIZE, ReadOutcome};
 use crate::endpoint_list::EndpointListClient;
@@ -33,24 +34,26 @@
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
-use crate::protocol::{ClientId, MAX_LINE_LENGTH};
+use crate::protocol::MAX_LINE_LENGTH;
 use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOADS, SIGNALS, STORE, SUCCESSORS};
-use crate::slots::Slots;
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::{TimerEvent, Timers};
 use clock::Clock;
+use reports::PendingReports;
 use sockets::SocketTable;
 
+pub use reports::Report;
+
 /// Why a node cannot start, or stops serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     /// An address cannot be bound.
-    #[error("cannot listen on {address}: {fault}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
         /// What the system says.
-        fault: Errno,
+        source: Errno,
     },
     /// epoll failed.
     #[error("cannot wait for events: {0}")]
@@ -76,12 +79,10 @@
     pub timers: Timers<TimerEvent>,
     /// Where clients connect, until the front sends nothing more.
     pub listener: Option<OwnedFd>,
-    /// Since when connections may wait in the listener's queue.
-    pub queued_since: Option<Time>,
-    /// When connections were last accepted.
-    pub last_accepted: Time,
+    /// Whether connections wait in the listener's queue.
+    pub accept_queue: AcceptQueue,
     /// The admin interface.
-    pub door: AdminServer,
+    pub admin: AdminServer,
     /// How this process stands to its predecessor and its successor.
     pub handover: Handover,
     /// The node's part in a fleet, if it is in one.
@@ -99,10 +100,8 @@
     reloads: UnixStream,
     /// All sockets but the listening ones.
     pub sockets: SocketTable,
-    /// Calls in flight, by the numbers of their [`glendeck::domain::CallId`].
-    pub calls: Slots<InFlightCall>,
-    /// The clients' own ids of these calls.
-    pub ids: FxHashSet<ClientId>,
+    /// Calls in flight.
+    pub calls: CallTable,
     /// Connections of no use to a call, the longest idle first, each with the time since when.
     pub idle: VecDeque<(Time, ConnectionId)>,
     /// Calls that have a socket to a host.
@@ -111,16 +110,12 @@
     pub hosts: HostTable,
     /// The watch on the endpoint list.
     pub list: EndpointListClient,
-    /// Requests for the list that could not be sent, which the decisions have not been told of.
-    pub list_failures: u32,
-    /// Hosts that could not be probed, which the decisions have not been told of.
-    pub probes_failed: Vec<HostId>,
     /// `None` only while it decides.
     node: Option<Box<Node>>,
-    /// Attempts that have ended, which the decisions have not been told of.
-    pub ended: VecDeque<AttemptEnd>,
+    /// What the decisions have not been told of.
+    pub reports: PendingReports,
     /// What was read last.
-    pub scratch: Vec<u8>,
+    pub read_buffer: Vec<u8>,
 }
 
 impl Service {
@@ -202,13 +197,13 @@
             self.connection_writable(id);
         }
         if flags.intersects(Flags::IN | Flags::ERR | Flags::HUP) {
-            self.readable(id, flags);
+            self.read_connection(id, flags);
         }
     }
 
     /// Some of the outbox has been sent: whoever fills it may be read again.
     fn connection_writable(&mut self, id: ConnectionId) {
-        self.pump(id);
+        self.flush_connection(id);
         let Some(socket) = self.sockets.get(id.0) else { return };
         if socket.connection.unsent() > LOW_WATER_MARK {
             return;
@@ -239,7 +234,7 @@
     }
 
     /// Reads a socket that is ready and hands what came to whoever it is for.
-    pub fn readable(&mut self, id: ConnectionId, flags: Flags) {
+    pub fn read_connection(&mut self, id: ConnectionId, flags: Flags) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         if socket.connection.read_ended {
             // Nothing more can come: the peer has gone for good.
@@ -254,7 +249,7 @@
         }
         // A connection that has not opened needs room for one line.
         let limit = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { READ_SIZE };
-        let outcome = match socket.connection.read(&mut self.scratch[..limit]) {
+        let outcome = match socket.connection.read(&mut self.read_buffer[..limit]) {
             Ok(outcome) => outcome,
             Err(_) => return self.connection_lost(id),
         };
@@ -310,7 +305,7 @@
             TimerEvent::RetryReturn(call) => self.return_to_host(call),
             TimerEvent::HostSilence(call) => self.check_silence(call),
             TimerEvent::HalfClosedTimeout(call) => self.half_closed_timeout(call),
-            TimerEvent::Migrate(call) => self.move_client(call, AttemptOutcome::Canceled),
+            TimerEvent::Migrate(call) => self.migrate_call(call, AttemptOutcome::Canceled),
             TimerEvent::DrainStart(number) => self.drain_clients(number),
             TimerEvent::DrainMigrate(number, call) => self.drain_client(number, call),
             TimerEvent::DrainEnd(number) => self.end_drain(number),
@@ -324,12 +319,12 @@
                 }
             }
             TimerEvent::RetryAccept => {
-                self.listen_for(self.accepts());
+                self.watch_for_clients(self.accepts());
                 self.watch_admin(true);
             }
             TimerEvent::EndpointListOverdue => {
                 self.handover.waited = true;
-                self.ready_now();
+                self.serve_if_ready();
             }
             TimerEvent::StopAccepting => self.stop_accepting(),
             TimerEvent::ContinueHandover => self.hand_on(),
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -5,14 +5,16 @@
 use std::os::unix::net::UnixStream;
 
 use glendeck::Node;
-use glendeck::domain::{NodeSnapshot, Span, Time};
+use glendeck::domain::{NodeSnapshot, Span};
 use nanorand::WyRand;
-use rustc_hash::FxHashSet;
 
 use super::clock::Clock;
+use super::reports::PendingReports;
 use super::sockets::SocketTable;
 use super::{Service, ServiceError};
 use crate::admin::AdminServer;
+use crate::call::CallTable;
+use crate::clients::AcceptQueue;
 use crate::config::NodeConfig;
 use crate::connection::{self, READ_SIZE};
 use crate::endpoint_list::{EndpointListClient, EndpointListUpdate};
@@ -21,10 +23,10 @@
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
 use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
-use crate::slots::Slots;
 use crate::timers::{TimerEvent, Timers};
 
-/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows nothing new.
+/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows
+/// nothing new.
 const AGENT_TIMEOUT: Span = Span::ms(1_000);
 
 /// The listening sockets and the signals, watched by a reactor.
@@ -59,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be joined.
+    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be
+    /// joined.
     pub fn start(mut config: NodeConfig, machine: crate::Machine) -> Result<Service, ServiceError> {
         let inherited = Inherited::ask(&config);
         let configured_list = config.known.take();
@@ -75,7 +78,7 @@
         if service.config.list_is_pushed {
             service.timers.set(service.now + AGENT_TIMEOUT, TimerEvent::EndpointListOverdue);
         }
-        service.ready_now();
+        service.serve_if_ready();
         Ok(service)
     }
 
@@ -86,9 +89,8 @@
             clock,
             timers: Timers::default(),
             listener: Some(sources.listener),
-            queued_since: None,
-            last_accepted: Time(0),
-            door: sources.admin,
+            accept_queue: AcceptQueue::default(),
+            admin: sources.admin,
             handover: Handover::default(),
             membership: None,
             metrics: Metrics::new(&config.names.traffic),
@@ -99,17 +101,14 @@
             signals: sources.signals,
             reloads: sources.reloads,
             sockets: SocketTable::new(sources.reactor),
-            calls: Slots::default(),
-            ids: FxHashSet::default(),
+            calls: CallTable::default(),
             idle: VecDeque::new(),
             attempts_out: 0,
             hosts: HostTable::default(),
             list: EndpointListClient::default(),
-            list_failures: 0,
-            probes_failed: Vec::new(),
             node: None,
-            ended: VecDeque::new(),
-            scratch: vec![0; READ_SIZE],
+            reports: PendingReports::default(),
+            read_buffer: vec![0; READ_SIZE],
             config,
         }
     }
@@ -146,7 +145,7 @@
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
-        .map_err(|(address, fault)| ServiceError::Listen { address, fault })?;
+        .map_err(|(address, source)| ServiceError::Listen { address, source })?;
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
@@ -160,7 +159,7 @@
 
 fn listen(config: &NodeConfig) -> Result<OwnedFd, ServiceError> {
     let address = config.listen;
-    connection::listen(address).map_err(|fault| ServiceError::Listen { address, fault })
+    connection::listen(address).map_err(|source| ServiceError::Listen { address, source })
 }
 
 /// A stream that becomes readable with each signal of this number.
