--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -26,18 +26,18 @@
 /// Plays the demo with this node program, and goes on for `stay` afterwards.
 pub fn run(program: Option<&Path>, stay: Duration) -> Result<(), CommandError> {
     let program = program.map_or_else(default_program, |program| Ok(program.to_owned()))?;
-    let fleet = start(program)?;
-    drain_and_activate(&fleet)?;
-    release(&fleet)?;
+    let cluster = start(program)?;
+    drain_and_activate(&cluster)?;
+    release(&cluster)?;
     if !stay.is_zero() {
         println!(
             "\nit goes on for {} s: try `glendeck fleet status --door {}`",
             stay.as_secs(),
-            fleet.admin_address(0)
+            cluster.admin_address(0)
         );
         std::thread::sleep(stay);
     }
-    report_clients(fleet)
+    report_clients(cluster)
 }
 
 /// The node's program beside this one, as both are built together.
@@ -52,7 +52,7 @@
 }
 
 fn start(program: PathBuf) -> Result<Cluster, CommandError> {
-    let shape = ClusterSpec {
+    let spec = ClusterSpec {
         nodes: NODES,
         voters: 3,
         zones: 3,
@@ -63,42 +63,42 @@
         logs: None,
     };
     println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
-    let mut fleet = Cluster::start(shape).map_err(unanswered)?;
-    fleet.clients.add_clients(CLIENTS, 1);
-    wait("all nodes serve", || (0..NODES).all(|node| is_serving(&fleet, node)))?;
+    let mut cluster = Cluster::start(spec).map_err(unanswered)?;
+    cluster.clients.add_clients(CLIENTS, 1);
+    wait("all nodes serve", || (0..NODES).all(|node| is_serving(&cluster, node)))?;
     // Nodes that are not up yet would count as out.
-    fleet.clients.reset_most_out();
+    cluster.clients.reset_most_out();
     println!("the group is being founded; each node counts once it was seen to serve for 5 s");
-    wait("all are seen to serve", || is_settled(&fleet))?;
+    wait("all are seen to serve", || is_settled(&cluster))?;
     for node in 0..NODES {
-        println!("  n{node}: its operators' door is {}", fleet.admin_address(node));
+        println!("  n{node}: its operators' door is {}", cluster.admin_address(node));
     }
-    println!("{}\n", show::status(&status(&fleet).unwrap_or_default()));
-    Ok(fleet)
+    println!("{}\n", show::status(&status(&cluster).unwrap_or_default()));
+    Ok(cluster)
 }
 
-fn drain_and_activate(fleet: &Cluster) -> Result<(), CommandError> {
-    order(fleet, "/v1/fleet/drain", &json!({"unit": "n2", "id": "demo drain"}))?;
-    order(fleet, "/v1/fleet/drain", &json!({"unit": "n1", "id": "demo second drain"}))?;
-    wait("n2 is out", || !is_serving(fleet, 2))?;
+fn drain_and_activate(cluster: &Cluster) -> Result<(), CommandError> {
+    order(cluster, "/v1/fleet/drain", &json!({"unit": "n2", "id": "demo drain"}))?;
+    order(cluster, "/v1/fleet/drain", &json!({"unit": "n1", "id": "demo second drain"}))?;
+    wait("n2 is out", || !is_serving(cluster, 2))?;
     println!("the front sends n2 nobody; its clients go to the others");
     std::thread::sleep(OUT_TIME);
-    order(fleet, "/v1/fleet/activate", &json!({"unit": "n2", "id": "demo activate"}))?;
-    wait("n2 is back", || is_settled(fleet))?;
+    order(cluster, "/v1/fleet/activate", &json!({"unit": "n2", "id": "demo activate"}))?;
+    wait("n2 is back", || is_settled(cluster))?;
     println!("n2 is back\n");
     Ok(())
 }
 
-fn release(fleet: &Cluster) -> Result<(), CommandError> {
+fn release(cluster: &Cluster) -> Result<(), CommandError> {
     // A node that has just come back rejects some of the demo's many clients until it knows its hosts.
     let gates = json!({"busy_per_thousand": 1000});
     let plan = json!({
         "version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60, "gates": gates,
     });
-    order(fleet, "/v1/fleet/release/start", &json!({"plan": plan, "id": "demo release"}))?;
+    order(cluster, "/v1/fleet/release/start", &json!({"plan": plan, "id": "demo release"}))?;
     let mut printed = String::new();
     wait("the release is over", || {
-        let Some(status) = status(fleet) else { return false };
+        let Some(status) = status(cluster) else { return false };
         let text = show::release(&status);
         if text != printed {
             println!("{text}");
@@ -109,8 +109,8 @@
     })
 }
 
-fn report_clients(fleet: Cluster) -> Result<(), CommandError> {
-    let seen = fleet.clients.end();
+fn report_clients(cluster: Cluster) -> Result<(), CommandError> {
+    let seen = cluster.clients.end();
     println!(
         "\nclients: {} calls answered, {} turned away, {} failed, {} moved, {} lost; most nodes out at once: {}",
         seen.answered,
@@ -124,28 +124,28 @@
 }
 
 /// The status by the leader.
-fn status(fleet: &Cluster) -> Option<Status> {
-    let json = fleet.leader().and_then(|leader| fleet.status(leader))?;
+fn status(cluster: &Cluster) -> Option<Status> {
+    let json = cluster.leader().and_then(|leader| cluster.status(leader))?;
     Status::deserialize(&json).ok()
 }
 
-fn is_serving(fleet: &Cluster, node: usize) -> bool {
-    fleet.clients.frontend().availability(node).is_some_and(|standing| standing.accepts_clients)
+fn is_serving(cluster: &Cluster, node: usize) -> bool {
+    cluster.clients.frontend().availability(node).is_some_and(|availability| availability.accepts_clients)
 }
 
-fn is_settled(fleet: &Cluster) -> bool {
-    let units = status(fleet).unwrap_or_default().state.units;
+fn is_settled(cluster: &Cluster) -> bool {
+    let units = status(cluster).unwrap_or_default().state.units;
     units.len() == NODES && units.values().all(|unit| unit.is_serving() && !unit.is_lost)
 }
 
 /// Sends an order to the first node, and prints it with the reply.
-fn order(fleet: &Cluster, path: &str, body: &Value) -> Result<(), CommandError> {
+fn order(cluster: &Cluster, path: &str, body: &Value) -> Result<(), CommandError> {
     #[derive(Default, Deserialize)]
     struct Reply {
         said: Option<String>,
         why: Option<String>,
     }
-    let AdminReply { status: code, body: json } = fleet.call(0, "POST", path, body).map_err(unanswered)?;
+    let AdminReply { status: code, body: json } = cluster.call(0, "POST", path, body).map_err(unanswered)?;
     let reply = Reply::deserialize(&json).unwrap_or_default();
     let text = reply.said.or(reply.why).unwrap_or_else(|| "-".into());
     println!("POST {path} {body} -> {code} {text}");
