--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/schedules/world/mod.rs
@@ -1,12 +1,13 @@
 //! A fleet in simulated time: processes with disks, links between them, faults by a seeded schedule, and a checker that
-//! goes by what processes really did.
+//! judges by what processes really did.
 
 pub mod hosts;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use glendeck_fleet::message::{Envelope, VoterStatus};
+use glendeck_fleet::hosts::EndpointState;
+use glendeck_fleet::message::{Envelope, Message, VoterStatus};
 use glendeck_fleet::policy::{Act, Amount, FleetPolicy, Limit, Limits, OnHalt, Place, Plan, Scope, UnitName};
 use glendeck_fleet::state::{
     Cause, Command, CommandResult, Incarnation, Lease, Nonce, ReleaseState, RequestId, UnitState,
@@ -24,15 +25,6 @@
 /// A loss is known to whoever grants after 5 s without a heartbeat; the last heartbeat may have been on its way.
 const LOSS_KNOWN_MS: u64 = 7_500;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Link {
-    Up,
-    Cut,
-    /// What is sent waits until it is up again.
-    Stalled,
-    Slow,
-}
-
 enum Event {
     Tick(usize, Incarnation),
     Arrive {
@@ -76,15 +68,17 @@
     /// An operator vouches for its disk.
     Trust(usize),
     /// What the list says of a host.
-    EndpointState(usize, glendeck_fleet::hosts::EndpointState),
+    Listed(usize, EndpointState),
     /// This node's list stands still, or is told again.
     ListStands(usize, bool),
 }
 
+/// How a link is, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkState {
     Up,
     Cut,
+    /// Messages wait until it is up again.
     Stalled,
     Slow,
 }
@@ -122,7 +116,7 @@
     events: Vec<Option<Event>>,
     free: Vec<usize>,
     procs: Vec<Process>,
-    links: BTreeMap<(usize, usize), Link>,
+    links: BTreeMap<(usize, usize), LinkState>,
     last: BTreeMap<(usize, usize), u64>,
     waiting: BTreeMap<(usize, usize), Vec<Event>>,
     chance: WyRand,
@@ -569,14 +563,13 @@
     fn send(&mut self, from: usize, to: &UnitName, envelope: Envelope) {
         let Some(to) = to.0[1..].parse::<usize>().ok().filter(|to| *to < self.procs.len()) else { return };
         self.sent += 1;
-        if let (true, glendeck_fleet::message::Message::Consensus { consensus_message, .. }) =
-            (self.verbose, &envelope.message)
+        if let (true, Message::Consensus { consensus_message, .. }) = (self.verbose, &envelope.message)
             && !format!("{consensus_message:?}").starts_with("BLE")
         {
             let text = format!("{consensus_message:?}");
             self.say(|| format!("n{from} -> {to}: {}", &text[..text.len().min(420)]));
         }
-        let link = self.links.get(&(from, to)).copied().unwrap_or(Link::Up);
+        let link = self.links.get(&(from, to)).copied().unwrap_or(LinkState::Up);
         let (incarnation, sender) = (self.procs[to].incarnation, self.procs[from].incarnation);
         if self.procs[to].fleet.is_none() {
             return;
@@ -592,10 +585,10 @@
             again = (2 * again + 200).min(60_000);
         }
         let ms = match link {
-            Link::Cut => return,
-            Link::Stalled => return self.waiting.entry((from, to)).or_default().push(event),
-            Link::Slow => 200 + self.roll(300),
-            Link::Up => 1 + self.roll(4) + again,
+            LinkState::Cut => return,
+            LinkState::Stalled => return self.waiting.entry((from, to)).or_default().push(event),
+            LinkState::Slow => 200 + self.roll(300),
+            LinkState::Up => 1 + self.roll(4) + again,
         };
         // What goes over one link keeps its order.
         let due = (self.now / MS + ms).max(self.last.get(&(from, to)).copied().unwrap_or(0));
@@ -763,19 +756,13 @@
         }
         self.say(|| format!("fault {fault:?}"));
         match fault {
-            Fault::Link(from, to, state) => {
-                let link = match state {
-                    LinkState::Up => Link::Up,
-                    LinkState::Cut => Link::Cut,
-                    LinkState::Stalled => Link::Stalled,
-                    LinkState::Slow => Link::Slow,
-                };
-                let before = self.links.insert((from, to), link).unwrap_or(Link::Up);
-                if link == Link::Up {
+            Fault::Link(from, to, link) => {
+                let before = self.links.insert((from, to), link).unwrap_or(LinkState::Up);
+                if link == LinkState::Up {
                     for event in self.waiting.remove(&(from, to)).unwrap_or_default() {
                         self.at(1, event);
                     }
-                    if before == Link::Cut {
+                    if before == LinkState::Cut {
                         self.relink(from, to);
                     }
                 }
@@ -785,7 +772,7 @@
                     self.strike(Fault::Link(from, to, LinkState::Up));
                 }
                 for host in 0..self.hosts.hosts.len() {
-                    self.list_says(host, glendeck_fleet::hosts::EndpointState::Ready);
+                    self.list_says(host, EndpointState::Ready);
                 }
                 for at in 0..self.procs.len() {
                     self.list_stands(at, false);
@@ -804,7 +791,7 @@
                     }
                 }
             }
-            Fault::EndpointState(host, listed) => self.list_says(host, listed),
+            Fault::Listed(host, listed) => self.list_says(host, listed),
             Fault::ListStands(at, stands) => self.list_stands(at, stands),
             Fault::Gone(at) => self.end(at),
             Fault::Kill(at) => {
