--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -1,61 +1,49 @@
-//! Work in hand that outlives its node: what is kept before an attempt goes, and what a call that comes again meets first.
-//! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised.
+//! Work in flight that outlives its node: other nodes store an intent before an attempt goes, and a repeat of a call
+//! meets what they stored.
+//!
+//! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised. [`calls`] is what
+//! becomes of a single call, [`handover_file`] what goes from one process of the node to the next.
+
+mod calls;
+mod handover_file;
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
-use std::io::Write as _;
 
-use glendeck::domain::{AttemptOutcome, CallId, HostId, Idempotency, Span, Time};
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::message::VoterStatus;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
-use glendeck_takeover::{
-    Action, Attempt, Outcome, PriorAttempt, ReplicaHandover, ReplicaMessage, Takeover, View, WorkId,
-};
+use glendeck_takeover::{Action, ReplicaHandover, ReplicaMessage, Takeover, View};
 use serde::Serialize;
-use tracing::{debug, info, warn};
-
-use crate::peers::{Frame, seal, unseal};
-use crate::protocol::{Answer, OpenRequest, hashed};
-use crate::service::{InFlightCall, Service};
-
-/// In the node's folder, beside the store: what the process before kept.
-const LEFT: &str = "work";
+use tracing::info;
 
-/// An attempt that has less left than this when its intent is kept is not sent: it would hardly be answered.
-const LEAST: Span = Span::ms(20);
+use crate::peers::Frame;
+use crate::service::Service;
 
-/// What others keep of a call.
-#[derive(Clone, Copy, Debug)]
-pub struct Kept {
-    pub work: WorkId,
-    /// What has been before it is looked up first: the decisions do not know of it yet.
-    pub looks: bool,
-    /// Its first attempt that may have run here.
-    pub ran: Option<(HostId, Time)>,
-}
+pub use self::calls::Kept;
 
-impl InFlightCall {
-    pub fn looks(&self) -> bool {
-        self.kept.is_some_and(|kept| kept.looks)
-    }
-}
+/// Makes the seed of the takeover's draws another than that of the fleet's, which is the incarnation itself.
+const SEED_MASK: u64 = 0x7a6b;
 
-/// This node's part in keeping work.
+/// This node's part in replicated work: as the owner of calls, and as a replica for other owners.
 pub struct Work {
     takeover: Takeover,
-    /// What is to be said to each peer at the end of this turn.
+    /// Messages for each peer, which go out at the end of this turn of the event loop.
     messages: BTreeMap<UnitName, Vec<ReplicaMessage>>,
-    /// Came while the decisions were at it: done at the end of this turn.
+    /// Actions that came while the decisions were at work, to be carried out at the end of this turn.
     pending: Vec<Action>,
-    /// What the process before has left, until this node sits.
-    inherits: Option<ReplicaHandover>,
-    /// How far the log was when it was last taken in.
+    /// What the predecessor has left, until this node has a voter slot.
+    inherited: Option<ReplicaHandover>,
+    /// Entries of the fleet's log that were applied when its state was last taken in.
     applied: u64,
-    hears: bool,
+    /// Whether the fleet's leader was heard then.
+    hears_leader: bool,
     counts: Counts,
 }
 
+/// Counts since the start of the process, see [`WorkMetrics`].
 #[derive(Default)]
 struct Counts {
     kept: u64,
@@ -66,25 +54,54 @@
     raced: u64,
 }
 
+/// Metrics of replicated work, under the names that the admin interface shows.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct WorkMetrics {
+    /// Records that this node stores for others' calls.
+    pub records_held: usize,
+    /// This node's calls that others store intents of.
+    pub in_hand: usize,
+    /// Whether this node stores intents for others now.
+    pub keeps: bool,
+    /// Whether this node answers for what has been before a repeat.
+    pub remembers: bool,
+    /// Attempts that went after their intent was replicated.
+    pub intents_kept: u64,
+    /// Attempts that did not go, as their intent was not replicated.
+    pub intents_not_kept: u64,
+    /// Repeats that were looked up.
+    pub repeats_looked_up: u64,
+    /// Repeats of which a record was found.
+    pub repeats_after_a_record: u64,
+    /// Repeats that failed, as nobody could say what had been before them.
+    pub repeats_given_up: u64,
+    /// Calls whose work turned out to be in flight at another node.
+    pub met_elsewhere: u64,
+}
+
 impl Work {
+    /// Nothing is in flight. A repeat is recognised for `recall_ms`, and a client waits for `longest_ms` at most.
     pub fn new(
         start: Timestamp,
-        me: UnitName,
+        name: UnitName,
         incarnation: Incarnation,
         recall_ms: u64,
         longest_ms: u64,
     ) -> Work {
+        let seed = incarnation.0 ^ SEED_MASK;
         Work {
-            takeover: Takeover::new(start, me, incarnation, incarnation.0 ^ 0x7a6b, recall_ms, longest_ms),
+            takeover: Takeover::new(start, name, incarnation, seed, recall_ms, longest_ms),
             messages: BTreeMap::new(),
             pending: Vec::new(),
-            inherits: None,
+            inherited: None,
+            // Another number than any that a log has, so that the first state is taken in.
             applied: u64::MAX,
-            hears: false,
+            hears_leader: false,
             counts: Counts::default(),
         }
     }
 
+    /// What the fleet has agreed on, as far as it matters here.
     pub fn view(&self) -> &View {
         self.takeover.view()
     }
@@ -94,7 +111,7 @@
         WorkMetrics {
             records_held: self.takeover.replica.held(),
             in_hand: self.takeover.owner.in_hand(),
-            keeps: self.hears,
+            keeps: self.hears_leader,
             remembers: self.takeover.replica.remembers(now),
             intents_kept: self.counts.kept,
             intents_not_kept: self.counts.unkept,
@@ -104,50 +121,28 @@
             met_elsewhere: self.counts.raced,
         }
     }
-}
 
-/// Metrics of replicated work, under the names that the admin interface shows.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct WorkMetrics {
-    /// Records that this node stores for others' calls.
-    pub records_held: usize,
-    /// This node's calls that others store intents of.
-    pub in_hand: usize,
-    /// Whether this node stores intents for others now.
-    pub keeps: bool,
-    /// Whether this node answers for what has been before a repeat.
-    pub remembers: bool,
-    /// Attempts that went after their intent was replicated.
-    pub intents_kept: u64,
-    /// Attempts that did not go, as their intent was not replicated.
-    pub intents_not_kept: u64,
-    /// Repeats that were looked up.
-    pub repeats_looked_up: u64,
-    /// Repeats of which a record was found.
-    pub repeats_after_a_record: u64,
-    /// Repeats that failed, as nobody could say what had been before them.
-    pub repeats_given_up: u64,
-    /// Calls whose work turned out to be in flight at another node.
-    pub met_elsewhere: u64,
-}
-
-/// As the file holds it, from which process by the store's count.
-///
-/// Danger: a disk that turns a bit over makes a record another work's, and this replica would forget one that it swears by.
-fn write_left(left: &(u64, ReplicaHandover)) -> Result<Vec<u8>, postcard::Error> {
-    let mut bytes = postcard::to_stdvec(left)?;
-    seal(&mut bytes);
-    Ok(bytes)
-}
-
-fn read_left(bytes: &[u8]) -> Option<(u64, ReplicaHandover)> {
-    postcard::from_bytes(unseal(bytes)?).ok()
+    /// Takes in what the predecessor left, if the fleet takes this node's store for what it was.
+    fn restore_inherited(&mut self, now: Timestamp, voter_status: &VoterStatus) {
+        match voter_status {
+            VoterStatus::Active(_) => {
+                let Some(inherited) = self.inherited.take() else { return };
+                self.takeover.restore(now, inherited);
+                info!(records = self.takeover.replica.held(), "restored the predecessor's stored intents");
+            }
+            VoterStatus::StateLost => self.inherited = None,
+            VoterStatus::NoStore | VoterStatus::Fresh | VoterStatus::Recovering(_) => {}
+        }
+    }
 }
 
-/// What names the same work at every node.
-fn name(traffic: &str, tenant: &str, subject: u64) -> WorkId {
-    let parts = [traffic.as_bytes(), b"\0", tenant.as_bytes(), b"\0", &subject.to_le_bytes()];
-    WorkId(hashed(parts.into_iter().flatten().copied()))
+/// Intents are stored for other nodes only while the fleet's leader is heard.
+fn log_leader_contact(hears_leader: bool) {
+    if hears_leader {
+        info!("the fleet's leader is heard: storing intents for other nodes");
+    } else {
+        info!("the fleet's leader is not heard: storing no intents for other nodes");
+    }
 }
 
 impl Service {
@@ -155,257 +150,69 @@
         self.membership.as_mut()?.work.as_mut()
     }
 
-    /// What others are to keep of a call, if they are: not of what may run again, nor of what names nothing.
-    pub fn work_of(&self, opening: &OpenRequest) -> Option<WorkId> {
-        self.membership.as_ref()?.work.as_ref()?;
-        let traffic = usize::from(opening.traffic.0);
-        let lasting = self.config.settings.traffic.get(traffic)?.idempotency != Idempotency::Idempotent;
-        if !lasting || opening.at.is_some() {
-            return None;
-        }
-        let tenant = self.config.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
-        Some(name(self.config.names.traffic.get(traffic)?, tenant, opening.subject?.0))
-    }
-
-    /// A repeat, as far as can be told: where clients do not mark theirs, any call but one whose connection was up.
-    pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
-        if self.config.marks_repeats { opening.repeat } else { !opening.again }
-    }
-
-    fn tell_work(&mut self, what: impl FnOnce(&mut Takeover, Timestamp)) {
+    /// Tells the takeover's decisions something, and carries out what comes of it.
+    fn tell_work(&mut self, tell: impl FnOnce(&mut Takeover, Timestamp)) {
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
-        what(&mut work.takeover, now);
+        tell(&mut work.takeover, now);
         let actions = work.takeover.take_all();
         if self.is_deciding() {
-            // Danger: what is told to decisions that are out of their place is lost.
-            return self.work().map_or((), |work| work.pending.extend(actions));
+            // The actions tell the node's decisions something, which would be lost while those are at work.
+            if let Some(work) = self.work() {
+                work.pending.extend(actions);
+            }
+            return;
+        }
+        for action in actions {
+            self.perform_work_action(action);
         }
-        actions.into_iter().for_each(|action| self.do_for_work(action));
     }
 
+    /// Handles messages of a peer's.
     pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
             self.tell_work(|takeover, now| takeover.heard(now, peer, message));
         }
     }
 
-    /// Takes in what the group has agreed on since, and lets time pass.
+    /// Takes in what the fleet has agreed on since, and lets time pass.
     pub fn work_tick(&mut self) {
         let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let Some(work) = &mut membership.work else { return };
-        let (state, hears) = (membership.fleet.state(), membership.fleet.hears_leader());
-        match membership.fleet.voter_status() {
-            VoterStatus::Active(_) => {
-                if let Some(left) = work.inherits.take() {
-                    work.takeover.restore(now, left);
-                    info!(
-                        records = work.takeover.replica.held(),
-                        "takes over what the process before kept for others"
-                    );
-                }
-            }
-            VoterStatus::StateLost => work.inherits = None,
-            _ => {}
-        }
-        if state.applied != work.applied || hears != work.hears {
-            if hears != work.hears {
-                info!(hears, "keeps work for others while it hears the group");
-            }
-            (work.applied, work.hears) = (state.applied, hears);
-            let voter_slots = state.voter_slots.iter().map(|voter_slot| voter_slot.name.clone()).collect();
-            let terms = state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect();
-            work.takeover.agreed(now, View { voter_slots, version: state.voter_slots_changed, hears, terms });
+        work.restore_inherited(now, &membership.fleet.voter_status());
+        let state = membership.fleet.state();
+        let hears_leader = membership.fleet.hears_leader();
+        if hears_leader != work.hears_leader {
+            log_leader_contact(hears_leader);
+        }
+        if state.applied != work.applied || hears_leader != work.hears_leader {
+            work.applied = state.applied;
+            work.hears_leader = hears_leader;
+            let view = View {
+                voter_slots: state.voter_slots.iter().map(|slot| slot.name.clone()).collect(),
+                version: state.voter_slots_changed,
+                hears: hears_leader,
+                terms: state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect(),
+            };
+            work.takeover.agreed(now, view);
         }
         self.tell_work(Takeover::tick);
     }
 
-    /// All that this turn has said goes now, in one frame a peer.
+    /// Carries out what is pending, and sends all messages of this turn, in one frame for each peer.
     pub fn send_words(&mut self) {
         while let Some(actions) = self.work().map(|work| std::mem::take(&mut work.pending)) {
             if actions.is_empty() {
                 break;
             }
-            actions.into_iter().for_each(|action| self.do_for_work(action));
+            for action in actions {
+                self.perform_work_action(action);
+            }
         }
         let Some(work) = self.work() else { return };
         for (peer, messages) in std::mem::take(&mut work.messages) {
             self.send_peer(&peer, &Frame::Words(messages));
         }
     }
-
-    // From one process to the next.
-
-    /// What this process keeps for others goes to the next in its folder: it ends as planned, and nobody waits for it.
-    pub fn leave_work(&mut self) {
-        let now = self.timestamp();
-        let Some(membership) = &mut self.membership else { return };
-        let Some(folder) = &membership.folder else { return };
-        let Some(work) = &mut membership.work else { return };
-        let left = (membership.fleet.boot_count().0, work.takeover.leave(now));
-        let (fresh, path) = (folder.join("work.new"), folder.join(LEFT));
-        let write = || -> std::io::Result<()> {
-            let mut file = std::fs::File::create(&fresh)?;
-            file.write_all(&write_left(&left).map_err(std::io::Error::other)?)?;
-            file.sync_all()?;
-            std::fs::rename(&fresh, &path)
-        };
-        if let Err(fault) = write() {
-            warn!(%fault, "cannot leave what is kept to the next process: it answers for no repeats at first");
-        }
-    }
-
-    /// Danger: an older copy of it, or one that another process has lived after, knows nothing of what was kept since. It
-    /// is of the process just before by the count that the store keeps, is gone once it was read, and counts only when the
-    /// others have let this node sit: a whole folder may be an older copy.
-    pub fn inherit_work(&mut self) {
-        let Some(membership) = &mut self.membership else { return };
-        let Some(path) = membership.folder.as_ref().map(|folder| folder.join(LEFT)) else { return };
-        let Some(work) = &mut membership.work else { return };
-        let Ok(bytes) = std::fs::read(&path) else { return };
-        if std::fs::remove_file(&path).is_err() {
-            return;
-        }
-        let left = read_left(&bytes);
-        if left.is_none() {
-            warn!("what the process before kept cannot be read: this one answers for no repeats at first");
-        }
-        let before = membership.fleet.boot_count().0.checked_sub(1);
-        work.inherits = left.filter(|(of, _)| Some(*of) == before).map(|(_, left)| left);
-    }
-
-    // A call's own.
-
-    pub fn look_first(&mut self, call: CallId) {
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let Some(kept) = &mut held.kept else { return };
-        kept.looks = true;
-        let (work, left) = (kept.work, held.call.guard.since(self.now));
-        if let Some(work) = self.work() {
-            work.counts.looked += 1;
-        }
-        self.tell_work(|takeover, now| takeover.returned(now, call.0, work, left.0 / 1_000_000));
-    }
-
-    /// The attempt that was just opened waits until its intent is kept; its connection comes up meanwhile.
-    pub fn ask_to_keep(&mut self, call: CallId) {
-        let Some(held) = self.calls.get(call.0) else { return };
-        let (Some(kept), Some(attempt)) = (held.kept, &held.attempt) else { return };
-        let traffic =
-            self.config.settings.traffic.get(usize::from(held.call.traffic.0)).map(|of| of.idempotency);
-        let first = held.call.before.or(kept.ran);
-        let recalled = match (traffic, first) {
-            (Some(Idempotency::Keyed { window, .. }), Some((_, at))) => at + window,
-            _ => attempt.limit,
-        };
-        let latest = (recalled.min(attempt.limit) - LEAST, held.call.guard.since(self.now).0 / 1_000_000);
-        let host = attempt.host.0;
-        let ran = kept.ran.map(|(host, at)| (host.0, self.timestamp_of(at)));
-        let attempt =
-            Attempt { work: kept.work, host, ran, left_ms: latest.1, latest: self.timestamp_of(latest.0) };
-        self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
-    }
-
-    /// The call is over here, or has its answer.
-    pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
-        let Some(kept) = kept else { return };
-        let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
-        self.tell_work(|takeover, now| takeover.ended(now, call.0, outcome));
-    }
-
-    fn do_for_work(&mut self, action: Action) {
-        match action {
-            Action::Send(peer, message) => {
-                if let Some(work) = self.work() {
-                    work.messages.entry(peer).or_default().push(message);
-                }
-            }
-            Action::Proceed(call) => self.may_go(CallId(call)),
-            Action::NotReplicated(call) => self.not_kept(CallId(call)),
-            Action::InFlightElsewhere(call) => self.in_hand_elsewhere(CallId(call)),
-            Action::Admit(call, before) => self.place_again(CallId(call), before),
-            Action::Fail(call) => {
-                debug!(call, "what has been before it cannot be told");
-                if let Some(work) = self.work() {
-                    work.counts.given_up += 1;
-                }
-                self.answer_call(CallId(call), Answer::Error);
-            }
-        }
-    }
-
-    fn may_go(&mut self, call: CallId) {
-        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.as_mut()) else { return };
-        attempt.may_go = true;
-        let connection = attempt.connection;
-        if let Some(work) = self.work() {
-            work.counts.kept += 1;
-        }
-        self.attempt_connected(connection);
-    }
-
-    /// Nobody keeps it: it does not go, and the call has its answer at once.
-    fn not_kept(&mut self, call: CallId) {
-        // Its attempt may have ended meanwhile, and then it is for the decisions to go on.
-        let waits = |held: &InFlightCall| held.attempt.as_ref().is_some_and(|attempt| !attempt.may_go);
-        if !self.calls.get(call.0).is_some_and(waits) {
-            return;
-        }
-        warn!(call = call.0, "its intent is not kept");
-        if let Some(work) = self.work() {
-            work.counts.unkept += 1;
-        }
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        let ran = held.call.before.is_some() || held.kept.is_some_and(|kept| kept.ran.is_some());
-        let answer = if ran { Answer::Error } else { Answer::Busy(None) };
-        let client = held.client.take();
-        held.outcome =
-            Some(if ran { crate::metrics::Outcome::Failure } else { crate::metrics::Outcome::Busy });
-        if let Some(client) = client {
-            self.answer_conn(client, answer);
-        }
-        self.end_attempt(call, AttemptOutcome::NeverSent, None);
-        self.settle();
-    }
-
-    /// The same work is in hand elsewhere: the decisions forget the call until it is known what came of that.
-    fn in_hand_elsewhere(&mut self, call: CallId) {
-        if let Some(work) = self.work() {
-            work.counts.raced += 1;
-        }
-        let Some(attempt) = self.calls.get_mut(call.0).and_then(|held| held.attempt.take()) else { return };
-        self.attempts_out -= 1;
-        self.close_connection(attempt.connection);
-        let now = self.now;
-        self.tell(|node, port| {
-            node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port)
-        });
-        if let Some(held) = self.calls.get_mut(call.0) {
-            held.attempts = 0;
-        }
-        self.look_first(call);
-    }
-
-    fn place_again(&mut self, call: CallId, before: Option<PriorAttempt>) {
-        let (began, now) = (self.membership.as_ref().map_or(self.now, |of| of.began), self.now);
-        let before = before.map(|before| (HostId(before.host), began + Span(before.at.0)));
-        if let Some(work) = self.work().filter(|_| before.is_some()) {
-            work.counts.taken_over += 1;
-        }
-        // Danger: what is not in the list is in no zone or cell that could be compared.
-        if before.is_some_and(|(host, _)| self.hosts.address(host).is_none()) {
-            return self.answer_call(call, Answer::Error);
-        }
-        let Some(held) = self.calls.get_mut(call.0) else { return };
-        if let Some(kept) = &mut held.kept {
-            kept.looks = false;
-        }
-        held.call.before = before;
-        debug!(call = call.0, before = ?before.map(|(host, _)| host.0), "comes again");
-        let call = held.call;
-        self.tell(|node, port| node.call_arrived(now, call, port));
-    }
 }
-#[cfg(test)]
-mod tests;
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -1,6 +1,11 @@
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
+use glendeck_takeover::ReplicaHandover;
 use serde_json::json;
 
-use super::*;
+use super::handover_file::HandoverFile;
+use super::{Counts, Work};
 
 /// What a process leaves in its folder, as recorded, in hexadecimal digits.
 const LEFT_FILE: &str = include_str!("fixtures/left.hex");
@@ -27,9 +32,9 @@
 
 #[test]
 fn handover_file_is_written_and_read_as_recorded() {
-    let written = write_left(&(6, handover())).unwrap();
-    assert_eq!(written, recorded_file());
-    assert_eq!(read_left(&recorded_file()), Some((6, handover())));
+    let file = HandoverFile { boot_count: 6, replica: handover() };
+    assert_eq!(file.encode().unwrap(), recorded_file());
+    assert_eq!(HandoverFile::decode(&recorded_file()).unwrap(), file);
 }
 
 #[test]
@@ -38,10 +43,10 @@
     for bit in 0..file.len() * 8 {
         let mut damaged = file.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(read_left(&damaged), None, "bit {bit}");
+        assert!(HandoverFile::decode(&damaged).is_err(), "bit {bit}");
     }
     for length in 0..file.len() {
-        assert_eq!(read_left(&file[..length]), None, "the first {length} bytes");
+        assert!(HandoverFile::decode(&file[..length]).is_err(), "the first {length} bytes");
     }
 }
 
