--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -1,37 +1,55 @@
-use super::*;
+use glendeck_fleet::message::{Hello, VERSION};
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
+use glendeck_takeover::{Outcome, RecordId, ReplicaMessage, WorkId};
+
+use super::frame::{Features, Frame, FrameError, decode_greeting, encode_greeting, seal, unseal};
 
 #[test]
-fn greetings_are_read_by_the_version_before_and_after() {
+fn greetings_are_read_by_older_and_newer_versions() {
     let hello = || Hello {
         version: VERSION,
         group: "g".into(),
         name: UnitName("n1".into()),
-        incarnation: glendeck_fleet::state::Incarnation(7),
+        incarnation: Incarnation(7),
     };
-    let before = postcard::to_stdvec(&hello()).unwrap();
-    assert_eq!(read_greeting(&before), Some((hello(), 0)));
-    let between = postcard::to_stdvec(&(hello(), 1_u32)).unwrap();
-    assert_eq!(read_greeting(&between), Some((hello(), 1)));
-    assert_eq!(read_greeting(&write_greeting(hello())), Some((hello(), SPEAKS)));
+    let read = |bytes: &[u8]| decode_greeting(bytes).ok();
+    let first_version = postcard::to_stdvec(&hello()).unwrap();
+    assert_eq!(read(&first_version), Some((hello(), Features::NONE)));
+    let second_version = postcard::to_stdvec(&(hello(), 1_u32)).unwrap();
+    assert_eq!(read(&second_version), Some((hello(), Features::WARM_STATE)));
+    let greeting = encode_greeting(&hello()).unwrap();
+    assert_eq!(read(&greeting), Some((hello(), Features::OWN)));
     // As the versions before read it.
-    assert_eq!(postcard::from_bytes::<Hello>(&write_greeting(hello())).ok(), Some(hello()));
-    let read = postcard::from_bytes::<(Hello, u32)>(&write_greeting(hello()));
-    assert_eq!(read.ok(), Some((hello(), SPEAKS)));
-    assert_eq!(read_greeting(&before[..before.len() - 1]), None);
+    assert_eq!(postcard::from_bytes::<Hello>(&greeting).ok(), Some(hello()));
+    let with_features = postcard::from_bytes::<(Hello, u32)>(&greeting);
+    assert_eq!(with_features.ok(), Some((hello(), Features::OWN.number())));
+    assert_eq!(read(&first_version[..first_version.len() - 1]), None);
 }
 
-/// Without the sum more than half of the bits of such a letter may turn over and it is read as another.
 #[test]
-fn a_letter_of_which_a_bit_has_turned_over_is_not_read() {
-    let outcome = glendeck_takeover::Outcome::NeverRan;
-    let owner = UnitName("n3".into());
-    let id = glendeck_takeover::RecordId {
-        owner,
-        incarnation: glendeck_fleet::state::Incarnation(1 << 60),
-        count: 77,
+fn damaged_and_foreign_greetings_are_refused() {
+    let hello = Hello {
+        version: VERSION,
+        group: "g".into(),
+        name: UnitName("n1".into()),
+        incarnation: Incarnation(7),
     };
-    let message =
-        ReplicaMessage::CallEnded { no: 1, id, work: glendeck_takeover::WorkId(0xfeed_beef), outcome };
+    let mut damaged = encode_greeting(&hello).unwrap();
+    let last = damaged.len() - 1;
+    damaged[last] ^= 1;
+    assert!(matches!(decode_greeting(&damaged), Err(FrameError::Checksum)));
+    let other_version = encode_greeting(&Hello { version: VERSION + 1, ..hello }).unwrap();
+    assert!(matches!(decode_greeting(&other_version), Err(FrameError::Version(_))));
+}
+
+/// Without the checksum more than half of the bits of such a message may turn over and it is read as another.
+#[test]
+fn message_with_a_flipped_bit_is_not_read() {
+    let outcome = Outcome::NeverRan;
+    let owner = UnitName("n3".into());
+    let id = RecordId { owner, incarnation: Incarnation(1 << 60), count: 77 };
+    let message = ReplicaMessage::CallEnded { no: 1, id, work: WorkId(0xfeed_beef), outcome };
     let bare = postcard::to_stdvec(&Frame::Words(vec![message])).unwrap();
     let flipped = |bytes: &[u8], bit: usize| {
         let mut bytes = bytes.to_vec();
@@ -43,6 +61,7 @@
     assert!(misread * 2 > bare.len() * 8, "{misread} of {}", bare.len() * 8);
     let mut sealed = bare.clone();
     seal(&mut sealed);
+    assert!(Frame::decode(&sealed, Features::OWN).is_ok());
     assert_eq!(unseal(&sealed), Some(bare.as_slice()));
     assert!((0..sealed.len() * 8).all(|bit| unseal(&flipped(&sealed, bit)).is_none()));
 }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -1,7 +1,9 @@
-//! What this node's clients would come back to, kept by others, and what those of a lost node come back to here. When it is
-//! said, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what for.
+//! Warm state: what this node's clients would come back to is stored by other nodes, and what the clients of a lost node
+//! come back to is adopted here.
+//!
+//! When it is sent, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what for.
 
-use glendeck::domain::{GroupId, HostId, Span, SubjectId, Time, WarmState as Back};
+use glendeck::domain::{self, GroupId, HostId, Span, SubjectId, Time};
 use glendeck_fleet::Timestamp;
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
@@ -10,38 +12,31 @@
 };
 use nanorand::Rng;
 use serde::Serialize;
-use tracing::{debug, info};
+use tracing::info;
 
 use crate::peers::Frame;
 use crate::service::{Phase, Service};
 
-/// Connections live for tens of seconds: what is a second old is nearly all true.
-const EVERY: Span = Span::ms(1_000);
+/// Connections live for tens of seconds: hints that are a second old are nearly all true.
+const SEND_INTERVAL: Span = Span::ms(1_000);
 
-pub struct WarmState {
-    estates: WarmStateExchange,
-    /// What it knows is said then.
-    next: Time,
-    parting: bool,
-    /// Nodes whose clients were expected here.
-    expected: u64,
-}
+/// Part of the interval that each wait lasts at least, and the part that is drawn in addition. A fleet that was
+/// started together would send in step without the draw.
+const SHORTEST_WAIT: f64 = 0.9;
+const DRAWN_WAIT: f64 = 0.2;
 
-impl WarmState {
-    pub fn new(now: Time, start: Timestamp, me: UnitName, incarnation: Incarnation) -> WarmState {
-        WarmState {
-            estates: WarmStateExchange::new(start, me, incarnation),
-            next: now,
-            parting: false,
-            expected: 0,
-        }
-    }
+/// Loads go over as millionths.
+const LOAD_SCALE: f64 = 1e6;
 
-    /// The metrics of warm state.
-    pub fn metrics(&self) -> WarmStateMetrics {
-        let (nodes, known) = self.estates.held();
-        WarmStateMetrics { nodes, known, lost_expected: self.expected }
-    }
+/// This node's part in the exchange of warm state.
+pub struct WarmState {
+    exchange: WarmStateExchange,
+    /// When this node's own hints are sent next.
+    next_send: Time,
+    /// When they were sent last, the node was sending its clients away.
+    was_leaving: bool,
+    /// Lost nodes whose clients were expected here.
+    lost_expected: u64,
 }
 
 /// Metrics of warm state, under the names that the admin interface shows.
@@ -55,76 +50,117 @@
     pub lost_expected: u64,
 }
 
-/// To an eighth of its power of two: a load that wavers is no news.
-fn rounded(load: f64) -> u32 {
-    let micro = (load * 1e6) as u32;
-    let step = (1 << micro.max(1).ilog2()) / 8;
-    micro / step.max(1) * step.max(1)
+impl WarmState {
+    /// Nothing is known of any node.
+    pub fn new(now: Time, start: Timestamp, name: UnitName, incarnation: Incarnation) -> WarmState {
+        WarmState {
+            exchange: WarmStateExchange::new(start, name, incarnation),
+            next_send: now,
+            was_leaving: false,
+            lost_expected: 0,
+        }
+    }
+
+    /// The metrics of warm state.
+    pub fn metrics(&self) -> WarmStateMetrics {
+        let (nodes, known) = self.exchange.held();
+        WarmStateMetrics { nodes, known, lost_expected: self.lost_expected }
+    }
+
+    /// Whether this node's own hints are to be sent now. Clients that are sent away are elsewhere within the second, so
+    /// a change of `is_leaving` is not waited with.
+    fn is_due(&self, now: Time, is_leaving: bool) -> bool {
+        now >= self.next_send || self.was_leaving != is_leaving
+    }
+}
+
+/// A load in millionths, rounded down to an eighth of its power of two: a load that wavers is not sent again.
+fn rounded_load(load: f64) -> u32 {
+    let millionths = (load * LOAD_SCALE) as u32;
+    let step = (1 << millionths.max(1).ilog2()) / 8;
+    millionths / step.max(1) * step.max(1)
 }
 
 impl Service {
-    fn known(&self) -> Hints {
-        let back = self.warm_state_of_node(MAX_HINTS / 2);
-        let homes = back.homes.iter().map(|(group, host)| (Hint::Home { group: group.0, host: host.0 }, 1));
-        let loads = back.loads.iter().map(|(of, load)| (Hint::Load { subject: of.0 }, rounded(*load)));
+    /// What this node's clients would come back to.
+    fn own_hints(&self) -> Hints {
+        let state = self.warm_state_of_node(MAX_HINTS / 2);
+        let homes = state.homes.iter().map(|(group, host)| {
+            let hint = Hint::Home { group: group.0, host: host.0 };
+            (hint, 1)
+        });
+        let loads = state.loads.iter().map(|(subject, load)| {
+            let hint = Hint::Load { subject: subject.0 };
+            (hint, rounded_load(*load))
+        });
         homes.chain(loads).collect()
     }
 
+    /// Sends this node's hints when they are due, and lets time pass.
     pub fn warm_state_tick(&mut self) {
         let timestamp = self.timestamp();
-        let parting = matches!(self.phase, Phase::Draining { .. } | Phase::Leaving { .. })
-            && !self.handover.is_replaced();
-        let Some(membership) = &self.membership else { return };
-        let Some(of) = &membership.warm_state else { return };
-        // Danger: clients that are sent away are elsewhere within the second.
-        let says = self.now >= of.next || of.parting != parting;
-        let hints = says.then(|| self.known());
         let now = self.now;
+        let sends_clients_away = matches!(self.phase, Phase::Draining { .. } | Phase::Leaving { .. });
+        let is_leaving = sends_clients_away && !self.handover.is_replaced();
+        let warm_state = self.membership.as_ref().and_then(|membership| membership.warm_state.as_ref());
+        let Some(warm_state) = warm_state else { return };
+        let hints = warm_state.is_due(now, is_leaving).then(|| self.own_hints());
         let Some(membership) = &mut self.membership else { return };
-        let linked = membership.peers.speakers();
-        let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
-        let mut acts = Vec::new();
+        let peers = membership.peers.speakers();
+        let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
+        let mut actions = Vec::new();
         if let Some(hints) = hints {
-            // Danger: a fleet that was started together would say it in step.
-            of.next = now + EVERY.times(0.9 + 0.2 * f64::from(membership.chance.generate::<f32>()));
-            of.parting = parting;
-            acts = of.estates.tell(timestamp, hints, parting, work.view(), &linked);
+            let wait = SHORTEST_WAIT + DRAWN_WAIT * f64::from(membership.chance.generate::<f32>());
+            warm_state.next_send = now + SEND_INTERVAL.times(wait);
+            warm_state.was_leaving = is_leaving;
+            actions = warm_state.exchange.tell(timestamp, hints, is_leaving, work.view(), &peers);
         }
-        acts.extend(of.estates.tick(timestamp, &linked));
-        self.carry_out_warm_state(acts);
+        actions.extend(warm_state.exchange.tick(timestamp, &peers));
+        self.perform_warm_state_actions(actions);
     }
 
-    pub fn peer_told(&mut self, peer: &UnitName, said: WarmStateMessage) {
+    /// Handles a message of a peer's.
+    pub fn peer_told(&mut self, peer: &UnitName, message: WarmStateMessage) {
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
-        let (Some(of), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
-        let acts = of.estates.heard(timestamp, peer, said, work.view());
-        self.carry_out_warm_state(acts);
+        let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
+        let actions = warm_state.exchange.heard(timestamp, peer, message, work.view());
+        self.perform_warm_state_actions(actions);
     }
 
-    fn carry_out_warm_state(&mut self, acts: Vec<WarmStateAction>) {
-        for act in acts {
-            match act {
-                WarmStateAction::Send(to, said) => self.send_peer(&to, &Frame::WarmState(said)),
-                WarmStateAction::Adopt(of, hints) => self.adopt_warm_state(&of, hints),
+    fn perform_warm_state_actions(&mut self, actions: Vec<WarmStateAction>) {
+        for action in actions {
+            match action {
+                WarmStateAction::Send(peer, message) => self.send_peer(&peer, &Frame::WarmState(message)),
+                WarmStateAction::Adopt(lost_node, hints) => self.adopt_warm_state(&lost_node, hints),
             }
         }
     }
 
-    fn adopt_warm_state(&mut self, of: &UnitName, hints: Vec<(Hint, u32)>) {
-        info!(%of, known = hints.len(), "has gone: its clients are expected");
-        let mut back = Back::default();
-        for (known, value) in hints {
-            match known {
-                Hint::Home { group, host } => back.homes.push((GroupId(group), HostId(host))),
-                Hint::Load { subject } => back.loads.push((SubjectId(subject), f64::from(value) / 1e6)),
-            }
-        }
-        debug!(homes = back.homes.len(), loads = back.loads.len(), "what they come back to");
-        if let Some(of) = self.membership.as_mut().and_then(|membership| membership.warm_state.as_mut()) {
-            of.expected += 1;
+    /// The decisions expect the clients of a lost node.
+    fn adopt_warm_state(&mut self, lost_node: &UnitName, hints: Vec<(Hint, u32)>) {
+        let state = decode_hints(&hints);
+        let homes = state.homes.len();
+        let loads = state.loads.len();
+        info!(%lost_node, homes, loads, "a node was lost: expecting its clients");
+        let membership = self.membership.as_mut();
+        if let Some(warm_state) = membership.and_then(|membership| membership.warm_state.as_mut()) {
+            warm_state.lost_expected += 1;
         }
         let now = self.now;
-        self.tell(|node, _| node.adopt_warm_state(now, &back));
+        self.tell(|node, _| node.adopt_warm_state(now, &state));
+    }
+}
+
+fn decode_hints(hints: &[(Hint, u32)]) -> domain::WarmState {
+    let mut state = domain::WarmState::default();
+    for (hint, value) in hints {
+        match hint {
+            Hint::Home { group, host } => state.homes.push((GroupId(*group), HostId(*host))),
+            Hint::Load { subject } => {
+                state.loads.push((SubjectId(*subject), f64::from(*value) / LOAD_SCALE));
+            }
+        }
     }
+    state
 }
