--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use self::reply::Reply;
 use crate::clients::ACCEPT_AGAIN;
 use crate::connection::{self, Connection, Got};
-use crate::http::{Incoming, Method};
+use crate::http::request::{Method, RequestReader};
 use crate::service::{ADMIN, ConnectionId, Service, SocketRole, TimerEvent};
 
 /// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back from
@@ -35,7 +35,7 @@
 /// One connection to the admin interface.
 pub struct Caller {
     id: ConnectionId,
-    incoming: Incoming,
+    reader: RequestReader,
     /// Its reply is on its way.
     is_answered: bool,
 }
@@ -89,7 +89,7 @@
         self.make_place();
         let connection = Connection::new(socket, false);
         let Some(id) = self.add_connection(connection, SocketRole::Admin) else { return };
-        self.door.callers.push_back(Caller { id, incoming: Incoming::default(), is_answered: false });
+        self.door.callers.push_back(Caller { id, reader: RequestReader::default(), is_answered: false });
         self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::Caller(id));
     }
 
@@ -147,7 +147,7 @@
     fn read_request(&mut self, id: ConnectionId) {
         let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        match caller.incoming.read(&mut entry.connection.inbox) {
+        match caller.reader.read(&mut entry.connection.inbox) {
             Ok(None) => {}
             Ok(Some(request)) => {
                 if let Some(reply) = self.handle_request(id, &request) {
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -4,7 +4,7 @@
 use tracing::info;
 
 use super::reply::{Reply, Status, done_status};
-use crate::http::{Method, Refusal, Request};
+use crate::http::request::{Method, Refusal, Request};
 use crate::service::{ConnectionId, Phase, Service};
 
 const FLEET_PATHS: &str = "/v1/fleet/";
--- a/crates/node/src/admin/tests.rs
+++ b/crates/node/src/admin/tests.rs
@@ -5,7 +5,7 @@
 use super::reply::{Reply, Status};
 use super::routes::{PhaseChange, Readiness};
 use crate::fleet::requests::{RequestError, result_reply};
-use crate::http::Refusal;
+use crate::http::request::Refusal;
 use crate::metrics::{Metrics, MetricsPage, Outcome};
 use crate::service::Phase;
 
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 
 use crate::config::host_id;
 use crate::connection::{Connection, Got};
-use crate::http::{self, Arriving};
+use crate::http::response::{ResponseReader, encode_get};
 use crate::service::{ConnectionId, Service, SocketRole, TimerEvent};
 
 #[derive(Debug, PartialEq, thiserror::Error)]
@@ -41,7 +41,7 @@
     /// The decisions know that the watch stands.
     stands: bool,
     /// What has come of the answer.
-    arriving: Arriving,
+    arriving: ResponseReader,
 }
 
 const PATH: &str = "/registry/instances";
@@ -174,7 +174,7 @@
     }
 
     fn ask_list(&mut self, wait: Span) -> Option<ConnectionId> {
-        self.list.arriving = Arriving::default();
+        self.list.arriving = ResponseReader::default();
         match Connection::connect(self.config.discovery) {
             Ok(connection) => {
                 let id = self.add_connection(connection, SocketRole::EndpointListClient(self.now))?;
@@ -197,7 +197,7 @@
         let authority = self.config.discovery.to_string();
         if let Some(seat) = self.sockets.get_mut(id.0) {
             seat.role = SocketRole::EndpointListClient(limit);
-            http::encode_get(&path, &authority, &mut seat.connection.outbox);
+            encode_get(&path, &authority, &mut seat.connection.outbox);
         }
         self.timers.set(limit, TimerEvent::ListLimit(id));
         self.pump(id);
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -1,7 +1,8 @@
-use super::{Arriving, Incoming, Method, Refusal, Request};
+use super::request::{Method, Refusal, Request, RequestReader};
+use super::response::ResponseReader;
 use test_case::test_case;
 
-/// Cut in two anywhere, and byte by byte, a call reads the same, and never before its last byte.
+/// Cut in two anywhere, and byte by byte, a request reads the same, and never before its last byte.
 #[test_case("GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", Ok(Method::Get); "a question")]
 #[test_case("HEAD /v1/readyz HTTP/1.0\r\n\r\n", Ok(Method::Head); "a question without headers")]
 #[test_case("POST / HTTP/1.1\r\ncontent-length: 3\r\nA:\tb\r\n\r\nx\r\n", Ok(Method::Post); "a body")]
@@ -16,84 +17,84 @@
 #[test_case("GET /a b HTTP/1.1\r\n\r\n", Err(Refusal::Head); "four words")]
 #[test_case("GET / HTTP/2.0\r\n\r\n", Err(Refusal::Version); "another version")]
 #[test_case("PING\r\n\r\n", Err(Refusal::Head); "a line for clients")]
-fn calls(text: &str, want: Result<Method, Refusal>) {
+fn requests_are_read_the_same_however_cut(text: &str, want: Result<Method, Refusal>) {
     for cut in 0..text.len() {
-        let (mut incoming, mut inbox) = (Incoming::default(), text.as_bytes()[..cut].to_vec());
-        let first = incoming.read(&mut inbox);
+        let (mut reader, mut inbox) = (RequestReader::default(), text.as_bytes()[..cut].to_vec());
+        let first = reader.read(&mut inbox);
         if want.is_ok() {
             assert_eq!(first, Ok(None), "cut at {cut}");
         }
         inbox.extend_from_slice(&text.as_bytes()[cut..]);
-        let said = first.and_then(|_| incoming.read(&mut inbox));
+        let said = first.and_then(|_| reader.read(&mut inbox));
         assert_eq!(said.map(|request| request.map(|request| request.method)), want.map(Some), "cut at {cut}");
     }
-    let (mut incoming, mut inbox, mut said) = (Incoming::default(), Vec::new(), Ok(None));
+    let (mut reader, mut inbox, mut said) = (RequestReader::default(), Vec::new(), Ok(None));
     for byte in text.bytes() {
         if said == Ok(None) {
             inbox.push(byte);
-            said = incoming.read(&mut inbox);
+            said = reader.read(&mut inbox);
         }
     }
     assert_eq!(said.map(|request| request.map(|Request { method, .. }| method)), want.map(Some));
 }
 
 #[test]
-fn a_head_without_end_is_refused_in_bounded_memory() {
-    let (mut incoming, mut inbox) = (Incoming::default(), Vec::new());
+fn endless_head_is_refused_in_bounded_memory() {
+    let (mut reader, mut inbox) = (RequestReader::default(), Vec::new());
     let mut line = |text: &[u8]| {
         inbox.extend_from_slice(text);
         assert!(inbox.len() < 10_000);
-        incoming.read(&mut inbox)
+        reader.read(&mut inbox)
     };
     assert_eq!(line(b"GET / HTTP/1.1\r\n"), Ok(None));
     let refused = (0..1000).find_map(|_| line(b"A: 0123456789\r\n").err());
     assert_eq!(refused, Some(Refusal::HeadTooLarge));
 }
 
-/// Cut in two anywhere, and byte by byte, an answer reads the same: nothing before its last byte, and no byte
+/// Cut in two anywhere, and byte by byte, a response reads the same: nothing before its last byte, and no byte
 /// of the next.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, "hello"; "by length")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n",
     200, "hello"; "in chunks, with a trailer")]
 #[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 503, ""; "a refusal")]
-fn answers(text: &str, status: u16, body: &str) {
+fn responses_are_read_the_same_however_cut(text: &str, status: u16, body: &str) {
     for cut in 0..text.len() {
-        let (mut arriving, mut inbox) = (Arriving::default(), text.as_bytes()[..cut].to_vec());
-        assert_eq!(arriving.read(&mut inbox, false), Ok(None));
+        let (mut reader, mut inbox) = (ResponseReader::default(), text.as_bytes()[..cut].to_vec());
+        assert_eq!(reader.read(&mut inbox, false), Ok(None));
         inbox.extend_from_slice(&text.as_bytes()[cut..]);
         inbox.extend_from_slice(b"HTTP/1.1");
-        let reply = arriving.read(&mut inbox, false).unwrap().unwrap();
+        let reply = reader.read(&mut inbox, false).unwrap().unwrap();
         assert_eq!((reply.status, reply.body.as_slice()), (status, body.as_bytes()));
         assert_eq!(inbox, b"HTTP/1.1");
-        assert!(Arriving::default().read(&mut text.as_bytes()[..cut].to_vec(), true).is_err());
+        assert!(ResponseReader::default().read(&mut text.as_bytes()[..cut].to_vec(), true).is_err());
     }
-    let (mut arriving, mut inbox) = (Arriving::default(), Vec::new());
+    let (mut reader, mut inbox) = (ResponseReader::default(), Vec::new());
     let replies = text.bytes().filter_map(|byte| {
         inbox.push(byte);
-        arriving.read(&mut inbox, false).unwrap()
+        reader.read(&mut inbox, false).unwrap()
     });
     assert_eq!(replies.count(), 1);
 }
 
 #[test]
-fn an_answer_without_length_ends_with_its_connection() {
-    let (mut arriving, mut inbox) = (Arriving::default(), b"HTTP/1.1 200 OK\r\n\r\nhel".to_vec());
-    assert_eq!(arriving.read(&mut inbox, false), Ok(None));
-    let reply = arriving.read(&mut b"lo".to_vec(), true).unwrap().unwrap();
+fn response_without_length_ends_with_its_connection() {
+    let (mut reader, mut inbox) = (ResponseReader::default(), b"HTTP/1.1 200 OK\r\n\r\nhel".to_vec());
+    assert_eq!(reader.read(&mut inbox, false), Ok(None));
+    let reply = reader.read(&mut b"lo".to_vec(), true).unwrap().unwrap();
     assert_eq!((reply.body.as_slice(), reply.keeps_open), (b"hello".as_slice(), false));
 }
 
 /// A list of thousands of hosts in pieces of a few bytes takes milliseconds, not the square of that.
 #[test]
-fn many_pieces_cost_no_more_than_one() {
+fn response_in_many_pieces_takes_linear_time() {
     let body = "x".repeat(1 << 20);
     let text =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", 1 << 20);
-    let (mut arriving, mut inbox, mut whole) = (Arriving::default(), Vec::new(), None);
+    let (mut reader, mut inbox, mut whole) = (ResponseReader::default(), Vec::new(), None);
     let began = std::time::Instant::now();
     for piece in text.as_bytes().chunks(7) {
         inbox.extend_from_slice(piece);
-        whole = arriving.read(&mut inbox, false).unwrap();
+        whole = reader.read(&mut inbox, false).unwrap();
     }
     assert_eq!(whole.map(|reply| reply.body.len()), Some(1 << 20));
     assert!(began.elapsed() < std::time::Duration::from_secs(5), "took {:?}", began.elapsed());
@@ -104,6 +105,6 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"; "more than is taken")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "a chunk that is none")]
 #[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"; "a chunk that is longer")]
-fn garbage(text: &str) {
-    assert!(Arriving::default().read(&mut text.as_bytes().to_vec(), false).is_err());
+fn invalid_responses_are_refused(text: &str) {
+    assert!(ResponseReader::default().read(&mut text.as_bytes().to_vec(), false).is_err());
 }
