--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -26,7 +26,7 @@
 #[test_case("}}", "}", Some("ROUTER_CONFIG"); "no JSON")]
 fn faults_name_the_key(from: &str, to: &str, key: Option<&str>) {
     let text = if from.is_empty() { GOOD.to_owned() } else { GOOD.replace(from, to) };
-    let fault = super::read(&text, |_| None).err().map(|fault| fault.to_string());
+    let fault = super::decode::decode(&text, |_| None).err().map(|fault| fault.to_string());
     match (fault, key) {
         (Some(fault), Some(key)) => assert!(fault.contains(key), "{fault} does not name {key}"),
         (fault, key) => assert_eq!(fault.as_deref(), key),
@@ -36,7 +36,7 @@
 /// What counts at once, by name: numbers stay what they were while the process runs.
 #[test]
 fn settings_change_and_names_keep_their_numbers() {
-    let start = |text: &str| super::read(text, |_| None).unwrap();
+    let start = |text: &str| super::decode::decode(text, |_| None).unwrap();
     let mut here = start(GOOD);
     let more = GOOD
         .replace("[\"x\"]", "[\"w\",\"x\"]")
