--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -187,8 +187,8 @@
         let mut traffic = self.settings.traffic.clone();
         for (number, class) in class_numbers.iter().zip(&new.traffic) {
             match traffic.get_mut(*number) {
-                Some(known) => *known = class.clone(),
-                None => traffic.push(class.clone()),
+                Some(known) => *known = *class,
+                None => traffic.push(*class),
             }
         }
         let zone = zone_numbers.get(usize::from(new.zone.0));
