--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -18,9 +18,12 @@
 
 use self::reply::Reply;
 use crate::clients::ACCEPT_AGAIN;
-use crate::connection::{self, Connection, Got};
+use crate::connection::{self, Connection, ReadOutcome};
 use crate::http::request::{Method, RequestReader};
-use crate::service::{ADMIN, ConnectionId, Service, SocketRole, TimerEvent};
+use crate::reactor::ADMIN;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back from
 /// the clients, so there are not more.
@@ -79,7 +82,7 @@
                     // While accepting fails the socket stays ready, and the event loop would spin.
                     warn!(%cause, "cannot accept connections to the admin interface");
                     self.watch_admin(false);
-                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::Accept);
+                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
                 }
             }
         }
@@ -90,7 +93,7 @@
         let connection = Connection::new(socket, false);
         let Some(id) = self.add_connection(connection, SocketRole::Admin) else { return };
         self.door.callers.push_back(Caller { id, reader: RequestReader::default(), is_answered: false });
-        self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::Caller(id));
+        self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
     }
 
     /// Drops callers while there are too many, or some that finish no request would keep the others out. First goes
@@ -125,19 +128,19 @@
     }
 
     /// Handles what a caller has sent, or its end.
-    pub fn caller_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn caller_came(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        match got {
-            Got::NothingYet => {}
-            Got::End if caller.is_answered => self.caller_over(id),
+        match outcome {
+            ReadOutcome::NothingYet => {}
+            ReadOutcome::End if caller.is_answered => self.caller_over(id),
             // Half a request needs no reply.
-            Got::End => self.drop_caller(id),
-            Got::Bytes(length) if caller.is_answered => {
+            ReadOutcome::End => self.drop_caller(id),
+            ReadOutcome::Bytes(length) if caller.is_answered => {
                 entry.connection.discarded += length;
                 self.caller_over(id);
             }
-            Got::Bytes(length) => {
+            ReadOutcome::Bytes(length) => {
                 entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
                 self.read_request(id);
             }
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -5,7 +5,9 @@
 
 use super::reply::{Reply, Status, done_status};
 use crate::http::request::{Method, Refusal, Request};
-use crate::service::{ConnectionId, Phase, Service};
+use crate::lifecycle::Phase;
+use crate::service::Service;
+use crate::socket::ConnectionId;
 
 const FLEET_PATHS: &str = "/v1/fleet/";
 
--- a/crates/node/src/admin/tests.rs
+++ b/crates/node/src/admin/tests.rs
@@ -6,8 +6,8 @@
 use super::routes::{PhaseChange, Readiness};
 use crate::fleet::requests::{RequestError, result_reply};
 use crate::http::request::Refusal;
+use crate::lifecycle::Phase;
 use crate::metrics::{Metrics, MetricsPage, Outcome};
-use crate::service::Phase;
 
 /// Replies of the admin interface, as recorded: one a line, with `\r`, `\n` and quotes escaped.
 const REPLIES: &str = include_str!("fixtures/replies.txt");
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -16,7 +16,8 @@
 use tracing::level_filters::LevelFilter;
 
 use crate::endpoint_list::{EndpointListError, EndpointListUpdate};
-use crate::protocol::{self, Names};
+use crate::hash::hash_name;
+use crate::protocol::Names;
 
 pub use self::decode::{anew, from_environment};
 
@@ -226,5 +227,5 @@
 
 /// A host's id, the same at every node.
 pub fn host_id(name: &str) -> HostId {
-    HostId(protocol::numbered(name))
+    HostId(hash_name(name))
 }
--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -12,7 +12,8 @@
 use super::START;
 use crate::config::host_id;
 use crate::endpoint_list::{self, EndpointListUpdate};
-use crate::service::{Service, TimerEvent};
+use crate::service::Service;
+use crate::timers::TimerEvent;
 
 /// A node that has just started waits so long for a voter. A leader answers within a round trip once a link is up, and
 /// links come up within a tick or two. Where none does: what the predecessor told last counts at the leader for
@@ -103,10 +104,10 @@
         let first = interval.times(f64::from(membership.chance.generate::<f32>()));
         if !hosts.avoided.is_empty() && !hosts.is_migrating {
             hosts.is_migrating = true;
-            self.timers.set(self.now + first, TimerEvent::Ease);
+            self.timers.set(self.now + first, TimerEvent::MigrateFromDraining);
         }
         let now = self.now;
-        let endpoints = self.hosts.keep_from(host_ids);
+        let endpoints = self.hosts.set_drained_by_fleet(host_ids);
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &endpoints, port));
     }
 
@@ -118,8 +119,8 @@
             hosts.is_migrating = false;
             return;
         }
-        self.timers.set(self.now + hosts.migration_interval, TimerEvent::Ease);
-        if let Some(call) = self.hosts.next_eased() {
+        self.timers.set(self.now + hosts.migration_interval, TimerEvent::MigrateFromDraining);
+        if let Some(call) = self.hosts.next_to_migrate() {
             self.move_client(call, AttemptOutcome::Canceled);
         }
     }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -29,9 +29,12 @@
 use self::requests::PendingRequests;
 use self::store::{StoreThread, open_fleet};
 use crate::config::FleetSettings;
+use crate::lifecycle::Phase;
 use crate::peers::{Frame, Peers};
-use crate::service::{Phase, STORE, Service, TimerEvent};
+use crate::reactor::STORE;
+use crate::service::Service;
 use crate::takeover::Work;
+use crate::timers::TimerEvent;
 use crate::warm_state::WarmState;
 
 /// Why a node cannot join its fleet.
@@ -232,7 +235,7 @@
         if self.phase == Phase::Left {
             return;
         }
-        self.timers.set(self.now + TICK, TimerEvent::Fleet);
+        self.timers.set(self.now + TICK, TimerEvent::FleetTick);
         self.tend_links();
         self.retry_store();
         self.request_status();
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -11,7 +11,8 @@
 use tracing::info;
 
 use crate::admin::reply::{Reply, Status};
-use crate::service::{ConnectionId, Service};
+use crate::service::Service;
+use crate::socket::ConnectionId;
 use crate::takeover::WorkMetrics;
 use crate::warm_state::WarmStateMetrics;
 
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -14,7 +14,8 @@
 
 use super::FleetError;
 use crate::config::FleetSettings;
-use crate::service::{STORE, Service};
+use crate::reactor::STORE;
+use crate::service::Service;
 
 /// A store that another process of this node still uses is tried again after so many ticks.
 const RETRY_TICKS: u32 = 10;
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -22,9 +22,11 @@
 
 use glendeck::domain::CallId;
 
-use crate::service::{ConnectionId, Service};
+use crate::service::Service;
+use crate::socket::ConnectionId;
 
 pub use self::socket::Inherited;
+pub use self::state::HandoverState;
 
 /// How this process stands to its predecessor and its successor.
 #[derive(Default)]
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -9,10 +9,13 @@
 
 use super::message::{CallHandover, MessageError, PredecessorMessage, StateHeader, SuccessorMessage};
 use super::socket::receive_with_sockets;
+use crate::call::{Attempt, CallStage, InFlightCall};
 use crate::connection::Connection;
 use crate::hosts::SEND_AWAY;
-use crate::protocol::{ClientId, first_line};
-use crate::service::{Attempt, CallStage, ConnectionId, InFlightCall, Service, SocketRole, TimerEvent};
+use crate::protocol::{ClientId, OpenLine, first_line_length};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// The service of the endpoint list answers within milliseconds or is overloaded. A process that has taken in
 /// everything else serves without it after this, well within the 6 s that an upgrade may take.
@@ -38,7 +41,7 @@
         let connection = Connection::new(line.into(), false);
         self.handover.predecessor = self.add_connection(connection, SocketRole::Predecessor);
         info!("connected to the predecessor");
-        self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::TakeOver);
+        self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::EndpointListOverdue);
     }
 
     /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting while
@@ -76,7 +79,7 @@
     fn read_predecessor_lines(&mut self, id: ConnectionId) {
         while let Some(entry) = self.sockets.get_mut(id.0) {
             let inbox = &mut entry.connection.inbox;
-            let Some(length) = first_line(inbox) else {
+            let Some(length) = first_line_length(inbox) else {
                 if inbox.len() > StateHeader::LONGEST_STATE {
                     self.predecessor_gone(id);
                 }
@@ -147,20 +150,20 @@
         let (client, host) = self.add_adopted_connections(client, host)?;
 
         let mut in_flight =
-            InFlightCall::new(client_id, client, Vec::new(), 0..0, call, CallStage::Open, None);
-        in_flight.attempts = 1;
+            InFlightCall::new(client_id, client, OpenLine::default(), call, CallStage::Open, None);
+        in_flight.attempt_count = 1;
         in_flight.attempt = Some(Attempt {
-            no: AttemptNumber(0),
+            number: AttemptNumber(0),
             host: host_id,
             connection: host,
-            sent: self.now,
-            limit: self.now,
-            may_go: true,
-            line_out: true,
-            line_gone: true,
+            opened_at: self.now,
+            deadline: self.now,
+            may_send: true,
+            is_line_queued: true,
+            is_line_sent: true,
         });
-        in_flight.asked = asked;
-        in_flight.silence_set = asked.is_some();
+        in_flight.awaiting_host_since = asked;
+        in_flight.has_silence_timer = asked.is_some();
         let id = self.insert_adopted_call(in_flight);
         self.start_adopted_call(Call { id, ..call }, host_id, asked.is_some());
         self.pump(client);
@@ -215,7 +218,7 @@
 
     /// Gives the call its number, and its connections their roles.
     fn insert_adopted_call(&mut self, in_flight: InFlightCall) -> CallId {
-        let client_id = in_flight.id;
+        let client_id = in_flight.client_id;
         let client = in_flight.client;
         let host = in_flight.attempt.as_ref().map(|attempt| attempt.connection);
         let id = CallId(self.calls.insert(in_flight));
@@ -238,10 +241,10 @@
         let now = self.now;
         self.tell(|node, _| node.existing_connection(now, call, host));
         if host_owes_line {
-            self.timers.set(now, TimerEvent::Silence(call.id));
+            self.timers.set(now, TimerEvent::HostSilence(call.id));
         }
         if self.hosts.is_leaving(host) {
-            self.timers.set(now + SEND_AWAY, TimerEvent::Move(call.id));
+            self.timers.set(now + SEND_AWAY, TimerEvent::Migrate(call.id));
         }
     }
 
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -11,9 +11,13 @@
 use super::message::{CallHandover, PredecessorMessage, StateHeader, SuccessorMessage};
 use super::socket::{send_with_sockets, socket_path};
 use super::state::HandoverState;
-use crate::connection::{Connection, Got};
-use crate::protocol::{LONGEST, first_line};
-use crate::service::{AttemptEnd, CallStage, ConnectionId, Phase, Service, SocketRole, TimerEvent};
+use crate::call::{AttemptEnd, CallStage};
+use crate::connection::{Connection, ReadOutcome};
+use crate::lifecycle::Phase;
+use crate::protocol::{MAX_LINE_LENGTH, first_line_length};
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
+use crate::timers::TimerEvent;
 
 /// When the socket is full it is tried again after this: the successor reads it in each turn of its loop.
 const RETRY_FULL_SOCKET: Span = Span::ms(5);
@@ -60,18 +64,18 @@
     }
 
     /// Handles what the successor has sent, or the end of its connection.
-    pub fn successor_readable(&mut self, id: ConnectionId, got: Got) {
+    pub fn successor_readable(&mut self, id: ConnectionId, got: ReadOutcome) {
         let length = match got {
-            Got::NothingYet => return,
-            Got::End => return self.successor_gone(id),
-            Got::Bytes(length) => length,
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End => return self.successor_gone(id),
+            ReadOutcome::Bytes(length) => length,
         };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
         entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
         while let Some(entry) = self.sockets.get_mut(id.0) {
             let inbox = &mut entry.connection.inbox;
-            let Some(length) = first_line(inbox) else {
-                if inbox.len() > LONGEST {
+            let Some(length) = first_line_length(inbox) else {
+                if inbox.len() > MAX_LINE_LENGTH {
                     self.successor_gone(id);
                 }
                 return;
@@ -124,7 +128,7 @@
     fn handover_state(&self) -> Option<HandoverState> {
         Some(HandoverState {
             node: self.snapshot()?,
-            list: self.hosts.told(self.list.index()?),
+            list: self.hosts.to_update(self.list.index()?),
             drained: matches!(self.phase, Phase::Draining { .. }),
             zones: self.config.zones.clone(),
             classes: self.config.names.traffic.clone(),
@@ -200,7 +204,7 @@
             match result {
                 Ok(()) => self.handover.remove_first_pending(),
                 Err(Errno::AGAIN) => {
-                    return self.timers.set(self.now + RETRY_FULL_SOCKET, TimerEvent::HandOn);
+                    return self.timers.set(self.now + RETRY_FULL_SOCKET, TimerEvent::ContinueHandover);
                 }
                 Err(cause) => {
                     warn!(%cause, "cannot hand over connections: their clients are migrated");
@@ -234,19 +238,19 @@
         let attempt = in_flight.attempt.as_ref()?;
         let client = &self.sockets.get(client_id.0)?.connection;
         let host = &self.sockets.get(attempt.connection.0)?.connection;
-        if in_flight.last.is_some() || !client.is_sound() || !host.is_sound() {
+        if in_flight.final_message.is_some() || !client.is_sound() || !host.is_sound() {
             return None;
         }
         let call = &in_flight.call;
         let handover = CallHandover {
-            waiting_for_host_ns: in_flight.asked.map(|asked| self.now.since(asked).0),
+            waiting_for_host_ns: in_flight.awaiting_host_since.map(|asked| self.now.since(asked).0),
             client_inbox: HexBytes::from(client.inbox.as_slice()),
             client_outbox: HexBytes::from(client.to_go()),
             group: call.group.map(|group| group.0),
             host: attempt.host.0,
             host_inbox: HexBytes::from(host.inbox.as_slice()),
             host_outbox: HexBytes::from(host.to_go()),
-            client_id: in_flight.id.0,
+            client_id: in_flight.client_id.0,
             load: call.load,
             subject: call.subject.map(|subject| subject.0),
             tenant: call.tenant.0,
@@ -268,7 +272,7 @@
         self.attempts_out -= 1;
         self.hosts.closed(attempt.host, call);
         let outcome = AttemptOutcome::Canceled;
-        self.ended.push_back(AttemptEnd { call, attempt: attempt.no, outcome, last: true });
+        self.ended.push_back(AttemptEnd { call, attempt: attempt.number, outcome, is_final: true });
         Some(attempt.host)
     }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -5,7 +5,8 @@
 use glendeck::domain::ClassId;
 use serde::Serialize;
 
-use crate::service::{CallStage, Service};
+use crate::call::CallStage;
+use crate::service::Service;
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -20,8 +20,10 @@
 use tracing::{debug, warn};
 
 use self::frame::{Features, append_frame, decode_greeting, encode_greeting, take_frame};
-use crate::connection::{self, Connection, Got};
-use crate::service::{ConnectionId, PEERS, Service, SocketRole};
+use crate::connection::{self, Connection, ReadOutcome};
+use crate::reactor::PEERS;
+use crate::service::Service;
+use crate::socket::{ConnectionId, SocketRole};
 
 pub use self::frame::{Frame, seal, unseal};
 
@@ -270,12 +272,12 @@
     }
 
     /// Handles what has come on a link, or its end.
-    pub fn peer_came(&mut self, id: ConnectionId, got: Got) {
+    pub fn peer_came(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        match got {
-            Got::NothingYet => return,
-            Got::End => return self.peer_lost(id),
-            Got::Bytes(length) => entry.connection.inbox.extend_from_slice(&self.scratch[..length]),
+        match outcome {
+            ReadOutcome::NothingYet => return,
+            ReadOutcome::End => return self.peer_lost(id),
+            ReadOutcome::Bytes(length) => entry.connection.inbox.extend_from_slice(&self.scratch[..length]),
         }
         // The link may end with any frame, and its socket with it.
         while let Some(entry) = self.sockets.get_mut(id.0) {
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -5,9 +5,11 @@
 use glendeck_takeover::{Action, Attempt, Outcome, PriorAttempt, WorkId};
 use tracing::{debug, warn};
 
+use crate::call::{self, InFlightCall};
+use crate::hash::hash_bytes;
 use crate::metrics;
-use crate::protocol::{Answer, OpenRequest, hashed};
-use crate::service::{InFlightCall, Service};
+use crate::protocol::{Answer, OpenRequest};
+use crate::service::Service;
 
 /// An attempt that has less left than this when its intent is stored is not sent: it would hardly be answered.
 const LEAST_TIME_LEFT: Span = Span::ms(20);
@@ -33,7 +35,7 @@
 /// The id of a piece of work, the same at every node.
 fn work_id(class: &str, tenant: &str, subject: u64) -> WorkId {
     let parts = [class.as_bytes(), b"\0", tenant.as_bytes(), b"\0", &subject.to_le_bytes()];
-    WorkId(hashed(parts.into_iter().flatten().copied()))
+    WorkId(hash_bytes(parts.into_iter().flatten().copied()))
 }
 
 impl Service {
@@ -42,7 +44,7 @@
         self.membership.as_ref()?.work.as_ref()?;
         let class = usize::from(opening.traffic.0);
         let is_idempotent = self.config.settings.traffic.get(class)?.idempotency == Idempotency::Idempotent;
-        if is_idempotent || opening.at.is_some() {
+        if is_idempotent || opening.previous_host.is_some() {
             return None;
         }
         let tenant = self.config.names.tenants.get(opening.tenant.0 as usize).map_or("", String::as_str);
@@ -52,7 +54,7 @@
     /// Whether a call repeats another, as far as can be told: where clients do not mark repeats, any call may but one
     /// whose connection was up.
     pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
-        if self.config.marks_repeats { opening.repeat } else { !opening.again }
+        if self.config.marks_repeats { opening.is_repeat } else { !opening.is_reconnect }
     }
 
     /// Looks up what has been before a call.
@@ -65,7 +67,7 @@
         if let Some(work) = self.work() {
             work.counts.looked += 1;
         }
-        self.tell_work(|takeover, now| takeover.returned(now, call.0, work_id, left_ms));
+        self.tell_work(|takeover, now| takeover.call_repeated(now, call.0, work_id, left_ms));
     }
 
     /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection comes up
@@ -74,15 +76,18 @@
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (in_flight.kept, &in_flight.attempt) else { return };
         let first = in_flight.call.before.or(kept.ran);
-        let latest = self.repeat_window_end(in_flight, first).unwrap_or(attempt.limit).min(attempt.limit);
+        let latest =
+            self.repeat_window_end(in_flight, first).unwrap_or(attempt.deadline).min(attempt.deadline);
         let attempt = Attempt {
             work: kept.work,
             host: attempt.host.0,
-            ran: kept.ran.map(|(host, time)| (host.0, self.timestamp_of(time))),
-            left_ms: in_flight.call.guard.since(self.now).0 / 1_000_000,
-            latest: self.timestamp_of(latest - LEAST_TIME_LEFT),
+            prior: kept
+                .ran
+                .map(|(host, time)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(time) }),
+            remaining_ms: in_flight.call.guard.since(self.now).0 / 1_000_000,
+            send_before: self.timestamp_of(latest - LEAST_TIME_LEFT),
         };
-        self.tell_work(|takeover, now| takeover.intend(now, call.0, attempt));
+        self.tell_work(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
     }
 
     /// Until when hosts recognise a repeat of a keyed call, from its first attempt on.
@@ -99,7 +104,7 @@
     pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
         let Some(kept) = kept else { return };
         let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
-        self.tell_work(|takeover, now| takeover.ended(now, call.0, outcome));
+        self.tell_work(|takeover, now| takeover.call_ended(now, call.0, outcome));
     }
 
     pub(super) fn perform_work_action(&mut self, action: Action) {
@@ -126,7 +131,7 @@
     fn send_replicated_attempt(&mut self, call: CallId) {
         let attempt = self.calls.get_mut(call.0).and_then(|in_flight| in_flight.attempt.as_mut());
         let Some(attempt) = attempt else { return };
-        attempt.may_go = true;
+        attempt.may_send = true;
         let connection = attempt.connection;
         if let Some(work) = self.work() {
             work.counts.kept += 1;
@@ -137,7 +142,7 @@
     /// The attempt does not go, as no replica has stored its intent, and the call has its answer at once.
     fn cancel_unreplicated_attempt(&mut self, call: CallId) {
         // The attempt may have ended meanwhile, and then the decisions go on with the call.
-        let waits = |attempt: &crate::service::Attempt| !attempt.may_go;
+        let waits = |attempt: &call::Attempt| !attempt.may_send;
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         if !in_flight.attempt.as_ref().is_some_and(waits) {
             return;
@@ -173,10 +178,10 @@
         self.close_connection(attempt.connection);
         let now = self.now;
         self.tell(|node, port| {
-            node.attempt_ended(now, call, attempt.no, AttemptOutcome::NeverSent, true, port);
+            node.attempt_ended(now, call, attempt.number, AttemptOutcome::NeverSent, true, port);
         });
         if let Some(in_flight) = self.calls.get_mut(call.0) {
-            in_flight.attempts = 0;
+            in_flight.attempt_count = 0;
         }
         self.look_first(call);
     }
@@ -184,7 +189,7 @@
     /// What has been before the call is known now: the decisions place it.
     fn admit_repeat(&mut self, call: CallId, prior_attempt: Option<PriorAttempt>) {
         let began = self.membership.as_ref().map_or(self.now, |membership| membership.began);
-        let before = prior_attempt.map(|attempt| (HostId(attempt.host), began + Span(attempt.at.0)));
+        let before = prior_attempt.map(|attempt| (HostId(attempt.host), began + Span(attempt.sent_at.0)));
         if before.is_some()
             && let Some(work) = self.work()
         {
--- a/crates/node/src/takeover/handover_file.rs
+++ b/crates/node/src/takeover/handover_file.rs
@@ -70,7 +70,7 @@
         let Some(folder) = &membership.folder else { return };
         let Some(work) = &mut membership.work else { return };
         let boot_count = membership.fleet.boot_count().0;
-        let file = HandoverFile { boot_count, replica: work.takeover.leave(now) };
+        let file = HandoverFile { boot_count, replica: work.takeover.hand_over(now) };
         if let Err(cause) = file.write(folder) {
             warn!(%cause, "cannot leave the stored intents to the successor: it will not answer for repeats at first");
         }
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -109,10 +109,10 @@
     /// The metrics of replicated work.
     pub fn metrics(&self, now: Timestamp) -> WorkMetrics {
         WorkMetrics {
-            records_held: self.takeover.replica.held(),
-            in_hand: self.takeover.owner.in_hand(),
+            records_held: self.takeover.replica().record_count(),
+            in_hand: self.takeover.owner().call_count(),
             keeps: self.hears_leader,
-            remembers: self.takeover.replica.remembers(now),
+            remembers: self.takeover.replica().has_full_history(now),
             intents_kept: self.counts.kept,
             intents_not_kept: self.counts.unkept,
             repeats_looked_up: self.counts.looked,
@@ -128,7 +128,10 @@
             VoterStatus::Active(_) => {
                 let Some(inherited) = self.inherited.take() else { return };
                 self.takeover.restore(now, inherited);
-                info!(records = self.takeover.replica.held(), "restored the predecessor's stored intents");
+                info!(
+                    records = self.takeover.replica().record_count(),
+                    "restored the predecessor's stored intents"
+                );
             }
             VoterStatus::StateLost => self.inherited = None,
             VoterStatus::NoStore | VoterStatus::Fresh | VoterStatus::Recovering(_) => {}
@@ -155,7 +158,7 @@
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
         tell(&mut work.takeover, now);
-        let actions = work.takeover.take_all();
+        let actions = work.takeover.take_actions();
         if self.is_deciding() {
             // The actions tell the node's decisions something, which would be lost while those are at work.
             if let Some(work) = self.work() {
@@ -171,7 +174,7 @@
     /// Handles messages of a peer's.
     pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
-            self.tell_work(|takeover, now| takeover.heard(now, peer, message));
+            self.tell_work(|takeover, now| takeover.message_received(now, peer, message));
         }
     }
 
@@ -192,10 +195,10 @@
             let view = View {
                 voter_slots: state.voter_slots.iter().map(|slot| slot.name.clone()).collect(),
                 version: state.voter_slots_changed,
-                hears: hears_leader,
+                hears_leader,
                 terms: state.units.iter().map(|(name, unit)| (name.clone(), unit.term)).collect(),
             };
-            work.takeover.agreed(now, view);
+            work.takeover.membership_changed(now, view);
         }
         self.tell_work(Takeover::tick);
     }
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -2,7 +2,6 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::ReplicaHandover;
-use serde_json::json;
 
 use super::handover_file::HandoverFile;
 use super::{Counts, Work};
@@ -17,12 +16,16 @@
     UnitName(name.to_owned())
 }
 
+/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples give it.
 fn handover() -> ReplicaHandover {
-    let record = json!({
-        "id": {"owner": "a", "incarnation": 5, "count": 3}, "term": 2, "repeat": true, "first": 81, "no": 1,
-        "left_ms": 800, "answered": false, "taken": true,
-    });
-    serde_json::from_value(json!({"remembers": true, "records": [[7, record], [300, record]]})).unwrap()
+    let record = |work: u64| {
+        let id = ("a", 5_u64, 3_u64);
+        let (term, is_repeat, first_host, sequence) = (2_u64, true, 81_u64, 1_u32);
+        let (remaining_ms, is_answered, is_superseded) = (800_u64, false, true);
+        (work, id, term, is_repeat, first_host, sequence, remaining_ms, is_answered, is_superseded)
+    };
+    let bytes = postcard::to_stdvec(&(true, vec![record(7), record(300)])).unwrap();
+    postcard::from_bytes(&bytes).unwrap()
 }
 
 fn recorded_file() -> Vec<u8> {
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -8,14 +8,15 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::warm_state::{
-    Hint, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
+    Hint, HintValue, Hints, MAX_HINTS, WarmStateAction, WarmStateExchange, WarmStateMessage,
 };
 use nanorand::Rng;
 use serde::Serialize;
 use tracing::info;
 
+use crate::lifecycle::Phase;
 use crate::peers::Frame;
-use crate::service::{Phase, Service};
+use crate::service::Service;
 
 /// Connections live for tens of seconds: hints that are a second old are nearly all true.
 const SEND_INTERVAL: Span = Span::ms(1_000);
@@ -63,8 +64,11 @@
 
     /// The metrics of warm state.
     pub fn metrics(&self) -> WarmStateMetrics {
-        let (nodes, known) = self.exchange.held();
-        WarmStateMetrics { nodes, known, lost_expected: self.lost_expected }
+        WarmStateMetrics {
+            nodes: self.exchange.node_count(),
+            known: self.exchange.hint_count(),
+            lost_expected: self.lost_expected,
+        }
     }
 
     /// Whether this node's own hints are to be sent now. Clients that are sent away are elsewhere within the second, so
@@ -113,7 +117,7 @@
             let wait = SHORTEST_WAIT + DRAWN_WAIT * f64::from(membership.chance.generate::<f32>());
             warm_state.next_send = now + SEND_INTERVAL.times(wait);
             warm_state.was_leaving = is_leaving;
-            actions = warm_state.exchange.tell(timestamp, hints, is_leaving, work.view(), &peers);
+            actions = warm_state.exchange.publish(timestamp, hints, is_leaving, work.view(), &peers);
         }
         actions.extend(warm_state.exchange.tick(timestamp, &peers));
         self.perform_warm_state_actions(actions);
@@ -124,7 +128,7 @@
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
-        let actions = warm_state.exchange.heard(timestamp, peer, message, work.view());
+        let actions = warm_state.exchange.message_received(timestamp, peer, message, work.view());
         self.perform_warm_state_actions(actions);
     }
 
@@ -132,14 +136,14 @@
         for action in actions {
             match action {
                 WarmStateAction::Send(peer, message) => self.send_peer(&peer, &Frame::WarmState(message)),
-                WarmStateAction::Adopt(lost_node, hints) => self.adopt_warm_state(&lost_node, hints),
+                WarmStateAction::Adopt { node, hints } => self.adopt_warm_state(&node, &hints),
             }
         }
     }
 
     /// The decisions expect the clients of a lost node.
-    fn adopt_warm_state(&mut self, lost_node: &UnitName, hints: Vec<(Hint, u32)>) {
-        let state = decode_hints(&hints);
+    fn adopt_warm_state(&mut self, lost_node: &UnitName, hints: &[HintValue]) {
+        let state = decode_hints(hints);
         let homes = state.homes.len();
         let loads = state.loads.len();
         info!(%lost_node, homes, loads, "a node was lost: expecting its clients");
@@ -152,9 +156,9 @@
     }
 }
 
-fn decode_hints(hints: &[(Hint, u32)]) -> domain::WarmState {
+fn decode_hints(hints: &[HintValue]) -> domain::WarmState {
     let mut state = domain::WarmState::default();
-    for (hint, value) in hints {
+    for HintValue { hint, value } in hints {
         match hint {
             Hint::Home { group, host } => state.homes.push((GroupId(*group), HostId(*host))),
             Hint::Load { subject } => {
