--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -73,7 +73,7 @@
     /// Accepts who waits at the admin interface.
     pub fn accept_callers(&mut self) {
         for _ in 0..CALLERS {
-            let Some(listener) = &self.door.listener else { return };
+            let Some(listener) = &self.admin.listener else { return };
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
                 Ok(socket) => self.add_caller(socket),
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
@@ -92,18 +92,18 @@
         self.make_place();
         let connection = Connection::new(socket, false);
         let Some(id) = self.add_connection(connection, SocketRole::Admin) else { return };
-        self.door.callers.push_back(Caller { id, reader: RequestReader::default(), is_answered: false });
+        self.admin.callers.push_back(Caller { id, reader: RequestReader::default(), is_answered: false });
         self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
     }
 
     /// Drops callers while there are too many, or some that finish no request would keep the others out. First goes
     /// one whose reply has been sent; else the oldest without a whole request; else the oldest.
     fn make_place(&mut self) {
-        while self.door.callers.len() >= CALLERS {
+        while self.admin.callers.len() >= CALLERS {
             let has_reply_sent = |caller: &Caller| {
                 self.sockets.get(caller.id.0).is_none_or(|entry| entry.connection.unsent() == 0)
             };
-            let callers = &self.door.callers;
+            let callers = &self.admin.callers;
             let done = callers.iter().position(|caller| caller.is_answered && has_reply_sent(caller));
             let unfinished = callers.iter().position(|caller| !caller.is_answered);
             let Some(caller) = callers.get(done.or(unfinished).unwrap_or(0)) else { return };
@@ -114,13 +114,13 @@
     /// Closes a caller's connection.
     pub fn drop_caller(&mut self, id: ConnectionId) {
         if self.role(id) == Some(SocketRole::Admin) {
-            self.door.callers.retain(|caller| caller.id != id);
+            self.admin.callers.retain(|caller| caller.id != id);
             self.close_connection(id);
         }
     }
 
     /// Drops a caller whose reply has gone and who has ended its side, or sends on without end.
-    pub fn caller_over(&mut self, id: ConnectionId) {
+    pub fn drop_finished_caller(&mut self, id: ConnectionId) {
         let Some(entry) = self.sockets.get(id.0) else { return };
         if entry.connection.is_over() || entry.connection.discarded > MAX_DISCARDED {
             self.drop_caller(id);
@@ -128,17 +128,17 @@
     }
 
     /// Handles what a caller has sent, or its end.
-    pub fn caller_came(&mut self, id: ConnectionId, outcome: ReadOutcome) {
-        let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
+    pub fn admin_readable(&mut self, id: ConnectionId, outcome: ReadOutcome) {
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
         match outcome {
             ReadOutcome::NothingYet => {}
-            ReadOutcome::End if caller.is_answered => self.caller_over(id),
+            ReadOutcome::End if caller.is_answered => self.drop_finished_caller(id),
             // Half a request needs no reply.
             ReadOutcome::End => self.drop_caller(id),
             ReadOutcome::Bytes(length) if caller.is_answered => {
                 entry.connection.discarded += length;
-                self.caller_over(id);
+                self.drop_finished_caller(id);
             }
             ReadOutcome::Bytes(length) => {
                 entry.connection.inbox.extend_from_slice(&self.scratch[..length]);
@@ -148,7 +148,7 @@
     }
 
     fn read_request(&mut self, id: ConnectionId) {
-        let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
         match caller.reader.read(&mut entry.connection.inbox) {
             Ok(None) => {}
@@ -166,7 +166,7 @@
 
     /// Sends a reply, after which the caller's connection ends.
     pub fn send_reply(&mut self, id: ConnectionId, reply: &Reply, with_body: bool) {
-        let Some(caller) = self.door.callers.iter_mut().find(|caller| caller.id == id) else { return };
+        let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         caller.is_answered = true;
         if let Some(entry) = self.sockets.get_mut(id.0) {
             reply.encode(with_body, &mut entry.connection.outbox);
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -5,7 +5,7 @@
 use crate::metrics::Outcome;
 use crate::protocol::{ClientId, HostMessage, OpenLine};
 use crate::socket::ConnectionId;
-use crate::takeover::Kept;
+use crate::takeover::ReplicatedCall;
 
 /// How far a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     /// What its client was told, if it never opened.
     pub outcome: Option<Outcome>,
     /// What replicas keep of it, if they do.
-    pub kept: Option<Kept>,
+    pub kept: Option<ReplicatedCall>,
 }
 
 impl InFlightCall {
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{self, Answer, ClientMessage, OpenRequest};
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
-use crate::takeover::Kept;
+use crate::takeover::ReplicatedCall;
 use crate::timers::TimerEvent;
 
 /// Kept back of a client's time: the answer's way to it, and what a busy core adds.
@@ -95,7 +95,7 @@
         self.ids.insert(request.id);
         let work = self.work_of(&request);
         let must_look_up = work.is_some() && self.is_repeat(&request);
-        let kept = work.map(|work| Kept { work, looks: must_look_up, ran: None });
+        let kept = work.map(|work| ReplicatedCall { work_id: work, awaits_lookup: must_look_up, ran: None });
         let call = new_call(&request, sent_at);
         let Some(id) = self.insert_call(connection, request, call, kept) else { return };
         self.place_call(id, must_look_up);
@@ -110,7 +110,7 @@
         connection: ConnectionId,
         request: OpenRequest,
         call: Call,
-        kept: Option<Kept>,
+        kept: Option<ReplicatedCall>,
     ) -> Option<CallId> {
         let OpenRequest { id: client_id, line, previous_host, .. } = request;
         let stage = if previous_host.is_some() { CallStage::Returning } else { CallStage::Waiting };
@@ -142,7 +142,7 @@
         if in_flight.stage == CallStage::Returning {
             self.return_to_host(id);
         } else if must_look_up {
-            self.look_first(id);
+            self.look_up_prior_attempt(id);
         } else {
             let now = self.now;
             self.tell(|node, port| node.call_arrived(now, call, port));
--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -112,7 +112,7 @@
     }
 
     /// Migrates one connection from the hosts that the fleet wants out.
-    pub fn ease_off(&mut self) {
+    pub fn migrate_from_avoided_hosts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let hosts = &mut membership.hosts;
         if hosts.avoided.is_empty() {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -188,7 +188,7 @@
         membership.store_retry = opened.retry;
         membership.faults = faults;
         self.membership = Some(Box::new(membership));
-        self.inherit_work();
+        self.read_work_handover();
         let address = settings.listen;
         self.listen_for_peers(address).map_err(|fault| FleetError::Listen { address, fault })?;
         self.fleet_tick();
@@ -253,7 +253,7 @@
     }
 
     /// A message of this peer's for the decisions has come.
-    pub fn peer_said(&mut self, peer: &UnitName, envelope: Envelope) {
+    pub fn handle_consensus_message(&mut self, peer: &UnitName, envelope: Envelope) {
         self.tell_fleet(|fleet, now| fleet.heard(now, peer, envelope));
     }
 
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -141,7 +141,7 @@
     }
 
     /// Takes the outcomes of the store's writes.
-    pub fn store_says(&mut self) {
+    pub fn store_readable(&mut self) {
         for outcome in self.store_outcomes() {
             match outcome {
                 Outcome::Written(batch) => self.tell_fleet(|fleet, now| fleet.written(now, batch)),
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -44,9 +44,9 @@
     /// The predecessor was told that this process serves.
     took_over: bool,
     /// The service of the endpoint list had its time to answer before this process takes over.
-    pub waited: bool,
+    pub is_list_wait_over: bool,
     /// File descriptors that the predecessor holds.
-    pub other_uses: usize,
+    pub predecessor_descriptors: usize,
     /// Open calls that are still to go to the successor.
     pending_calls: VecDeque<CallId>,
     /// Clients without a call that are still to go to the successor.
@@ -54,7 +54,7 @@
     /// Sockets of the predecessor's whose line has not come whole.
     received_sockets: VecDeque<OwnedFd>,
     /// The node was drained when this process was started.
-    pub drained: bool,
+    pub was_drained: bool,
 }
 
 impl Handover {
@@ -64,12 +64,12 @@
     }
 
     /// Whether the predecessor still runs.
-    pub fn follows(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
     /// Whether the predecessor still takes the clients.
-    pub fn waits(&self) -> bool {
+    pub fn predecessor_serves(&self) -> bool {
         self.predecessor.is_some() && !self.took_over
     }
 
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -101,7 +101,7 @@
                     node.set_predecessor_connections(Some(host), f64::from(connections));
                 });
             }
-            PredecessorMessage::Descriptors(count) => self.handover.other_uses = count,
+            PredecessorMessage::Descriptors(count) => self.handover.predecessor_descriptors = count,
             PredecessorMessage::Call(call) => {
                 let client = self.handover.received_sockets.pop_front();
                 let host = self.handover.received_sockets.pop_front();
@@ -253,7 +253,7 @@
         self.close_connection(id);
         info!("the predecessor has gone");
         self.handover.predecessor = None;
-        self.handover.other_uses = 0;
+        self.handover.predecessor_descriptors = 0;
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
         self.listen_for(self.accepts());
         self.ready_now();
--- a/crates/node/src/handover/socket.rs
+++ b/crates/node/src/handover/socket.rs
@@ -35,7 +35,7 @@
     /// The connection to the predecessor.
     pub line: UnixStream,
     /// What the predecessor knows. None where it cannot be read: this process then starts from its configuration.
-    pub told: Option<HandoverState>,
+    pub state: Option<HandoverState>,
 }
 
 /// Why the predecessor's state cannot be used.
@@ -79,7 +79,7 @@
             warn!(address = %config.listen, "the predecessor did not send the listening socket of this address");
             return None;
         };
-        let told = match decode_state(answer.state, config) {
+        let state = match decode_state(answer.state, config) {
             Ok(state) => Some(state),
             Err(cause) => {
                 warn!(%cause, "the predecessor's state cannot be read: starting without it");
@@ -87,7 +87,7 @@
             }
         };
         line.set_nonblocking(true).ok()?;
-        Some(Inherited { listener, line, told })
+        Some(Inherited { listener, line, state })
     }
 }
 
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -181,17 +181,17 @@
         self.handover.pending_calls = open_calls.map(|(number, _)| CallId(number)).collect();
         let idle = self.sockets.iter().filter(|(_, entry)| entry.role == SocketRole::Client(None));
         self.handover.pending_idle_clients = idle.map(|(number, _)| ConnectionId(number)).collect();
-        self.hand_on();
+        self.continue_handover();
     }
 
     /// Hands over one call that has opened since.
     pub fn hand_over_call(&mut self, call: CallId) {
         self.handover.pending_calls.push_back(call);
-        self.hand_on();
+        self.continue_handover();
     }
 
     /// Hands over as much as the socket takes; the rest follows when it has room again.
-    pub fn hand_on(&mut self) {
+    pub fn continue_handover(&mut self) {
         let Some(id) = self.handover.successor.filter(|_| self.handover.successor_serves) else { return };
         while self.sockets.get(id.0).is_some_and(|entry| entry.connection.unsent() == 0) {
             let next_call = self.handover.pending_calls.front().copied();
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -41,7 +41,7 @@
                 is_line_sent: false,
             });
         }
-        self.ask_to_keep(id);
+        self.replicate_intent_of(id);
         let within_ms = within.0 / 1_000_000;
         debug!(call_id = id.0, attempt = number.0, host_id = host.0, within_ms, "attempt opened");
         self.timers.set(deadline, TimerEvent::AttemptTimeout(id, number));
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -105,7 +105,7 @@
         if let Some(mut kept) = in_flight.kept.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
             kept.ran.get_or_insert((attempt.host, attempt.opened_at));
-            self.work_ended(call, Some(&kept));
+            self.replicated_call_ended(call, Some(&kept));
         }
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let Some(attempt) = &in_flight.attempt else { return };
--- a/crates/node/src/peers/frame.rs
+++ b/crates/node/src/peers/frame.rs
@@ -20,7 +20,7 @@
     /// For the fleet's decisions.
     ConsensusMessage(Box<Envelope>),
     /// For replicated work: all messages of one turn of the event loop.
-    Words(Vec<ReplicaMessage>),
+    ReplicaMessages(Vec<ReplicaMessage>),
     /// Warm state, for peers of [`Features::WARM_STATE`] alone.
     WarmState(WarmStateMessage),
 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// The peers with a link that understand warm state.
-    pub fn speakers(&self) -> BTreeSet<UnitName> {
+    pub fn warm_state_peers(&self) -> BTreeSet<UnitName> {
         let links = self.links.values().filter(|link| link.features.has(Features::WARM_STATE));
         links.filter_map(|link| link.peer.clone()).collect()
     }
@@ -259,7 +259,7 @@
     }
 
     /// A link that was dialled has come up.
-    pub fn peer_up(&mut self, id: ConnectionId) {
+    pub fn peer_connected(&mut self, id: ConnectionId) {
         self.pump(id);
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Handles what has come on a link, or its end.
-    pub fn peer_came(&mut self, id: ConnectionId, outcome: ReadOutcome) {
+    pub fn peer_readable(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
         match outcome {
             ReadOutcome::NothingYet => return,
@@ -338,9 +338,9 @@
 
     fn handle_message(&mut self, id: ConnectionId, peer: &UnitName, bytes: &[u8], features: Features) {
         match Frame::decode(bytes, features) {
-            Ok(Frame::ConsensusMessage(envelope)) => self.peer_said(peer, *envelope),
-            Ok(Frame::Words(messages)) => self.peer_keeps(peer, messages),
-            Ok(Frame::WarmState(message)) => self.peer_told(peer, message),
+            Ok(Frame::ConsensusMessage(envelope)) => self.handle_consensus_message(peer, *envelope),
+            Ok(Frame::ReplicaMessages(messages)) => self.handle_replica_messages(peer, messages),
+            Ok(Frame::WarmState(message)) => self.handle_warm_state_message(peer, message),
             Err(cause) => {
                 warn!(%peer, %cause, "unreadable message of a peer: ending the link");
                 self.peer_lost(id);
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -50,7 +50,7 @@
     let owner = UnitName("n3".into());
     let id = RecordId { owner, incarnation: Incarnation(1 << 60), count: 77 };
     let message = ReplicaMessage::CallEnded { sequence: 1, id, work: WorkId(0xfeed_beef), outcome };
-    let bare = postcard::to_stdvec(&Frame::Words(vec![message])).unwrap();
+    let bare = postcard::to_stdvec(&Frame::ReplicaMessages(vec![message])).unwrap();
     let flipped = |bytes: &[u8], bit: usize| {
         let mut bytes = bytes.to_vec();
         bytes[bit / 8] ^= 1 << (bit % 8);
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -11,13 +11,13 @@
     /// Serves as soon as a host is ready and nothing else has to be waited for.
     pub fn ready_now(&mut self) {
         // What an agent of the node's own has counts as known from the first moment, so its answer is waited for.
-        let needs_list = self.handover.follows() || self.config.list_is_pushed;
-        let awaits_list = needs_list && !self.list.heard && !self.handover.waited;
+        let needs_list = self.handover.has_predecessor() || self.config.list_is_pushed;
+        let awaits_list = needs_list && !self.list.heard && !self.handover.is_list_wait_over;
         let must_wait = awaits_list || self.waits_for_fleet();
         if self.phase == Phase::Starting && self.hosts.any_ready() && !must_wait {
             self.phase = Phase::Serving;
             info!(name = %self.config.name, "serving");
-            if std::mem::take(&mut self.handover.drained) {
+            if std::mem::take(&mut self.handover.was_drained) {
                 info!("the predecessor was draining");
                 self.drain();
             }
@@ -36,7 +36,7 @@
 
     /// Whether new connections are this process's to accept.
     pub fn accepts(&self) -> bool {
-        !self.handover.waits() && !self.handover.is_replaced()
+        !self.handover.predecessor_serves() && !self.handover.is_replaced()
     }
 
     /// Reads the configuration again. The whole file is checked first; if it is bad, all stays as it was.
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -81,7 +81,7 @@
     /// When connections were last accepted.
     pub last_accepted: Time,
     /// The admin interface.
-    pub door: AdminServer,
+    pub admin: AdminServer,
     /// How this process stands to its predecessor and its successor.
     pub handover: Handover,
     /// The node's part in a fleet, if it is in one.
@@ -142,7 +142,7 @@
             while let Some(event) = self.timers.next_due(self.now) {
                 self.handle_timer(event);
             }
-            self.send_words();
+            self.finish_work_turn();
             if self.phase == Phase::Flushing && !self.has_unsent_answers() {
                 self.finish();
             }
@@ -169,7 +169,7 @@
             ADMIN => self.accept_callers(),
             SUCCESSORS => self.accept_successor(),
             PEERS => self.accept_peers(),
-            STORE => self.store_says(),
+            STORE => self.store_readable(),
             SIGNALS => {
                 if read_signal(&mut self.signals) {
                     self.leave();
@@ -194,7 +194,7 @@
                 return self.connection_lost(id);
             }
             if socket.role == SocketRole::Peer {
-                self.peer_up(id);
+                self.peer_connected(id);
             } else {
                 self.attempt_connected(id);
             }
@@ -221,8 +221,8 @@
                 .map(|attempt| attempt.connection),
             SocketRole::Host(call) => self.calls.get(call.0).and_then(|in_flight| in_flight.client),
             SocketRole::Closing => return self.closing_progressed(id),
-            SocketRole::Admin => return self.caller_over(id),
-            SocketRole::Successor => return self.hand_on(),
+            SocketRole::Admin => return self.drop_finished_caller(id),
+            SocketRole::Successor => return self.continue_handover(),
             SocketRole::Client(None)
             | SocketRole::Probe(_)
             | SocketRole::EndpointList(_)
@@ -268,9 +268,9 @@
             SocketRole::Host(call) => self.host_read(id, call, outcome),
             SocketRole::Probe(host) => self.probe_read(id, host, outcome),
             SocketRole::EndpointList(_) => self.list_read(id, outcome),
-            SocketRole::Admin => self.caller_came(id, outcome),
+            SocketRole::Admin => self.admin_readable(id, outcome),
             SocketRole::Successor => self.successor_readable(id, outcome),
-            SocketRole::Peer => self.peer_came(id, outcome),
+            SocketRole::Peer => self.peer_readable(id, outcome),
             // It reads for itself, as descriptors come with its bytes.
             SocketRole::Predecessor => {}
             SocketRole::Closing => {
@@ -328,14 +328,14 @@
                 self.watch_admin(true);
             }
             TimerEvent::EndpointListOverdue => {
-                self.handover.waited = true;
+                self.handover.is_list_wait_over = true;
                 self.ready_now();
             }
             TimerEvent::StopAccepting => self.stop_accepting(),
-            TimerEvent::ContinueHandover => self.hand_on(),
+            TimerEvent::ContinueHandover => self.continue_handover(),
             TimerEvent::CheckIdleExit => self.check_idle_exit(),
             TimerEvent::FleetTick => self.fleet_tick(),
-            TimerEvent::MigrateFromDraining => self.ease_off(),
+            TimerEvent::MigrateFromDraining => self.migrate_from_avoided_hosts(),
             TimerEvent::Exit => self.exit(),
             TimerEvent::FlushTimeout => self.finish(),
         }
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -158,7 +158,7 @@
             return;
         }
         // Its deadline is over by now, or it never had an attempt.
-        let never_ran = in_flight.attempt_count == 0 && !in_flight.looks();
+        let never_ran = in_flight.attempt_count == 0 && !in_flight.awaits_lookup();
         self.answer_call(id, if never_ran { Answer::Busy(None) } else { Answer::Error });
     }
 
@@ -172,7 +172,7 @@
     /// All answers have been sent, or have had their time.
     pub(super) fn finish(&mut self) {
         if self.phase == Phase::Flushing {
-            self.leave_work();
+            self.write_work_handover();
             info!("left");
             self.phase = Phase::Left;
         }
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -138,7 +138,7 @@
 
     /// Watches the admin interface for callers, or stops watching it.
     pub fn watch_admin(&mut self, open: bool) {
-        if let Some(listener) = &self.door.listener {
+        if let Some(listener) = &self.admin.listener {
             let _ = self.sockets.reactor.change(listener, ADMIN, readable_if(open));
         }
     }
@@ -165,28 +165,28 @@
     pub fn descriptors(&self) -> usize {
         let peer_links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
         let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
-        self.reserved_descriptors() + self.handover.other_uses + self.sockets.len()
+        self.reserved_descriptors() + self.handover.predecessor_descriptors + self.sockets.len()
             - peer_links
-            - self.door.callers.len()
+            - self.admin.callers.len()
             + future_attempts
     }
 
     /// Descriptors that the calls in flight need when all have their attempts.
     pub fn committed_descriptors(&self) -> usize {
-        self.reserved_descriptors() + self.handover.other_uses + 2 * self.calls.len()
+        self.reserved_descriptors() + self.handover.predecessor_descriptors + 2 * self.calls.len()
     }
 
     /// What the node needs for itself, for its peers, and for the admin interface however many clients there are.
     fn reserved_descriptors(&self) -> usize {
         let peers = self.membership.as_ref().map_or(0, |membership| membership.descriptors());
-        let admin = if self.door.listener.is_some() { 1 + CALLERS } else { 0 };
+        let admin = if self.admin.listener.is_some() { 1 + CALLERS } else { 0 };
         OWN_DESCRIPTORS + peers + admin
     }
 
     /// Takes a call out of the tables. One that never opened is counted here, one that did was when it did.
     pub fn forget_call(&mut self, id: CallId) -> Option<InFlightCall> {
         let in_flight = self.calls.remove(id.0)?;
-        self.work_ended(id, in_flight.kept.as_ref());
+        self.replicated_call_ended(id, in_flight.kept.as_ref());
         if !in_flight.stage.is_established() {
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
             self.metrics.count(in_flight.call.traffic, outcome);
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -88,7 +88,7 @@
             listener: Some(sources.listener),
             queued_since: None,
             last_accepted: Time(0),
-            door: sources.admin,
+            admin: sources.admin,
             handover: Handover::default(),
             membership: None,
             metrics: Metrics::new(&config.names.traffic),
@@ -126,7 +126,7 @@
             self.remember_list(list);
         }
         if let Some(PredecessorState { snapshot, was_drained }) = known.node {
-            self.handover.drained = was_drained;
+            self.handover.was_drained = was_drained;
             self.tell(|node, _| node.restore(&snapshot));
         }
     }
@@ -138,7 +138,7 @@
     inherited: Option<Inherited>,
 ) -> Result<(EventSources, Option<Predecessor>), ServiceError> {
     let (listener, predecessor) = match inherited {
-        Some(Inherited { listener, line, told }) => (listener, Some(Predecessor { line, state: told })),
+        Some(Inherited { listener, line, state }) => (listener, Some(Predecessor { line, state })),
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -16,19 +16,19 @@
 
 /// A call's part in replicated work.
 #[derive(Clone, Copy, Debug)]
-pub struct Kept {
+pub struct ReplicatedCall {
     /// The work, under the id that it has at every node.
-    pub work: WorkId,
+    pub work_id: WorkId,
     /// What has been before the call is being looked up: the decisions do not know of the call yet.
-    pub looks: bool,
+    pub awaits_lookup: bool,
     /// The call's first attempt that may have run here.
     pub ran: Option<(HostId, Time)>,
 }
 
 impl InFlightCall {
     /// Whether what has been before the call is being looked up.
-    pub fn looks(&self) -> bool {
-        self.kept.is_some_and(|kept| kept.looks)
+    pub fn awaits_lookup(&self) -> bool {
+        self.kept.is_some_and(|kept| kept.awaits_lookup)
     }
 }
 
@@ -58,11 +58,11 @@
     }
 
     /// Looks up what has been before a call.
-    pub fn look_first(&mut self, call: CallId) {
+    pub fn look_up_prior_attempt(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         let Some(kept) = &mut in_flight.kept else { return };
-        kept.looks = true;
-        let work_id = kept.work;
+        kept.awaits_lookup = true;
+        let work_id = kept.work_id;
         let left_ms = in_flight.call.guard.since(self.now).0 / 1_000_000;
         if let Some(work) = self.work() {
             work.counts.looked += 1;
@@ -72,14 +72,14 @@
 
     /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection comes up
     /// meanwhile.
-    pub fn ask_to_keep(&mut self, call: CallId) {
+    pub fn replicate_intent_of(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (in_flight.kept, &in_flight.attempt) else { return };
         let first = in_flight.call.before.or(kept.ran);
         let latest =
             self.repeat_window_end(in_flight, first).unwrap_or(attempt.deadline).min(attempt.deadline);
         let attempt = Attempt {
-            work: kept.work,
+            work: kept.work_id,
             host: attempt.host.0,
             prior: kept
                 .ran
@@ -101,7 +101,7 @@
     }
 
     /// The call is over here, or has its answer.
-    pub fn work_ended(&mut self, call: CallId, kept: Option<&Kept>) {
+    pub fn replicated_call_ended(&mut self, call: CallId, kept: Option<&ReplicatedCall>) {
         let Some(kept) = kept else { return };
         let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
         self.tell_work(|takeover, now| takeover.call_ended(now, call.0, outcome));
@@ -183,7 +183,7 @@
         if let Some(in_flight) = self.calls.get_mut(call.0) {
             in_flight.attempt_count = 0;
         }
-        self.look_first(call);
+        self.look_up_prior_attempt(call);
     }
 
     /// What has been before the call is known now: the decisions place it.
@@ -201,7 +201,7 @@
         }
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         if let Some(kept) = &mut in_flight.kept {
-            kept.looks = false;
+            kept.awaits_lookup = false;
         }
         in_flight.call.before = before;
         debug!(call_id = call.0, host_id = ?before.map(|(host, _)| host.0), "placing a call that was looked up");
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -22,7 +22,7 @@
 use crate::peers::Frame;
 use crate::service::Service;
 
-pub use self::calls::Kept;
+pub use self::calls::ReplicatedCall;
 
 /// Makes the seed of the takeover's draws another than that of the fleet's, which is the incarnation itself.
 const SEED_MASK: u64 = 0x7a6b;
@@ -172,7 +172,7 @@
     }
 
     /// Handles messages of a peer's.
-    pub fn peer_keeps(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
+    pub fn handle_replica_messages(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
             self.tell_work(|takeover, now| takeover.message_received(now, peer, message));
         }
@@ -204,7 +204,7 @@
     }
 
     /// Carries out what is pending, and sends all messages of this turn, in one frame for each peer.
-    pub fn send_words(&mut self) {
+    pub fn finish_work_turn(&mut self) {
         while let Some(actions) = self.work().map(|work| std::mem::take(&mut work.pending)) {
             if actions.is_empty() {
                 break;
@@ -215,7 +215,7 @@
         }
         let Some(work) = self.work() else { return };
         for (peer, messages) in std::mem::take(&mut work.messages) {
-            self.send_peer(&peer, &Frame::Words(messages));
+            self.send_peer(&peer, &Frame::ReplicaMessages(messages));
         }
     }
 }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -110,7 +110,7 @@
         let Some(warm_state) = warm_state else { return };
         let hints = warm_state.is_due(now, is_leaving).then(|| self.own_hints());
         let Some(membership) = &mut self.membership else { return };
-        let peers = membership.peers.speakers();
+        let peers = membership.peers.warm_state_peers();
         let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
         let mut actions = Vec::new();
         if let Some(hints) = hints {
@@ -124,7 +124,7 @@
     }
 
     /// Handles a message of a peer's.
-    pub fn peer_told(&mut self, peer: &UnitName, message: WarmStateMessage) {
+    pub fn handle_warm_state_message(&mut self, peer: &UnitName, message: WarmStateMessage) {
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
         let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
