--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,6 +1,7 @@
 //! The admin interface: HTTP for operators, one request a connection.
 //!
-//! This module accepts its callers and reads their requests; [`routes`] has the paths, [`reply`] the responses.
+//! This module accepts its callers and reads their requests; [`routes`] has the paths, [`reply`] the
+//! responses.
 
 pub mod reply;
 mod routes;
@@ -25,8 +26,8 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back from
-/// the clients, so there are not more.
+/// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back
+/// from the clients, so there are not more.
 pub const CALLERS: usize = 12;
 
 /// A caller that has not sent its request by then, or has not taken the reply, is dropped.
@@ -35,6 +36,16 @@
 /// Bytes that a caller may send after its request before it is cut off.
 const MAX_DISCARDED: usize = 64 << 10;
 
+/// The admin interface cannot listen on its address.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen on {address}: {cause}")]
+pub struct AdminListenError {
+    /// The address.
+    pub address: SocketAddr,
+    /// What the system says.
+    pub cause: Errno,
+}
+
 /// One connection to the admin interface.
 pub struct Caller {
     id: ConnectionId,
@@ -43,7 +54,8 @@
     is_answered: bool,
 }
 
-/// The listening socket for operators, if there is one, and its callers, the one that has waited longest first.
+/// The listening socket for operators, if there is one, and its callers, the one that has waited longest
+/// first.
 #[derive(Default)]
 pub struct AdminServer {
     /// The listening socket, if an address is configured.
@@ -57,10 +69,11 @@
     ///
     /// # Errors
     ///
-    /// Fails with the address and the cause if it cannot listen there.
-    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, (SocketAddr, Errno)> {
-        let listener = address.map(|address| connection::listen(address).map_err(|cause| (address, cause)));
-        Ok(AdminServer { listener: listener.transpose()?, callers: VecDeque::new() })
+    /// Fails if it cannot listen there.
+    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, AdminListenError> {
+        let listen =
+            |address| connection::listen(address).map_err(|cause| AdminListenError { address, cause });
+        Ok(AdminServer { listener: address.map(listen).transpose()?, callers: VecDeque::new() })
     }
 }
 
@@ -96,8 +109,8 @@
         self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
     }
 
-    /// Drops callers while there are too many, or some that finish no request would keep the others out. First goes
-    /// one whose reply has been sent; else the oldest without a whole request; else the oldest.
+    /// Drops callers while there are too many, or some that finish no request would keep the others out.
+    /// First goes one whose reply has been sent; else the oldest without a whole request; else the oldest.
     fn make_place(&mut self) {
         while self.admin.callers.len() >= CALLERS {
             let has_reply_sent = |caller: &Caller| {
--- a/crates/node/src/admin/routes.rs
+++ b/crates/node/src/admin/routes.rs
@@ -72,7 +72,8 @@
 }
 
 impl Service {
-    /// Does what a request asks for. None if the fleet has to decide, which takes up to some seconds: its reply follows.
+    /// Does what a request asks for. None if the fleet has to decide, which takes up to some seconds: its
+    /// reply follows.
     pub(super) fn handle_request(&mut self, caller: ConnectionId, request: &Request) -> Option<Reply> {
         let path = request.path.split('?').next().unwrap_or_default();
         let Some(route) = Route::of_path(path) else { return Some(Reply::no_such_path()) };
--- a/crates/node/src/config/decode.rs
+++ b/crates/node/src/config/decode.rs
@@ -22,8 +22,8 @@
 /// File descriptors that most systems grant a process, where the platform says no limit.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// Limits of file descriptors that are taken. A connection needs two, and the node some for itself: with fewer than 64
-/// nothing could be served.
+/// Limits of file descriptors that are taken. A connection needs two, and the node some for itself: with
+/// fewer than 64 nothing could be served.
 const DESCRIPTORS: std::ops::Range<u64> = 64..1 << 20;
 
 /// Keys that a fleet's section may have.
@@ -41,8 +41,9 @@
     decode(&read_file()?, |variable| std::env::var(variable).ok())
 }
 
-/// The configuration as the file has it now. The variables keep what they were at the start, but the service of the
-/// endpoint list may have moved since, and a node that trusts its variable asks one that is about to go.
+/// The configuration as the file has it now. The variables keep what they were at the start, but the service
+/// of the endpoint list may have moved since, and a node that trusts its variable asks one that is about to
+/// go.
 ///
 /// # Errors
 ///
@@ -153,8 +154,8 @@
     let settings = glendeck_settings::settings(map)?;
     let list_is_pushed = settings.poll_interval.is_none();
     let settings = Settings {
-        // The settings promise message times, but lines between nodes and hosts carry none, and the decisions would
-        // wait for them while hosts go under.
+        // The settings promise message times, but lines between nodes and hosts carry none, and the decisions
+        // would wait for them while hosts go under.
         reports_message_times: false,
         poll_interval: Some(endpoint_list::poll_interval(settings.poll_interval)),
         ..settings
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -147,8 +147,9 @@
 impl NodeConfig {
     /// Takes over what may change while the node serves.
     ///
-    /// Calls in flight, hosts and metrics go by the numbers of classes, tenants and zones. So a name keeps its number as
-    /// long as the process runs, in whatever order a file has them, and what a file no longer names stays as it was.
+    /// Calls in flight, hosts and metrics go by the numbers of classes, tenants and zones. So a name keeps
+    /// its number as long as the process runs, in whatever order a file has them, and what a file no longer
+    /// names stays as it was.
     pub fn renew(&mut self, new: NodeConfig) -> ConfigChange {
         let later = self.changes_for_new_process(&new);
         let old_settings = self.settings.clone();
--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -15,9 +15,9 @@
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// A node that has just started waits so long for a voter. A leader answers within a round trip once a link is up, and
-/// links come up within a tick or two. Where none does: what the predecessor told last counts at the leader for
-/// 3.5 s, and until then a host may be called empty because of it.
+/// A node that has just started waits so long for a voter. A leader answers within a round trip once a link
+/// is up, and links come up within a tick or two. Where none does: what the predecessor told last counts at
+/// the leader for 3.5 s, and until then a host may be called empty because of it.
 const FIRST_CONTACT: Span = Span::ms(4_000);
 
 /// What a member knows of hosts.
@@ -34,8 +34,8 @@
 }
 
 impl Service {
-    /// Connections and attempts at hosts that the fleet wants out. All calls are gone through, but only while there
-    /// are such hosts.
+    /// Connections and attempts at hosts that the fleet wants out. All calls are gone through, but only while
+    /// there are such hosts.
     pub(super) fn connections_at_avoided_hosts(&self) -> Vec<(UnitName, u32)> {
         let Some(membership) = &self.membership else { return vec![] };
         let avoided = &membership.hosts.avoided;
@@ -52,8 +52,9 @@
         counts.into_iter().map(|(name, count)| (name.clone(), count)).collect()
     }
 
-    /// Whether the node waits for a voter before it serves. From its list alone it knows which hosts are ready, and would
-    /// go to one that the fleet has called empty. It does not wait for long: calls are served without a fleet too.
+    /// Whether the node waits for a voter before it serves. From its list alone it knows which hosts are
+    /// ready, and would go to one that the fleet has called empty. It does not wait for long: calls are
+    /// served without a fleet too.
     pub fn waits_for_fleet(&self) -> bool {
         let Some(membership) = &self.membership else { return false };
         let is_recent = self.now.since(membership.began) < Span(START.0 + FIRST_CONTACT.0);
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The node's membership in its fleet: it tells the decisions of `glendeck_fleet` what happened, and carries out their
-//! actions through the phases of the node.
+//! The node's membership in its fleet: it tells the decisions of `glendeck_fleet` what happened, and carries
+//! out their actions through the phases of the node.
 //!
-//! [`store`] is the thread that writes to disk, [`hosts`] the endpoint list and the hosts that the fleet wants out,
-//! [`requests`] what operators ask for.
+//! [`store`] is the thread that writes to disk, [`hosts`] the endpoint list and the hosts that the fleet
+//! wants out, [`requests`] what operators ask for.
 
 mod hosts;
 pub mod requests;
@@ -59,15 +59,16 @@
     Watch(#[from] Errno),
 }
 
-/// The timestamp at a process's start. Without it, what other nodes tell of the time before the start would look
-/// younger than it is.
+/// The timestamp at a process's start. Without it, what other nodes tell of the time before the start would
+/// look younger than it is.
 const START: Span = Span::ms(86_400_000);
 
-/// The decisions get a turn this often: what must be quick arrives as a message, and the rest is counted in seconds.
+/// The decisions get a turn this often: what must be quick arrives as a message, and the rest is counted in
+/// seconds.
 const TICK: Span = Span::ms(100);
 
-/// Descriptors besides those of links: the listener, the store's file and lock, both ends of its wake-up pair, and one
-/// to accept with.
+/// Descriptors besides those of links: the listener, the store's file and lock, both ends of its wake-up
+/// pair, and one to accept with.
 const OWN_DESCRIPTORS: usize = 6;
 
 /// This node as a member of its fleet.
@@ -171,8 +172,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the node cannot listen for its peers, or its store cannot be opened. A store that another process still
-    /// uses is no error: the node waits for it, and does not vote meanwhile.
+    /// Fails if the node cannot listen for its peers, or its store cannot be opened. A store that another
+    /// process still uses is no error: the node waits for it, and does not vote meanwhile.
     pub fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetError> {
         let Some(settings) = self.config.fleet.clone() else { return Ok(()) };
         let name = UnitName(self.config.name.clone());
@@ -276,7 +277,8 @@
         }
     }
 
-    /// Ends this drained process so that one of another version is started; it has no clients that would wait.
+    /// Ends this drained process so that one of another version is started; it has no clients that would
+    /// wait.
     fn exit_for_version(&mut self, version: &str) {
         info!(%version, "exiting, to be started as another version");
         match self.write_wanted_version(version) {
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -1,4 +1,5 @@
-//! What operators ask of the fleet at the admin interface: requests decoded, handed to the decisions, and replied to.
+//! What operators ask of the fleet at the admin interface: requests decoded, handed to the decisions, and
+//! replied to.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +17,8 @@
 use crate::takeover::WorkMetrics;
 use crate::warm_state::WarmStateMetrics;
 
-/// A status request goes to the leader so often at most. Those that come earlier wait a tick longer, and a node adds
-/// ten entries to the log a second, however many ask.
+/// A status request goes to the leader so often at most. Those that come earlier wait a tick longer, and a
+/// node adds ten entries to the log a second, however many ask.
 const STATUS_INTERVAL: Span = Span::ms(100);
 
 /// Why a request cannot be handed to the fleet.
@@ -243,8 +244,8 @@
         Ok(None)
     }
 
-    /// Asks the leader for the state if somebody wants it. Each request is an entry of the log, and a status page may
-    /// be open on every desk: so all who have come since the last request share the next.
+    /// Asks the leader for the state if somebody wants it. Each request is an entry of the log, and a status
+    /// page may be open on every desk: so all who have come since the last request share the next.
     pub(super) fn request_status(&mut self) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -95,7 +95,8 @@
 }
 
 impl Service {
-    /// Tries a store that was in use. Once the other process has let go of it, this one joins the fleet anew, with it.
+    /// Tries a store that was in use. Once the other process has let go of it, this one joins the fleet anew,
+    /// with it.
     pub(super) fn retry_store(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(ticks) = &mut membership.store_retry else { return };
--- a/crates/node/src/handover/message.rs
+++ b/crates/node/src/handover/message.rs
@@ -1,7 +1,8 @@
 //! The lines that two processes of one node exchange on the Unix socket between them.
 //!
-//! The successor sends [`SuccessorMessage`]s. Its predecessor answers the first with a [`StateHeader`], the state of
-//! that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of them ends. Each line ends with LF.
+//! The successor sends [`SuccessorMessage`]s. Its predecessor answers the first with a [`StateHeader`], the
+//! state of that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of them ends. Each
+//! line ends with LF.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -203,7 +204,8 @@
     /// Number of the class in the predecessor's settings; counts only without a name.
     #[serde(rename = "traffic")]
     pub class: u8,
-    /// Name of the class. Numbers may differ between two processes whose settings were changed while they served.
+    /// Name of the class. Numbers may differ between two processes whose settings were changed while they
+    /// served.
     #[serde(rename = "type")]
     pub class_name: Option<String>,
 }
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,11 +1,12 @@
-//! Handover from one process of this node to the next: the listening socket, what is known, and what is still open.
+//! Handover from one process of this node to the next: the listening socket, what is known, and what is still
+//! open.
 //!
-//! The successor connects to a Unix socket in the node's folder. There it receives the listening socket and the
-//! [`state::HandoverState`], tells when it serves, and then receives open connections until its predecessor ends, which it
-//! sees by the end of the connection.
+//! The successor connects to a Unix socket in the node's folder. There it receives the listening socket and
+//! the [`state::HandoverState`], tells when it serves, and then receives open connections until its
+//! predecessor ends, which it sees by the end of the connection.
 //!
-//! [`state`] and [`message`] are what goes over, [`socket`] sends and receives it; [`successor`] is the part of the
-//! older process and [`predecessor`] that of the younger one.
+//! [`state`] and [`message`] are what goes over, [`socket`] sends and receives it; [`successor`] is the part
+//! of the older process and [`predecessor`] that of the younger one.
 
 mod hex;
 mod message;
@@ -73,7 +74,8 @@
         self.predecessor.is_some() && !self.took_over
     }
 
-    /// Takes the next connection off the queues of those that are still to go to the successor; calls go first.
+    /// Takes the next connection off the queues of those that are still to go to the successor; calls go
+    /// first.
     fn remove_first_pending(&mut self) {
         if self.pending_calls.pop_front().is_none() {
             self.pending_idle_clients.pop_front();
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it hands over.
+//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it
+//! hands over.
 
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -44,8 +45,8 @@
         self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::EndpointListOverdue);
     }
 
-    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting while
-    /// nobody else does.
+    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting
+    /// while nobody else does.
     pub fn take_over(&mut self) {
         if self.handover.listener.is_some() {
             return;
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for them.
+    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for
+    /// them.
     fn skip_predecessor_message(&mut self, cause: &MessageError) {
         for _ in 0..cause.sockets() {
             self.handover.received_sockets.pop_front();
@@ -248,7 +250,8 @@
         }
     }
 
-    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process accepts alone.
+    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process
+    /// accepts alone.
     pub fn predecessor_gone(&mut self, id: ConnectionId) {
         self.close_connection(id);
         info!("the predecessor has gone");
--- a/crates/node/src/handover/socket.rs
+++ b/crates/node/src/handover/socket.rs
@@ -19,7 +19,8 @@
 use super::state::{HandoverState, StateError};
 use crate::config::NodeConfig;
 
-/// A turn of the event loop takes milliseconds; a predecessor that does not answer for so long is not waited for.
+/// A turn of the event loop takes milliseconds; a predecessor that does not answer for so long is not waited
+/// for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest header of a state, in bytes, with its LF.
@@ -34,7 +35,8 @@
     pub listener: OwnedFd,
     /// The connection to the predecessor.
     pub line: UnixStream,
-    /// What the predecessor knows. None where it cannot be read: this process then starts from its configuration.
+    /// What the predecessor knows. None where it cannot be read: this process then starts from its
+    /// configuration.
     pub state: Option<HandoverState>,
 }
 
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -22,15 +22,15 @@
     pub node: NodeSnapshot,
     /// Operators have drained the node.
     pub drained: bool,
-    /// Names of the zones by their numbers in `list`. A process whose settings were changed while it served has them
-    /// in another order than its file.
+    /// Names of the zones by their numbers in `list`. A process whose settings were changed while it served
+    /// has them in another order than its file.
     pub zones: Vec<String>,
     /// Names of the classes by their numbers in `node`, in another order than the file's for the same reason.
     pub classes: Vec<String>,
 }
 
-/// Why a state is not taken over. A state counts whole or not at all: hosts that half a message leaves out would be
-/// taken for empty.
+/// Why a state is not taken over. A state counts whole or not at all: hosts that half a message leaves out
+/// would be taken for empty.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     /// The message is not the JSON of a state.
@@ -67,8 +67,8 @@
     }
 }
 
-/// The JSON of a state. The fields of this struct and of those below stand in alphabetical order, in which they are
-/// written.
+/// The JSON of a state. The fields of this struct and of those below stand in alphabetical order, in which
+/// they are written.
 #[derive(Serialize, Deserialize)]
 struct StateMessage {
     arrival: f64,
@@ -245,7 +245,8 @@
     }
 }
 
-/// A zone's number in `zones`; one past the last for a zone that the settings do not name, which is no zone of ours.
+/// A zone's number in `zones`; one past the last for a zone that the settings do not name, which is no zone
+/// of ours.
 fn map_zone(zone: u16, sent_zones: Option<&[String]>, zones: &[String]) -> Zone {
     let Some(sent_zones) = sent_zones else {
         return Zone(zone.min(zones.len() as u16));
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -1,4 +1,5 @@
-//! The older process's part: it listens for its successor, sends it what it knows, and hands its connections over.
+//! The older process's part: it listens for its successor, sends it what it knows, and hands its connections
+//! over.
 
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixListener;
@@ -39,8 +40,8 @@
         }
     }
 
-    /// A process that was killed leaves its file in the way, and one that serves must not be cut off before the new
-    /// socket listens: so the socket is bound under another name, which then replaces the old one.
+    /// A process that was killed leaves its file in the way, and one that serves must not be cut off before
+    /// the new socket listens: so the socket is bound under another name, which then replaces the old one.
     fn bind_successor_socket(&mut self) -> std::io::Result<Option<UnixListener>> {
         let Some(folder) = self.config.folder.as_deref() else { return Ok(None) };
         let path = socket_path(folder, self.config.listen);
@@ -149,7 +150,8 @@
         }
     }
 
-    /// The successor may end before it serves, or after; then nobody would take the clients if this process did not.
+    /// The successor may end before it serves, or after; then nobody would take the clients if this process
+    /// did not.
     pub fn successor_gone(&mut self, id: ConnectionId) {
         self.close_connection(id);
         if self.handover.successor != Some(id) {
@@ -231,7 +233,8 @@
         Ok(())
     }
 
-    /// None for a call that ends here: one side's end, seen by this process, would never be seen by the successor.
+    /// None for a call that ends here: one side's end, seen by this process, would never be seen by the
+    /// successor.
     fn prepare_call(&self, call: CallId) -> Option<OutgoingCall> {
         let in_flight = self.calls.get(call.0).filter(|call| call.stage == CallStage::Open)?;
         let client_id = in_flight.client?;
@@ -264,7 +267,8 @@
         })
     }
 
-    /// Forgets a call that is the successor's now, without ending its connections. Returns the host where it is open.
+    /// Forgets a call that is the successor's now, without ending its connections. Returns the host where it
+    /// is open.
     fn release_call(&mut self, call: CallId, outgoing: &OutgoingCall) -> Option<HostId> {
         self.abandon_connection(outgoing.client);
         self.abandon_connection(outgoing.host_connection);
--- a/crates/node/src/http/mod.rs
+++ b/crates/node/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as far as the node needs it: [`response`] for the client of the endpoint list, one request at a time and
-//! whole responses; [`request`] for the admin interface, one request a connection.
+//! HTTP/1.1 as far as the node needs it: [`response`] for the client of the endpoint list, one request at a
+//! time and whole responses; [`request`] for the admin interface, one request a connection.
 
 pub mod request;
 pub mod response;
--- a/crates/node/src/http/response.rs
+++ b/crates/node/src/http/response.rs
@@ -2,7 +2,8 @@
 
 use super::{HEAD_END, find};
 
-/// Longest body of a response in bytes. An entry of the list has some 150: this is room for tens of thousands of hosts.
+/// Longest body of a response in bytes. An entry of the list has some 150: this is room for tens of thousands
+/// of hosts.
 const MAX_BODY: usize = 8 << 20;
 
 /// Longest head of a response, or longest line of a chunked body, in bytes.
@@ -71,8 +72,8 @@
     Trailer,
 }
 
-/// Reads a response that comes in pieces. A list comes in hundreds of them: searched from its start with each, it would
-/// take a core that calls need. So each byte is looked at once, however the response is cut.
+/// Reads a response that comes in pieces. A list comes in hundreds of them: searched from its start with
+/// each, it would take a core that calls need. So each byte is looked at once, however the response is cut.
 #[derive(Default)]
 pub struct ResponseReader {
     /// Bytes of the inbox that were searched.
@@ -83,7 +84,8 @@
 }
 
 impl ResponseReader {
-    /// Takes what has come out of `inbox`, and returns the response once it is whole. `ended`: nothing more comes.
+    /// Takes what has come out of `inbox`, and returns the response once it is whole. `ended`: nothing more
+    /// comes.
     ///
     /// # Errors
     ///
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -51,8 +51,8 @@
     assert_eq!(refused, Some(Refusal::HeadTooLarge));
 }
 
-/// Cut in two anywhere, and byte by byte, a response reads the same: nothing before its last byte, and no byte
-/// of the next.
+/// Cut in two anywhere, and byte by byte, a response reads the same: nothing before its last byte, and no
+/// byte of the next.
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, "hello"; "by length")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n",
     200, "hello"; "in chunks, with a trailer")]
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -60,8 +60,9 @@
         self.classes.extend(new_names.map(|name| (name.clone(), CallCounts::default())));
     }
 
-    /// Counts a call. It is called once for each call that was read, or sums would drift from what clients saw: when
-    /// its connection comes up, when it is turned away unread by the decisions, or when it is forgotten unopened.
+    /// Counts a call. It is called once for each call that was read, or sums would drift from what clients
+    /// saw: when its connection comes up, when it is turned away unread by the decisions, or when it is
+    /// forgotten unopened.
     pub fn count(&mut self, class: ClassId, outcome: Outcome) {
         let Some((_, counts)) = self.classes.get_mut(usize::from(class.0)) else { return };
         match outcome {
--- a/crates/node/src/peers/frame.rs
+++ b/crates/node/src/peers/frame.rs
@@ -1,11 +1,13 @@
-//! Frames between nodes: a length, the bytes, and in newer versions a checksum; the first frame is a greeting.
+//! Frames between nodes: a length, the bytes, and in newer versions a checksum; the first frame is a
+//! greeting.
 
 use glendeck_fleet::message::{Envelope, Hello, VERSION};
 use glendeck_takeover::ReplicaMessage;
 use glendeck_takeover::warm_state::WarmStateMessage;
 use serde::{Deserialize, Serialize};
 
-/// Longest frame in bytes. A whole state of 300 units takes some 60 KiB, a log that is sent anew a few hundred.
+/// Longest frame in bytes. A whole state of 300 units takes some 60 KiB, a log that is sent anew a few
+/// hundred.
 const MAX_FRAME: usize = 8 << 20;
 
 /// Bytes of a frame's length, which is little-endian.
@@ -25,8 +27,9 @@
     WarmState(WarmStateMessage),
 }
 
-/// What a node's version can do, sent after its greeting. In a rolling release, nodes of an older version end a link that
-/// brings what they cannot read; these read no further than the greeting, and send nothing after it.
+/// What a node's version can do, sent after its greeting. In a rolling release, nodes of an older version end
+/// a link that brings what they cannot read; these read no further than the greeting, and send nothing after
+/// it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Features(u32);
 
@@ -71,8 +74,9 @@
     Version(u32),
 }
 
-/// Appends the bytes' CRC-32. One bit turned over on the way could make another host, attempt or term of a record, and
-/// work could be done twice. TCP's checksum misses one in 65,536 damaged segments, and middle boxes make it anew.
+/// Appends the bytes' CRC-32. One bit turned over on the way could make another host, attempt or term of a
+/// record, and work could be done twice. TCP's checksum misses one in 65,536 damaged segments, and middle
+/// boxes make it anew.
 pub fn seal(bytes: &mut Vec<u8>) {
     let checksum = crc32fast::hash(bytes);
     bytes.extend_from_slice(&checksum.to_le_bytes());
@@ -95,8 +99,8 @@
     Ok(bytes)
 }
 
-/// Reads a greeting. The first version sends nothing after it, the second its features, newer ones a checksum too; each
-/// reads as far as it knows.
+/// Reads a greeting. The first version sends nothing after it, the second its features, newer ones a checksum
+/// too; each reads as far as it knows.
 ///
 /// # Errors
 ///
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Links to other nodes of the fleet: TCP connections, each node dialling the voters. A peer that is slow, silent or
-//! sends what cannot be read loses its link and gets another; nobody waits for it.
+//! Links to other nodes of the fleet: TCP connections, each node dialling the voters. A peer that is slow,
+//! silent or sends what cannot be read loses its link and gets another; nobody waits for it.
 //!
 //! [`frame`] is what goes over a link.
 
@@ -36,8 +36,8 @@
 /// A link has this long to come up and bring its greeting.
 const GREETING_TIMEOUT: Span = Span::ms(2_000);
 
-/// A peer that cannot be reached is dialled again after this, doubling up to the longest wait. Each time a part of the
-/// wait is drawn, or a fleet whose voter comes back would come back to it all at once.
+/// A peer that cannot be reached is dialled again after this, doubling up to the longest wait. Each time a
+/// part of the wait is drawn, or a fleet whose voter comes back would come back to it all at once.
 const SHORTEST_REDIAL: Span = Span::ms(100);
 const LONGEST_REDIAL: Span = Span::ms(1_600);
 
@@ -74,7 +74,8 @@
     wait: Span,
 }
 
-/// Frames sent to and received from peers, greetings among the received ones, and their bytes without lengths.
+/// Frames sent to and received from peers, greetings among the received ones, and their bytes without
+/// lengths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Frames sent.
@@ -112,8 +113,8 @@
         links.filter_map(|link| link.peer.clone()).collect()
     }
 
-    /// The link to a peer that brought something last. Two voters dial each other at once, and if each sent on its own
-    /// link, each would hear nothing on it, take it for dead, and dial again every few seconds.
+    /// The link to a peer that brought something last. Two voters dial each other at once, and if each sent
+    /// on its own link, each would hear nothing on it, take it for dead, and dial again every few seconds.
     fn link_to(&self, peer: &UnitName) -> Option<ConnectionId> {
         let dialled = self.dials.get(peer).and_then(|dial| dial.connection);
         let incoming = self.incoming.get(peer).copied();
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -146,7 +146,7 @@
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
-        .map_err(|(address, fault)| ServiceError::Listen { address, fault })?;
+        .map_err(|error| ServiceError::Listen { address: error.address, fault: error.cause })?;
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -1,5 +1,5 @@
-//! What replicated work means for a single call: its intent is stored before an attempt goes, and what has been before a
-//! repeat is looked up first.
+//! What replicated work means for a single call: its intent is stored before an attempt goes, and what has
+//! been before a repeat is looked up first.
 
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Idempotency, Span, Time};
 use glendeck_takeover::{Action, Attempt, Outcome, PriorAttempt, WorkId};
@@ -11,7 +11,8 @@
 use crate::protocol::{Answer, OpenRequest};
 use crate::service::Service;
 
-/// An attempt that has less left than this when its intent is stored is not sent: it would hardly be answered.
+/// An attempt that has less left than this when its intent is stored is not sent: it would hardly be
+/// answered.
 const LEAST_TIME_LEFT: Span = Span::ms(20);
 
 /// A call's part in replicated work.
@@ -39,7 +40,8 @@
 }
 
 impl Service {
-    /// The work of a call that is to be replicated. None for a call that may run again, or that names no work.
+    /// The work of a call that is to be replicated. None for a call that may run again, or that names no
+    /// work.
     pub fn work_of(&self, opening: &OpenRequest) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let class = usize::from(opening.traffic.0);
@@ -51,8 +53,8 @@
         Some(work_id(self.config.names.traffic.get(class)?, tenant, opening.subject?.0))
     }
 
-    /// Whether a call repeats another, as far as can be told: where clients do not mark repeats, any call may but one
-    /// whose connection was up.
+    /// Whether a call repeats another, as far as can be told: where clients do not mark repeats, any call may
+    /// but one whose connection was up.
     pub fn is_repeat(&self, opening: &OpenRequest) -> bool {
         if self.config.marks_repeats { opening.is_repeat } else { !opening.is_reconnect }
     }
@@ -70,8 +72,8 @@
         self.tell_work(|takeover, now| takeover.call_repeated(now, call.0, work_id, left_ms));
     }
 
-    /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection comes up
-    /// meanwhile.
+    /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection
+    /// comes up meanwhile.
     pub fn replicate_intent_of(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (in_flight.kept, &in_flight.attempt) else { return };
@@ -167,7 +169,8 @@
         self.settle();
     }
 
-    /// The same work is in flight at another node: the decisions forget the call until it is known what came of that.
+    /// The same work is in flight at another node: the decisions forget the call until it is known what came
+    /// of that.
     fn wait_for_other_node(&mut self, call: CallId) {
         if let Some(work) = self.work() {
             work.counts.raced += 1;
--- a/crates/node/src/takeover/handover_file.rs
+++ b/crates/node/src/takeover/handover_file.rs
@@ -1,5 +1,5 @@
-//! What a process stores for other nodes' calls goes to its successor in a file of the node's folder, as the process
-//! ends as planned and nobody waits for it.
+//! What a process stores for other nodes' calls goes to its successor in a file of the node's folder, as the
+//! process ends as planned and nobody waits for it.
 
 use std::io::Write as _;
 use std::path::Path;
@@ -37,8 +37,8 @@
 }
 
 impl HandoverFile {
-    /// The bytes of the file, with a checksum: a bit that a disk turns over would make a record another work's, and the
-    /// replica would forget one that it has vouched for.
+    /// The bytes of the file, with a checksum: a bit that a disk turns over would make a record another
+    /// work's, and the replica would forget one that it has vouched for.
     pub(super) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = postcard::to_stdvec(self)?;
         seal(&mut bytes);
@@ -76,9 +76,10 @@
         }
     }
 
-    /// Takes what the predecessor left. An older copy of the file knows nothing of what was stored since, so the file is
-    /// removed once it was read, and must be of the process just before by the store's boot count. As the whole folder
-    /// may be an older copy, it counts only when the other voters have given this node a slot.
+    /// Takes what the predecessor left. An older copy of the file knows nothing of what was stored since, so
+    /// the file is removed once it was read, and must be of the process just before by the store's boot
+    /// count. As the whole folder may be an older copy, it counts only when the other voters have given this
+    /// node a slot.
     pub fn read_work_handover(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(path) = membership.folder.as_ref().map(|folder| folder.join(FILE_NAME)) else { return };
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -1,8 +1,8 @@
-//! Work in flight that outlives its node: other nodes store an intent before an attempt goes, and a repeat of a call
-//! meets what they stored.
+//! Work in flight that outlives its node: other nodes store an intent before an attempt goes, and a repeat of
+//! a call meets what they stored.
 //!
-//! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised. [`calls`] is what
-//! becomes of a single call, [`handover_file`] what goes from one process of the node to the next.
+//! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised. [`calls`] is
+//! what becomes of a single call, [`handover_file`] what goes from one process of the node to the next.
 
 mod calls;
 mod handover_file;
@@ -80,7 +80,8 @@
 }
 
 impl Work {
-    /// Nothing is in flight. A repeat is recognised for `recall_ms`, and a client waits for `longest_ms` at most.
+    /// Nothing is in flight. A repeat is recognised for `recall_ms`, and a client waits for `longest_ms` at
+    /// most.
     pub fn new(
         start: Timestamp,
         name: UnitName,
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -16,7 +16,8 @@
     UnitName(name.to_owned())
 }
 
-/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples give it.
+/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples
+/// give it.
 fn handover() -> ReplicaHandover {
     let record = |work: u64| {
         let id = ("a", 5_u64, 3_u64);
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -1,7 +1,8 @@
-//! Warm state: what this node's clients would come back to is stored by other nodes, and what the clients of a lost node
-//! come back to is adopted here.
+//! Warm state: what this node's clients would come back to is stored by other nodes, and what the clients of
+//! a lost node come back to is adopted here.
 //!
-//! When it is sent, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what for.
+//! When it is sent, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what
+//! for.
 
 use glendeck::domain::{self, GroupId, HostId, Span, SubjectId, Time};
 use glendeck_fleet::Timestamp;
@@ -21,8 +22,8 @@
 /// Connections live for tens of seconds: hints that are a second old are nearly all true.
 const SEND_INTERVAL: Span = Span::ms(1_000);
 
-/// Part of the interval that each wait lasts at least, and the part that is drawn in addition. A fleet that was
-/// started together would send in step without the draw.
+/// Part of the interval that each wait lasts at least, and the part that is drawn in addition. A fleet that
+/// was started together would send in step without the draw.
 const SHORTEST_WAIT: f64 = 0.9;
 const DRAWN_WAIT: f64 = 0.2;
 
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Whether this node's own hints are to be sent now. Clients that are sent away are elsewhere within the second, so
-    /// a change of `is_leaving` is not waited with.
+    /// Whether this node's own hints are to be sent now. Clients that are sent away are elsewhere within the
+    /// second, so a change of `is_leaving` is not waited with.
     fn is_due(&self, now: Time, is_leaving: bool) -> bool {
         now >= self.next_send || self.was_leaving != is_leaving
     }
