--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -7,10 +7,22 @@
 
 use crate::Failure;
 
+/// Keys of a log line. Each has the name that nodes write, and the one that earlier versions wrote: in a rolling release
+/// there are logs of both.
+const CALL_KEYS: [&str; 2] = ["call_id", "call"];
+const CLIENT_KEYS: [&str; 2] = ["client_id", "id"];
+const SUBJECT_KEYS: [&str; 2] = ["subject_id", "about"];
+
 /// A line of a log that is of one call: its number, and whether the call comes with it.
 fn call_of(line: &str) -> Option<(&str, bool)> {
-    let number = line.split(" call=").nth(1)?.split_whitespace().next()?;
-    Some((number, line.contains(" id=") && line.contains(" about=")))
+    let number = first_value(line, CALL_KEYS)?;
+    let comes = first_value(line, CLIENT_KEYS).is_some() && first_value(line, SUBJECT_KEYS).is_some();
+    Some((number, comes))
+}
+
+/// The value behind the first of the keys that is there.
+fn first_value<'a>(line: &'a str, keys: [&str; 2]) -> Option<&'a str> {
+    keys.into_iter().find_map(|key| value(line, key))
 }
 
 /// The value behind a key.
@@ -31,7 +43,9 @@
     for line in text.lines() {
         let Some((number, comes)) = call_of(line) else { continue };
         if comes {
-            let is_it = ["id", "about"].iter().any(|key| value(line, key).is_some_and(|is| same(is, id)));
+            let is_it = [CLIENT_KEYS, SUBJECT_KEYS]
+                .into_iter()
+                .any(|keys| first_value(line, keys).is_some_and(|found| same(found, id)));
             if is_it {
                 followed.insert(number.to_owned());
             } else {
@@ -79,4 +93,17 @@
         assert_eq!(super::lines_of("b", log).len(), 2);
         assert!(super::lines_of("5", log).is_empty());
     }
+
+    #[test]
+    fn lines_are_found_by_the_keys_that_nodes_write_now() {
+        let log = "t1 DEBUG n: call arrived call_id=4 client_id=000000000000000f subject_id=a group_id=0\n\
+                   t2 DEBUG n: attempt opened call_id=4 attempt=0 host_id=7\n\
+                   t2 DEBUG n: attempt opened call_id=5 attempt=0 host_id=7\n\
+                   t3 DEBUG n: call arrived call_id=4 client_id=0000000000000010 subject_id=b group_id=0\n\
+                   t4 DEBUG n: attempt opened call_id=4 attempt=0 host_id=8\n";
+        let found = super::lines_of("f", log);
+        assert_eq!(found.len(), 2, "{found:?}");
+        assert_eq!(super::lines_of("b", log).len(), 2);
+        assert!(super::lines_of("5", log).is_empty());
+    }
 }
