--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -186,16 +186,16 @@
 
     /// Takes over settings whose classes and zones have these numbers here.
     fn renew_settings(&mut self, new: Settings, class_numbers: &[usize], zone_numbers: &[usize]) {
-        let mut traffic = self.settings.traffic.clone();
-        for (number, class) in class_numbers.iter().zip(&new.traffic) {
-            match traffic.get_mut(*number) {
+        let mut classes = self.settings.classes.clone();
+        for (number, class) in class_numbers.iter().zip(&new.classes) {
+            match classes.get_mut(*number) {
                 Some(known) => *known = *class,
-                None => traffic.push(*class),
+                None => classes.push(*class),
             }
         }
         let zone = zone_numbers.get(usize::from(new.zone.0));
         let zone = zone.map_or(new.zone, |number| Zone(*number as u16));
-        self.settings = Settings { traffic, zone, ..new };
+        self.settings = Settings { classes, zone, ..new };
     }
 }
 
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -83,11 +83,11 @@
         return Ok(OpenedFleet { config, store: None, retry: None });
     };
     let opened = glendeck_store::open(folder, faults)?;
-    if let Some(cause) = &opened.spoilt {
+    if let Some(cause) = &opened.unreadable {
         error!(%cause, "the store cannot be read and was set aside: no vote until a new voter slot is given");
     }
     config.saved = Some(opened.saved.clone());
-    config.spoilt = opened.spoilt.is_some();
+    config.spoilt = opened.unreadable.is_some();
     let (wake, store_end) = UnixStream::pair()?;
     wake.set_nonblocking(true)?;
     let store = opened.start(store_end)?;
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -45,7 +45,7 @@
     pub fn work_of(&self, opening: &OpenRequest) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let class = usize::from(opening.traffic.0);
-        let is_idempotent = self.config.settings.traffic.get(class)?.idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.config.settings.classes.get(class)?.idempotency == Idempotency::Idempotent;
         if is_idempotent || opening.previous_host.is_some() {
             return None;
         }
@@ -65,7 +65,7 @@
         let Some(kept) = &mut in_flight.kept else { return };
         kept.awaits_lookup = true;
         let work_id = kept.work_id;
-        let left_ms = in_flight.call.guard.since(self.now).0 / 1_000_000;
+        let left_ms = in_flight.call.deadline.since(self.now).0 / 1_000_000;
         if let Some(work) = self.work() {
             work.counts.looked += 1;
         }
@@ -77,7 +77,7 @@
     pub fn replicate_intent_of(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let (Some(kept), Some(attempt)) = (in_flight.kept, &in_flight.attempt) else { return };
-        let first = in_flight.call.before.or(kept.ran);
+        let first = in_flight.call.prior_attempt.or(kept.ran);
         let latest =
             self.repeat_window_end(in_flight, first).unwrap_or(attempt.deadline).min(attempt.deadline);
         let attempt = Attempt {
@@ -86,7 +86,7 @@
             prior: kept
                 .ran
                 .map(|(host, time)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(time) }),
-            remaining_ms: in_flight.call.guard.since(self.now).0 / 1_000_000,
+            remaining_ms: in_flight.call.deadline.since(self.now).0 / 1_000_000,
             send_before: self.timestamp_of(latest - LEAST_TIME_LEFT),
         };
         self.tell_work(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
@@ -95,7 +95,7 @@
     /// Until when hosts recognise a repeat of a keyed call, from its first attempt on.
     fn repeat_window_end(&self, in_flight: &InFlightCall, first: Option<(HostId, Time)>) -> Option<Time> {
         let (_, first_sent) = first?;
-        let class = self.config.settings.traffic.get(usize::from(in_flight.call.traffic.0))?;
+        let class = self.config.settings.classes.get(usize::from(in_flight.call.class.0))?;
         match class.idempotency {
             Idempotency::Keyed { window, .. } => Some(first_sent + window),
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
@@ -151,7 +151,7 @@
         }
         warn!(call_id = call.0, "the intent of an attempt was not replicated: the attempt does not go");
         let may_have_run =
-            in_flight.call.before.is_some() || in_flight.kept.is_some_and(|kept| kept.ran.is_some());
+            in_flight.call.prior_attempt.is_some() || in_flight.kept.is_some_and(|kept| kept.ran.is_some());
         let (answer, outcome) = if may_have_run {
             (Answer::Error, metrics::Outcome::Failure)
         } else {
@@ -206,7 +206,7 @@
         if let Some(kept) = &mut in_flight.kept {
             kept.awaits_lookup = false;
         }
-        in_flight.call.before = before;
+        in_flight.call.prior_attempt = before;
         debug!(call_id = call.0, host_id = ?before.map(|(host, _)| host.0), "placing a call that was looked up");
         let now = self.now;
         let call = in_flight.call;
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -2,12 +2,13 @@
 
 use std::cmp::Reverse;
 
-use super::{Node, QUEUE_TIMER};
+use super::Node;
 use crate::domain::{Call, Span};
 use crate::port::Port;
 use crate::state::call::{CallIndex, InFlightCall, PossibleRun};
 use crate::state::host::Host;
 use crate::state::shared_draw::shared_draw;
+use crate::state::timers::QUEUE_TIMER;
 
 /// Longest wait until waiting calls are tried again: short against any setup target, and long enough to cost little CPU.
 const MAX_RETRY_DELAY: Span = Span::ms(40);
@@ -25,9 +26,9 @@
     /// asked for is remembered for the client's return.
     pub(super) fn admit(&mut self, call: Call) -> CallIndex {
         let local_load = call.load.or_else(|| self.load_cache.local_load(call.subject?));
-        let is_displaced = call.returning && local_load.is_none();
+        let is_displaced = call.is_returning && local_load.is_none();
         let load = local_load.or_else(|| self.load_cache.lost_node_load(call.subject?));
-        let first_run = call.before.and_then(|(host, sent_at)| {
+        let first_run = call.prior_attempt.and_then(|(host, sent_at)| {
             let host = *self.host_index.get(&host)?;
             Some(PossibleRun { host, sent_at })
         });
@@ -47,7 +48,7 @@
         for host in 0..self.hosts.len() {
             let small_fleet = self.settings.small_fleet_factor();
             let increase = small_fleet * self.size(host) / self.traffic.ready_size.max(1e-9);
-            self.hosts[host].load_limit += increase;
+            self.hosts[host].overload.load_limit += increase;
         }
     }
 
@@ -65,12 +66,12 @@
         let call = self.calls[call_index].call;
         let remaining_part =
             READMISSION_FACTOR * self.traffic.ready_size / self.traffic.usual_ready_size.max(1e-9);
-        let is_new = !call.returning || call.mid_flow;
+        let is_new = !call.is_returning || call.is_mid_flow;
         if is_new || remaining_part >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
             return false;
         }
         let connections = self.hosts.iter().map(Host::connections).sum::<f64>();
-        shared_draw(call.id.0, self.settings.me.into()) < self.settings.large_fleet_factor()
+        shared_draw(call.id.0, self.settings.node_index.into()) < self.settings.large_fleet_factor()
             && connections + self.random() > remaining_part * self.traffic.usual_connections.max(1.0)
     }
 
@@ -146,7 +147,7 @@
         let call_id = self.calls[call_index].call.id;
         if self.may_reject(call_index) {
             // Clients that were turned away together return spread over the second half of the wait.
-            let spread = 0.5 + 0.5 * self.random();
+            let spread = self.second_half_jitter();
             port.reject(call_id, self.settings.retry_after.map(|longest| longest.times(spread)));
         } else {
             port.fail(call_id);
@@ -169,4 +170,12 @@
             self.waiting.calls.retain(|waiting| *waiting != call_index);
         }
     }
+
+    /// Adapts the limit of setups to one that took so long, or failed (`None`).
+    pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
+        let class = self.calls[call_index].class_index();
+        let target = self.settings.classes[class].setup_target.seconds();
+        let share_of_target = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
+        self.setup_limit.record(share_of_target);
+    }
 }
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -6,7 +6,7 @@
 use nanorand::Rng;
 
 use super::Node;
-use crate::domain::{Condition, Span};
+use crate::domain::Span;
 use crate::port::Port;
 use crate::state::call::CallIndex;
 use crate::state::host::HostIndex;
@@ -15,23 +15,10 @@
 const STANDSTILL_GROWTH: f64 = 0.8;
 /// Time in which what has piled up at a host is to be gone, in seconds.
 const CLEAR_TIME: f64 = 0.8;
-/// Reports older than this, in seconds, say nothing of the growth since.
-const MAX_REPORT_AGE: f64 = 1.5;
-/// Highest overload penalty.
-const MAX_PENALTY: f64 = 4.0;
 /// Part of the message target below which all is well. Shedding from a higher one lost far more.
 const HEALTHY_SHARE: f64 = 0.3;
 /// Largest part of a host's load that is shed at once, unless it stands still.
 const MAX_SHED_SHARE: f64 = 0.5;
-/// What remains at least of the load at the last tick when a limit is cut.
-const MIN_LIMIT_SHARE: f64 = 0.7;
-/// How long an overloaded host gets nothing new: a little longer than the second between reports.
-const CLOSED_AFTER_REPORT: Span = Span::ms(1200);
-/// Growth of a limit a second.
-const LIMIT_GROWTH: f64 = 0.02;
-/// Load from which limits grow at least, in connections: where all broke, limit and mean are nothing, and nothing grows
-/// from that.
-const MIN_GROWTH_BASE: f64 = 0.1;
 /// Multiple of the mean load from which limits grow at least.
 const MEAN_LOAD_MULTIPLE: f64 = 1.5;
 /// Open share of the fleet below which the connection that earns least for its load leaves first.
@@ -40,25 +27,17 @@
 const SHED_CANDIDATES: u32 = 6;
 
 impl Node {
-    /// Adapts the limit of setups to one that took so long, or failed (`None`).
-    pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
-        let class = self.calls[call_index].class_index();
-        let target = self.settings.traffic[class].setup_target.seconds();
-        let share_of_target = took.map_or(f64::INFINITY, |took| took.seconds() / target.max(1e-3));
-        self.setup_limit.record(share_of_target);
-    }
-
     /// Takes up a report of what a message takes at a host: when that time grows by so much a second, that share of the
     /// load is too much, and what has piled up is to be gone soon. All nodes hear the same.
     pub(super) fn record_message_time(&mut self, host_index: HostIndex, took: Span, port: &mut dyn Port) {
         let target = self.settings.message_target_seconds();
         let took = took.seconds();
         let load = self.load(host_index);
-        let growth = self.message_time_growth(host_index, took);
+        let growth = self.hosts[host_index].overload.record_message_time(took, self.now);
         let stands_still = growth > STANDSTILL_GROWTH;
-        let host = &mut self.hosts[host_index];
-        let penalty = if stands_still { 0.0 } else { (took / target).min(MAX_PENALTY) };
-        host.overload_penalty = host.overload_penalty.max(penalty);
+        if !stands_still {
+            self.hosts[host_index].overload.raise_penalty(took / target);
+        }
         if took < HEALTHY_SHARE * target {
             return;
         }
@@ -72,16 +51,6 @@
         self.shed(host_index, load * share, port);
     }
 
-    /// By how many seconds a second the message time has grown since the report before.
-    fn message_time_growth(&mut self, host_index: HostIndex, took: f64) -> f64 {
-        let host = &mut self.hosts[host_index];
-        let age = self.now.since(host.message_time_at).seconds();
-        let previous = if age < MAX_REPORT_AGE { host.message_time } else { 0.0 };
-        host.message_time = took;
-        host.message_time_at = self.now;
-        (took - previous) / age.clamp(0.5, 1.0)
-    }
-
     /// Migrates connections until so much load, in connections, has left. What leaves counts as one connection at the
     /// least, or many light ones would leave for little. A remainder below one connection is decided by chance.
     fn shed(&mut self, host: HostIndex, excess_load: f64, port: &mut dyn Port) {
@@ -110,13 +79,9 @@
         self.calls[call_index].load.filter(|_| mean > 0.0).map_or(1.0, |load| load / mean)
     }
 
-    /// Lowers a host's limit and closes it for a moment. While a host empties, its load of the moment says nothing of
-    /// what it can do, and a limit taken from that would keep it idle: so a second cuts it by three tenths at most.
-    pub(super) fn cut_load_limit(&mut self, host_index: HostIndex, load: f64) {
-        let host = &mut self.hosts[host_index];
-        host.load_limit = host.load_limit.min(load.max(MIN_LIMIT_SHARE * host.load_at_last_tick));
-        host.is_overloaded = true;
-        host.overloaded_until = self.now + CLOSED_AFTER_REPORT;
+    /// Lowers a host's limit to a load and closes it for a moment.
+    pub(super) fn cut_load_limit(&mut self, host: HostIndex, load: f64) {
+        self.hosts[host].overload.cut_limit(load, self.now);
     }
 
     /// A random connection; where much of the fleet is closed, of several drawn the one that earns least for its load,
@@ -144,47 +109,12 @@
         self.hosts[host].calls.iter().filter(is_open).nth(position).copied()
     }
 
-    /// Refreshes the sums over the fleet.
-    pub(super) fn update_fleet_estimate(&mut self) {
-        let mut local_load = 0.0;
-        let mut local_size = 0.0;
-        let mut open_size = 0.0;
-        let mut ready_size = 0.0;
-        let mut ready_hosts = 0.0;
-        for host_index in 0..self.hosts.len() {
-            let host = &self.hosts[host_index];
-            if host.condition != Condition::Ready {
-                continue;
-            }
-            let size = self.size(host_index);
-            let is_usable = host.ejection.is_none() && host.reject_backoff == Span::ZERO;
-            if is_usable && host.zone == self.settings.zone {
-                local_load += self.load(host_index);
-                local_size += size;
-            }
-            if self.is_available(host_index) {
-                open_size += size;
-            }
-            ready_size += size;
-            ready_hosts += 1.0;
-        }
-        let has_ready_size = ready_size > 0.0;
-        self.fleet.open_share = if has_ready_size { open_size / ready_size } else { 1.0 };
-        self.fleet.mean_size = if has_ready_size { ready_size / ready_hosts } else { 1.0 };
-        self.fleet.local_load_per_size = local_load / local_size.max(1e-9);
-    }
-
     /// Lets the limits of hosts that were not overloaded since the last tick grow.
     pub(super) fn grow_load_limits(&mut self) {
         for host_index in 0..self.hosts.len() {
             let load = self.load(host_index);
             let mean_load = MEAN_LOAD_MULTIPLE * self.fleet.local_load_per_size * self.size(host_index);
-            let host = &mut self.hosts[host_index];
-            let was_overloaded = std::mem::take(&mut host.is_overloaded);
-            if !was_overloaded && host.load_limit.is_finite() {
-                host.load_limit += LIMIT_GROWTH * host.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
-            }
-            host.load_at_last_tick = load;
+            self.hosts[host_index].overload.grow_limit(load, mean_load);
         }
     }
 }
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -7,9 +7,13 @@
 
 /// What a host pays once for a group, in connections. Deployments do not tell; 1 to 9 were tried.
 const GROUP_COST: f64 = 5.0;
-/// Multiple of the crossing price at which another zone counts as loaded as this one: a price of a tenth keeps calls in
-/// their zone until hosts there are overloaded.
-const CROSSING_COST_FACTOR: f64 = 10.0;
+/// Other nodes' connections count twice where the list tells them: as connections, and as the load that comes with them,
+/// which the list does not tell.
+const REMOTE_CONNECTION_WEIGHT: f64 = 2.0;
+/// Least size of a host, so that sizes can be divided by.
+const MIN_SIZE: f64 = 1e-6;
+/// Least load of a call, as a part of the mean, when its worth is judged.
+const MIN_LOAD_SHARE: f64 = 0.1;
 
 impl Node {
     /// Own connections plus smoothed load, in connections of the mean load.
@@ -19,25 +23,22 @@
     /// that list count as if every node had sent the same.
     fn score(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
-        let smoothed = if self.loads.mean > 0.0 { host.smoothed_load / self.loads.mean } else { 0.0 };
+        let smoothed = if self.loads.mean > 0.0 { host.work.smoothed_rate / self.loads.mean } else { 0.0 };
         let own = host.connections() + smoothed;
         let Some(remote) = self.sizes.remote_connections(host) else { return own };
-        let node_count = f64::from(self.settings.nodes.max(1));
+        let node_count = f64::from(self.settings.node_count.max(1));
         let since_list = host.attempts_since_list[0] + host.attempts_since_list[1];
-        (own + 2.0 * remote) / node_count + self.settings.remote_share() * since_list
+        (own + REMOTE_CONNECTION_WEIGHT * remote) / node_count + self.settings.remote_share() * since_list
     }
 
     /// The score for each unit of size, raised while the host is overloaded. Hosts of another zone carry load of their
     /// own that this node does not see: as much as its own zone, where a crossing is dear.
     pub(super) fn relative_load(&self, host_index: HostIndex, remote_zone_load: f64) -> f64 {
         let host = &self.hosts[host_index];
-        let crossing_cost = if host.zone == self.settings.zone {
-            0.0
-        } else {
-            (CROSSING_COST_FACTOR * self.settings.cross_zone_price).min(1.0)
-        };
+        let crossing_cost =
+            if host.zone == self.settings.zone { 0.0 } else { self.settings.crossing_cost().min(1.0) };
         let score = self.score(host_index) + self.settings.remote_share() * host.score_offset;
-        (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload_penalty)
+        (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload.penalty)
     }
 
     /// Estimate of the other nodes' load for each unit of size, each with as much as this node in all. Nothing where the
@@ -47,7 +48,7 @@
         if host.reported_connections.is_some() {
             return 0.0;
         }
-        let other_nodes = f64::from(self.settings.nodes.max(1)) - 1.0;
+        let other_nodes = f64::from(self.settings.node_count.max(1)) - 1.0;
         let large_fleet = self.settings.large_fleet_factor();
         large_fleet * other_nodes * self.traffic.connections_per_size * host.remote_load
             / self.size(host_index)
@@ -100,7 +101,7 @@
 
     /// What the host can do by now.
     pub(super) fn size(&self, host: HostIndex) -> f64 {
-        self.hosts[host].size.0.max(1e-6) * self.slow_start_share(host)
+        self.hosts[host].size.0.max(MIN_SIZE) * self.slow_start_share(host)
     }
 
     /// What the host carries for this node now, in connections of the mean load.
@@ -124,7 +125,7 @@
         let call = &self.calls[call_index];
         let class = call.class_index();
         let known_load = call.load.unwrap_or(self.loads.mean_by_class[class]);
-        let load = known_load.max(0.1 * self.loads.mean).max(1e-9);
-        self.settings.traffic[class].revenue / load
+        let load = known_load.max(MIN_LOAD_SHARE * self.loads.mean).max(1e-9);
+        self.settings.classes[class].revenue / load
     }
 }
