--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -11,6 +11,12 @@
 
 use crate::error::CommandError;
 
+/// Keys of a log line. Each has the name that nodes write, and the one that earlier versions wrote: in a rolling release there
+/// are logs of both.
+const CALL_KEYS: [&str; 2] = ["call_id", "call"];
+const CLIENT_KEYS: [&str; 2] = ["client_id", "id"];
+const SUBJECT_KEYS: [&str; 2] = ["subject_id", "about"];
+
 /// A line with the time that it begins with.
 struct TimedLine {
     time: String,
@@ -50,7 +56,7 @@
     let mut numbers = BTreeSet::new();
     let mut found = Vec::new();
     for line in text.lines() {
-        let Some(number) = field(line, "call") else { continue };
+        let Some(number) = field_of(line, CALL_KEYS) else { continue };
         if is_arrival(line) {
             if names_call(line, id) {
                 numbers.insert(number);
@@ -67,12 +73,19 @@
 
 /// Whether a call arrives with this line.
 fn is_arrival(line: &str) -> bool {
-    line.contains(" id=") && line.contains(" about=")
+    field_of(line, CLIENT_KEYS).is_some() && field_of(line, SUBJECT_KEYS).is_some()
 }
 
 /// Whether the call that arrives has this id, or concerns this.
 fn names_call(line: &str, id: &str) -> bool {
-    ["id", "about"].iter().any(|key| field(line, key).is_some_and(|value| is_same_id(value, id)))
+    [CLIENT_KEYS, SUBJECT_KEYS]
+        .into_iter()
+        .any(|keys| field_of(line, keys).is_some_and(|value| is_same_id(value, id)))
+}
+
+/// The value behind the first of the keys that is there.
+fn field_of<'a>(line: &'a str, keys: [&str; 2]) -> Option<&'a str> {
+    keys.into_iter().find_map(|key| field(line, key))
 }
 
 /// The value behind a key.
--- a/crates/cli/src/trace/tests.rs
+++ b/crates/cli/src/trace/tests.rs
@@ -14,3 +14,16 @@
     assert_eq!(lines_of_call("b", log).len(), 2);
     assert!(lines_of_call("5", log).is_empty());
 }
+
+#[test]
+fn lines_are_found_by_the_keys_that_nodes_write_now() {
+    let log = "t1 DEBUG n: call arrived call_id=4 client_id=000000000000000f subject_id=a group_id=0\n\
+               t2 DEBUG n: attempt opened call_id=4 attempt=0 host_id=7\n\
+               t2 DEBUG n: attempt opened call_id=5 attempt=0 host_id=7\n\
+               t3 DEBUG n: call arrived call_id=4 client_id=0000000000000010 subject_id=b group_id=0\n\
+               t4 DEBUG n: attempt opened call_id=4 attempt=0 host_id=8\n";
+    let found = lines_of_call("f", log);
+    assert_eq!(found.len(), 2, "{found:?}");
+    assert_eq!(lines_of_call("b", log).len(), 2);
+    assert!(lines_of_call("5", log).is_empty());
+}
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,6 +1,7 @@
 //! The admin interface: HTTP for operators, one request a connection.
 //!
-//! This module accepts its callers and reads their requests; [`routes`] has the paths, [`reply`] the responses.
+//! This module accepts its callers and reads their requests; [`routes`] has the paths, [`reply`] the
+//! responses.
 
 pub mod reply;
 mod routes;
@@ -19,14 +20,14 @@
 use self::reply::Reply;
 use crate::clients::ACCEPT_AGAIN;
 use crate::connection::{self, Connection, ReadOutcome};
-use crate::http::{Incoming, Method};
+use crate::http::request::{Method, RequestReader};
 use crate::reactor::ADMIN;
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back from
-/// the clients, so there are not more.
+/// Callers at once: a scraper or two, an operator, and as many that are slow. Their descriptors are kept back
+/// from the clients, so there are not more.
 pub const CALLERS: usize = 12;
 
 /// A caller that has not sent its request by then, or has not taken the reply, is dropped.
@@ -35,15 +36,26 @@
 /// Bytes that a caller may send after its request before it is cut off.
 const MAX_DISCARDED: usize = 64 << 10;
 
+/// The admin interface cannot listen on its address.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen on {address}: {cause}")]
+pub struct AdminListenError {
+    /// The address.
+    pub address: SocketAddr,
+    /// What the system says.
+    pub cause: Errno,
+}
+
 /// One connection to the admin interface.
 pub struct Caller {
     id: ConnectionId,
-    incoming: Incoming,
+    reader: RequestReader,
     /// Its reply is on its way.
     is_answered: bool,
 }
 
-/// The listening socket for operators, if there is one, and its callers, the one that has waited longest first.
+/// The listening socket for operators, if there is one, and its callers, the one that has waited longest
+/// first.
 #[derive(Default)]
 pub struct AdminServer {
     /// The listening socket, if an address is configured.
@@ -57,10 +69,11 @@
     ///
     /// # Errors
     ///
-    /// Fails with the address and the cause if it cannot listen there.
-    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, (SocketAddr, Errno)> {
-        let listener = address.map(|address| connection::listen(address).map_err(|cause| (address, cause)));
-        Ok(AdminServer { listener: listener.transpose()?, callers: VecDeque::new() })
+    /// Fails if it cannot listen there.
+    pub fn open(address: Option<SocketAddr>) -> Result<AdminServer, AdminListenError> {
+        let listen =
+            |address| connection::listen(address).map_err(|cause| AdminListenError { address, cause });
+        Ok(AdminServer { listener: address.map(listen).transpose()?, callers: VecDeque::new() })
     }
 }
 
@@ -92,12 +105,12 @@
         self.make_place();
         let connection = Connection::new(socket, false);
         let Some(id) = self.add_connection(connection, SocketRole::Admin) else { return };
-        self.admin.callers.push_back(Caller { id, incoming: Incoming::default(), is_answered: false });
+        self.admin.callers.push_back(Caller { id, reader: RequestReader::default(), is_answered: false });
         self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
     }
 
-    /// Drops callers while there are too many, or some that finish no request would keep the others out. First goes
-    /// one whose reply has been sent; else the oldest without a whole request; else the oldest.
+    /// Drops callers while there are too many, or some that finish no request would keep the others out.
+    /// First goes one whose reply has been sent; else the oldest without a whole request; else the oldest.
     fn make_place(&mut self) {
         while self.admin.callers.len() >= CALLERS {
             let has_reply_sent = |caller: &Caller| {
@@ -120,7 +133,7 @@
     }
 
     /// Drops a caller whose reply has gone and who has ended its side, or sends on without end.
-    pub fn caller_over(&mut self, id: ConnectionId) {
+    pub fn drop_finished_caller(&mut self, id: ConnectionId) {
         let Some(entry) = self.sockets.get(id.0) else { return };
         if entry.connection.is_over() || entry.connection.discarded > MAX_DISCARDED {
             self.drop_caller(id);
@@ -128,17 +141,17 @@
     }
 
     /// Handles what a caller has sent, or its end.
-    pub fn caller_came(&mut self, id: ConnectionId, got: ReadOutcome) {
+    pub fn admin_readable(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        match got {
+        match outcome {
             ReadOutcome::NothingYet => {}
-            ReadOutcome::End if caller.is_answered => self.caller_over(id),
+            ReadOutcome::End if caller.is_answered => self.drop_finished_caller(id),
             // Half a request needs no reply.
             ReadOutcome::End => self.drop_caller(id),
             ReadOutcome::Bytes(length) if caller.is_answered => {
                 entry.connection.discarded += length;
-                self.caller_over(id);
+                self.drop_finished_caller(id);
             }
             ReadOutcome::Bytes(length) => {
                 entry.connection.inbox.extend_from_slice(&self.read_buffer[..length]);
@@ -150,7 +163,7 @@
     fn read_request(&mut self, id: ConnectionId) {
         let Some(caller) = self.admin.callers.iter_mut().find(|caller| caller.id == id) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        match caller.incoming.read(&mut entry.connection.inbox) {
+        match caller.reader.read(&mut entry.connection.inbox) {
             Ok(None) => {}
             Ok(Some(request)) => {
                 if let Some(reply) = self.handle_request(id, &request) {
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -7,7 +7,7 @@
 
 use glendeck::domain::{Endpoint, HostId, ListUpdate, Span};
 
-use crate::http::Arriving;
+use crate::http::response::ResponseReader;
 use crate::socket::ConnectionId;
 
 pub use decode::{condition, decode};
@@ -50,7 +50,7 @@
     /// The decisions know that the watch stands.
     is_established: bool,
     /// The part of an answer that has come.
-    arriving: Arriving,
+    arriving: ResponseReader,
 }
 
 impl EndpointListClient {
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -5,7 +5,7 @@
 
 use super::{EndpointListError, EndpointListUpdate, decode};
 use crate::connection::{Connection, ReadOutcome};
-use crate::http::{self, Arriving};
+use crate::http::response::{ResponseReader, encode_get};
 use crate::service::{Report, Service};
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
@@ -76,7 +76,7 @@
     }
 
     fn open_list_connection(&mut self, wait: Span) -> Option<ConnectionId> {
-        self.list.arriving = Arriving::default();
+        self.list.arriving = ResponseReader::default();
         match Connection::connect(self.config.discovery) {
             Ok(connection) => {
                 let id = self.add_connection(connection, SocketRole::EndpointList(self.now))?;
@@ -101,7 +101,7 @@
         let authority = self.config.discovery.to_string();
         if let Some(socket) = self.sockets.get_mut(id.0) {
             socket.role = SocketRole::EndpointList(deadline);
-            http::encode_get(&path, &authority, &mut socket.connection.outbox);
+            encode_get(&path, &authority, &mut socket.connection.outbox);
         }
         self.timers.set(deadline, TimerEvent::EndpointListTimeout(id));
         self.flush_connection(id);
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -95,7 +95,8 @@
 }
 
 impl Service {
-    /// Tries a store that was in use. Once the other process has let go of it, this one joins the fleet anew, with it.
+    /// Tries a store that was in use. Once the other process has let go of it, this one joins the fleet anew,
+    /// with it.
     pub(super) fn retry_store(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(ticks) = &mut membership.store_retry else { return };
@@ -141,7 +142,7 @@
     }
 
     /// Takes the outcomes of the store's writes.
-    pub fn store_says(&mut self) {
+    pub fn store_readable(&mut self) {
         for outcome in self.store_outcomes() {
             match outcome {
                 Outcome::Written(batch) => self.tell_fleet(|fleet, now| fleet.written(now, batch)),
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,11 +1,12 @@
-//! Handover from one process of this node to the next: the listening socket, what is known, and what is still open.
+//! Handover from one process of this node to the next: the listening socket, what is known, and what is still
+//! open.
 //!
-//! The successor connects to a Unix socket in the node's folder. There it receives the listening socket and the
-//! [`state::HandoverState`], tells when it serves, and then receives open connections until its predecessor ends, which it
-//! sees by the end of the connection.
+//! The successor connects to a Unix socket in the node's folder. There it receives the listening socket and
+//! the [`state::HandoverState`], tells when it serves, and then receives open connections until its
+//! predecessor ends, which it sees by the end of the connection.
 //!
-//! [`state`] and [`message`] are what goes over, [`socket`] sends and receives it; [`successor`] is the part of the
-//! older process and [`predecessor`] that of the younger one.
+//! [`state`] and [`message`] are what goes over, [`socket`] sends and receives it; [`successor`] is the part
+//! of the older process and [`predecessor`] that of the younger one.
 
 mod hex;
 mod message;
@@ -44,9 +45,9 @@
     /// The predecessor was told that this process serves.
     took_over: bool,
     /// The service of the endpoint list had its time to answer before this process takes over.
-    pub waited: bool,
+    pub is_list_wait_over: bool,
     /// File descriptors that the predecessor holds.
-    pub other_uses: usize,
+    pub predecessor_descriptors: usize,
     /// Open calls that are still to go to the successor.
     pending_calls: VecDeque<CallId>,
     /// Clients without a call that are still to go to the successor.
@@ -54,7 +55,7 @@
     /// Sockets of the predecessor's whose line has not come whole.
     received_sockets: VecDeque<OwnedFd>,
     /// The node was drained when this process was started.
-    pub drained: bool,
+    pub was_drained: bool,
 }
 
 impl Handover {
@@ -64,16 +65,17 @@
     }
 
     /// Whether the predecessor still runs.
-    pub fn follows(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
     /// Whether the predecessor still takes the clients.
-    pub fn waits(&self) -> bool {
+    pub fn predecessor_serves(&self) -> bool {
         self.predecessor.is_some() && !self.took_over
     }
 
-    /// Takes the next connection off the queues of those that are still to go to the successor; calls go first.
+    /// Takes the next connection off the queues of those that are still to go to the successor; calls go
+    /// first.
     fn remove_first_pending(&mut self) {
         if self.pending_calls.pop_front().is_none() {
             self.pending_idle_clients.pop_front();
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it hands over.
+//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it
+//! hands over.
 
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -44,8 +45,8 @@
         self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::EndpointListOverdue);
     }
 
-    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting while
-    /// nobody else does.
+    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting
+    /// while nobody else does.
     pub fn take_over(&mut self) {
         if self.handover.listener.is_some() {
             return;
@@ -101,7 +102,7 @@
                     node.set_predecessor_connections(Some(host), f64::from(connections));
                 });
             }
-            PredecessorMessage::Descriptors(count) => self.handover.other_uses = count,
+            PredecessorMessage::Descriptors(count) => self.handover.predecessor_descriptors = count,
             PredecessorMessage::Call(call) => {
                 let client = self.handover.received_sockets.pop_front();
                 let host = self.handover.received_sockets.pop_front();
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for them.
+    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for
+    /// them.
     fn skip_predecessor_message(&mut self, cause: &MessageError) {
         for _ in 0..cause.sockets() {
             self.handover.received_sockets.pop_front();
@@ -243,12 +245,13 @@
         }
     }
 
-    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process accepts alone.
+    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process
+    /// accepts alone.
     pub fn predecessor_gone(&mut self, id: ConnectionId) {
         self.close_connection(id);
         info!("the predecessor has gone");
         self.handover.predecessor = None;
-        self.handover.other_uses = 0;
+        self.handover.predecessor_descriptors = 0;
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
         self.watch_for_clients(self.accepts());
         self.serve_if_ready();
--- a/crates/node/src/handover/socket.rs
+++ b/crates/node/src/handover/socket.rs
@@ -19,7 +19,8 @@
 use super::state::{HandoverState, StateError};
 use crate::config::NodeConfig;
 
-/// A turn of the event loop takes milliseconds; a predecessor that does not answer for so long is not waited for.
+/// A turn of the event loop takes milliseconds; a predecessor that does not answer for so long is not waited
+/// for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest header of a state, in bytes, with its LF.
@@ -34,8 +35,9 @@
     pub listener: OwnedFd,
     /// The connection to the predecessor.
     pub line: UnixStream,
-    /// What the predecessor knows. None where it cannot be read: this process then starts from its configuration.
-    pub told: Option<HandoverState>,
+    /// What the predecessor knows. None where it cannot be read: this process then starts from its
+    /// configuration.
+    pub state: Option<HandoverState>,
 }
 
 /// Why the predecessor's state cannot be used.
@@ -79,7 +81,7 @@
             warn!(address = %config.listen, "the predecessor did not send the listening socket of this address");
             return None;
         };
-        let told = match decode_state(answer.state, config) {
+        let state = match decode_state(answer.state, config) {
             Ok(state) => Some(state),
             Err(cause) => {
                 warn!(%cause, "the predecessor's state cannot be read: starting without it");
@@ -87,7 +89,7 @@
             }
         };
         line.set_nonblocking(true).ok()?;
-        Some(Inherited { listener, line, told })
+        Some(Inherited { listener, line, state })
     }
 }
 
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -166,7 +166,7 @@
     pub fn descriptors(&self) -> usize {
         let peer_links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
         let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
-        self.reserved_descriptors() + self.handover.other_uses + self.sockets.len()
+        self.reserved_descriptors() + self.handover.predecessor_descriptors + self.sockets.len()
             - peer_links
             - self.admin.callers.len()
             + future_attempts
@@ -174,7 +174,7 @@
 
     /// Descriptors that the calls in flight need when all have their attempts.
     pub fn committed_descriptors(&self) -> usize {
-        self.reserved_descriptors() + self.handover.other_uses + 2 * self.calls.len()
+        self.reserved_descriptors() + self.handover.predecessor_descriptors + 2 * self.calls.len()
     }
 
     /// What the node needs for itself, for its peers, and for the admin interface however many clients there
@@ -188,7 +188,7 @@
     /// Takes a call out of the tables. One that never opened is counted here, one that did was when it did.
     pub fn forget_call(&mut self, id: CallId) -> Option<InFlightCall> {
         let in_flight = self.calls.remove(id.0)?;
-        self.work_ended(id, in_flight.kept.as_ref());
+        self.replicated_call_ended(id, in_flight.kept.as_ref());
         if !in_flight.stage.is_established() {
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
             self.metrics.count(in_flight.call.class, outcome);
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -125,7 +125,7 @@
             self.remember_list(list);
         }
         if let Some(PredecessorState { snapshot, was_drained }) = known.node {
-            self.handover.drained = was_drained;
+            self.handover.was_drained = was_drained;
             self.tell(|node, _| node.restore(&snapshot));
         }
     }
@@ -137,7 +137,7 @@
     inherited: Option<Inherited>,
 ) -> Result<(EventSources, Option<Predecessor>), ServiceError> {
     let (listener, predecessor) = match inherited {
-        Some(Inherited { listener, line, told }) => (listener, Some(Predecessor { line, state: told })),
+        Some(Inherited { listener, line, state }) => (listener, Some(Predecessor { line, state })),
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
@@ -145,7 +145,7 @@
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
-        .map_err(|(address, source)| ServiceError::Listen { address, source })?;
+        .map_err(|error| ServiceError::Listen { address: error.address, source: error.cause })?;
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -1,4 +1,10 @@
-use super::*;
+use glendeck_fleet::Timestamp;
+use glendeck_fleet::policy::UnitName;
+use glendeck_fleet::state::Incarnation;
+use glendeck_takeover::ReplicaHandover;
+
+use super::handover_file::HandoverFile;
+use super::{Counts, Work};
 
 /// What a process leaves in its folder, as recorded, in hexadecimal digits.
 const LEFT_FILE: &str = include_str!("fixtures/left.hex");
@@ -10,7 +16,8 @@
     UnitName(name.to_owned())
 }
 
-/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples give it.
+/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples
+/// give it.
 fn handover() -> ReplicaHandover {
     let record = |work: u64| {
         let id = ("a", 5_u64, 3_u64);
@@ -29,9 +36,9 @@
 
 #[test]
 fn handover_file_is_written_and_read_as_recorded() {
-    let written = write_left(&(6, handover())).unwrap();
-    assert_eq!(written, recorded_file());
-    assert_eq!(read_left(&recorded_file()), Some((6, handover())));
+    let file = HandoverFile { boot_count: 6, replica: handover() };
+    assert_eq!(file.encode().unwrap(), recorded_file());
+    assert_eq!(HandoverFile::decode(&recorded_file()).unwrap(), file);
 }
 
 #[test]
@@ -40,10 +47,10 @@
     for bit in 0..file.len() * 8 {
         let mut damaged = file.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(read_left(&damaged), None, "bit {bit}");
+        assert!(HandoverFile::decode(&damaged).is_err(), "bit {bit}");
     }
     for length in 0..file.len() {
-        assert_eq!(read_left(&file[..length]), None, "the first {length} bytes");
+        assert!(HandoverFile::decode(&file[..length]).is_err(), "the first {length} bytes");
     }
 }
 
