--- a/src/state/endpoint_watch.rs
+++ b/src/state/endpoint_watch.rs
@@ -50,17 +50,17 @@
     }
 
     /// A list that need not be asked for.
-    pub fn unneeded(now: Time) -> EndpointWatch {
+    pub(crate) fn unneeded(now: Time) -> EndpointWatch {
         EndpointWatch::new(WatchState::Watching, now)
     }
 
     /// A list whose first request is due at `request_at`; the timer is the caller's.
-    pub fn due(request_at: Time) -> EndpointWatch {
+    pub(crate) fn due(request_at: Time) -> EndpointWatch {
         EndpointWatch::new(WatchState::Due, request_at)
     }
 
     /// Sends the first request for the list after the offset, if the list must be asked for.
-    pub fn start(settings: &Settings, now: Time, offset: Span, port: &mut dyn Port) -> EndpointWatch {
+    pub(crate) fn start(settings: &Settings, now: Time, offset: Span, port: &mut dyn Port) -> EndpointWatch {
         if settings.poll_interval.is_none() {
             return EndpointWatch::unneeded(now + offset);
         }
@@ -73,33 +73,33 @@
     }
 
     /// Whether no request was ever sent.
-    pub fn is_new(&self) -> bool {
+    pub(crate) fn is_new(&self) -> bool {
         self.state == WatchState::Due && self.failures == 0
     }
 
     /// Whether the next request is to be sent now.
-    pub fn is_due(&self, now: Time) -> bool {
+    pub(crate) fn is_due(&self, now: Time) -> bool {
         self.state == WatchState::Due && now >= self.request_at
     }
 
     /// Whether a request is pending.
-    pub fn is_requested(&self) -> bool {
+    pub(crate) fn is_requested(&self) -> bool {
         self.state == WatchState::Requested
     }
 
     /// A request was sent.
-    pub fn record_request(&mut self) {
+    pub(crate) fn record_request(&mut self) {
         self.state = WatchState::Requested;
     }
 
     /// The list answered.
-    pub fn record_answer(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         self.state = WatchState::Watching;
         self.failures = 0;
     }
 
     /// The request failed, or the watch was lost.
-    pub fn record_failure(&mut self) {
+    pub(crate) fn record_failure(&mut self) {
         self.state = WatchState::Due;
         self.failures += 1;
     }
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -34,17 +34,17 @@
 
 impl GroupTable {
     /// How many connections the group has.
-    pub fn connections(&self, group: GroupId) -> u32 {
+    pub(crate) fn connections(&self, group: GroupId) -> u32 {
         self.groups.get(&group).map_or(0, |connections| connections.total)
     }
 
     /// The group's connections by host; hosts at the end are missing where there are none.
-    pub fn connections_by_host(&self, group: GroupId) -> &[u32] {
+    pub(crate) fn connections_by_host(&self, group: GroupId) -> &[u32] {
         self.groups.get(&group).map_or(&[], |connections| &connections.by_host)
     }
 
     /// Counts one connection more or less (`change` is 1 or -1).
-    pub fn count(&mut self, group: Option<GroupId>, host: HostIndex, change: i32) {
+    pub(crate) fn count(&mut self, group: Option<GroupId>, host: HostIndex, change: i32) {
         let Some(group) = group else { return };
         let connections = self.groups.entry(group).or_default();
         if connections.by_host.len() <= host {
@@ -58,7 +58,7 @@
     }
 
     /// Updates the similarity by the smoothing factor and ages inherited homes; called once a second.
-    pub fn tick(&mut self, smoothing: f64) {
+    pub(crate) fn tick(&mut self, smoothing: f64) {
         let total = self.total as f64;
         let similarity_now = 2.0 * self.pairs as f64 / (total * (total - 1.0)).max(1.0);
         self.similarity += (similarity_now - self.similarity) * smoothing;
@@ -72,7 +72,7 @@
     }
 
     /// Groups with the hosts of their connections, in no order; inherited homes are left out.
-    pub fn homes(&self) -> impl Iterator<Item = (GroupId, HostIndex)> {
+    pub(crate) fn homes(&self) -> impl Iterator<Item = (GroupId, HostIndex)> {
         let occupied = self.groups.iter().flat_map(|(group, connections)| {
             let by_host = connections.by_host.iter().enumerate();
             by_host.filter(|(_, count)| **count > 0).map(|(host, count)| (*group, host, *count))
@@ -85,7 +85,7 @@
     }
 
     /// Lets the host be a home of the group for some seconds, as it was for a node that was lost.
-    pub fn inherit_home(&mut self, group: GroupId, host: HostIndex, seconds: u32) {
+    pub(crate) fn inherit_home(&mut self, group: GroupId, host: HostIndex, seconds: u32) {
         self.inherited.push(InheritedHome { seconds_left: seconds, group, host });
         self.count(Some(group), host, 1);
     }
@@ -104,13 +104,13 @@
 
 impl HomeOrder {
     /// Forgets the homes of the call before.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.keys.clear();
         self.last_home_key = f64::MAX;
     }
 
     /// Makes the first hosts in order homes.
-    pub fn set_home_count(&mut self, home_count: usize) {
+    pub(crate) fn set_home_count(&mut self, home_count: usize) {
         self.scratch.clear();
         self.scratch.extend_from_slice(&self.keys);
         if home_count < self.scratch.len() {
@@ -121,7 +121,7 @@
 
     /// A host's distance from its group: 0 if it has connections of the group or the call has no group, up to 1 for a
     /// home, above 1 for others.
-    pub fn distance(&self, host: HostIndex) -> f64 {
+    pub(crate) fn distance(&self, host: HostIndex) -> f64 {
         self.keys.get(host).map_or(0.0, |key| (key / self.last_home_key).min(1e9))
     }
 }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -60,7 +60,7 @@
 
 impl Host {
     /// A host that the list has just named, with the smoothed load to start from.
-    pub fn new(endpoint: &Endpoint, smoothed_load: f64, now: Time) -> Host {
+    pub(crate) fn new(endpoint: &Endpoint, smoothed_load: f64, now: Time) -> Host {
         Host {
             id: endpoint.host,
             zone: endpoint.zone,
@@ -88,12 +88,12 @@
     }
 
     /// This node's connections here, with those of the process before it.
-    pub fn connections(&self) -> f64 {
+    pub(crate) fn connections(&self) -> f64 {
         self.calls.len() as f64 + self.predecessor_connections
     }
 
     /// What the host carries for this node now, in connections of the mean load.
-    pub fn load(&self, mean_load: f64) -> f64 {
+    pub(crate) fn load(&self, mean_load: f64) -> f64 {
         if mean_load <= 0.0 {
             return self.connections();
         }
@@ -101,14 +101,14 @@
     }
 
     /// Brings the sum of work up to now. A connection that reported no load counts as the mean.
-    pub fn update_work(&mut self, now: Time, mean_load: f64) {
+    pub(crate) fn update_work(&mut self, now: Time, mean_load: f64) {
         let unreported = self.connections() - f64::from(self.reported_count);
         self.work.update(self.reported_load + unreported * mean_load, now);
     }
 
     /// Records the listed start; returns whether it differs from the one before. With clocks that differ, a host that
     /// has just started would look warm: it started no later than now, nor than the listed start and its uncertainty.
-    pub fn record_start(&mut self, listed: Option<Time>, uncertainty: Span, now: Time) -> bool {
+    pub(crate) fn record_start(&mut self, listed: Option<Time>, uncertainty: Span, now: Time) -> bool {
         if self.listed_start == listed {
             return false;
         }
@@ -119,14 +119,14 @@
     }
 
     /// Share of its capacity that the host has for certain by now: it grows linearly to 1.
-    pub fn slow_start_share(&self, slow_start: &SlowStart, now: Time) -> f64 {
+    pub(crate) fn slow_start_share(&self, slow_start: &SlowStart, now: Time) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let done = now.since(started_at).seconds() / slow_start.duration.seconds().max(1e-9);
         slow_start.initial_share + (1.0 - slow_start.initial_share) * done.min(1.0)
     }
 
     /// What the next process of the node has to know of this host.
-    pub fn snapshot(&self) -> HostSnapshot {
+    pub(crate) fn snapshot(&self) -> HostSnapshot {
         HostSnapshot {
             host: self.id,
             connections: self.connections(),
@@ -142,7 +142,7 @@
     }
 
     /// Adopts what the process before knew. An ejected host stays ejected until it answers probes.
-    pub fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
+    pub(crate) fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
         self.predecessor_connections = snapshot.connections;
         self.work.smoothed_rate = snapshot.smoothed_load;
         self.overload.restore(snapshot.overload_penalty, snapshot.load_limit, snapshot.connections);
--- a/src/state/host/outlier.rs
+++ b/src/state/host/outlier.rs
@@ -51,7 +51,7 @@
 
 impl OutlierState {
     /// A host without any failure.
-    pub fn new(now: Time) -> OutlierState {
+    pub(crate) fn new(now: Time) -> OutlierState {
         OutlierState {
             failure_rate: 0.0,
             ejection: None,
@@ -64,24 +64,24 @@
     }
 
     /// Whether the host gets no attempts until probes succeed.
-    pub fn is_ejected(&self) -> bool {
+    pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
     /// Ejects the host again, as the process before had.
-    pub fn restore_ejection(&mut self, now: Time) {
+    pub(crate) fn restore_ejection(&mut self, now: Time) {
         self.ejection_time = RESTORED_EJECTION;
         self.ejection = Some(Ejection { next_probe: now, probe_successes: 0 });
     }
 
     /// Records a failed attempt or probe; returns whether the host is to be ejected.
-    pub fn record_failure(&mut self) -> bool {
+    pub(crate) fn record_failure(&mut self) -> bool {
         self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate);
         self.failure_rate > EJECTION_THRESHOLD
     }
 
     /// Records an attempt that was set up. The last one of a trial forgets how long the host was ejected.
-    pub fn record_success(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.reject_backoff = Span::ZERO;
         self.failure_rate += FAILURE_SMOOTHING * (0.0 - self.failure_rate);
         if self.trial_calls_left > 0 {
@@ -94,7 +94,7 @@
 
     /// Records a connection that broke, with so many left; returns whether the host is to be ejected: several broke
     /// within a second and are a large part of what it had.
-    pub fn record_broken_connection(&mut self, connections_left: usize) -> bool {
+    pub(crate) fn record_broken_connection(&mut self, connections_left: usize) -> bool {
         self.broken_connections += 1;
         let broken = self.broken_connections as usize;
         let is_large_part = broken * BREAK_DIVISOR >= connections_left + broken;
@@ -102,13 +102,13 @@
     }
 
     /// Forgets the connections that broke; called once a second.
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.broken_connections = 0;
     }
 
     /// Lets the host rest after it rejected an attempt, longer each time. One that rejects at once empties, scores low and
     /// would draw every call.
-    pub fn back_off_after_reject(&mut self, now: Time, jitter: f64) {
+    pub(crate) fn back_off_after_reject(&mut self, now: Time, jitter: f64) {
         if self.rejecting_until <= now {
             self.reject_backoff =
                 self.reject_backoff.times(2.0).clamp(MIN_REJECT_BACKOFF, MAX_REJECT_BACKOFF);
@@ -117,7 +117,7 @@
     }
 
     /// Ejects the host; returns whether it was in service.
-    pub fn eject(&mut self, now: Time, jitter: f64) -> bool {
+    pub(crate) fn eject(&mut self, now: Time, jitter: f64) -> bool {
         if self.is_ejected() {
             return false;
         }
@@ -128,7 +128,7 @@
     }
 
     /// If a probe of the ejected host is due, sets the time of the next one and returns true.
-    pub fn schedule_probe(&mut self, now: Time, jitter: f64) -> bool {
+    pub(crate) fn schedule_probe(&mut self, now: Time, jitter: f64) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         if ejection.next_probe > now {
             return false;
@@ -138,7 +138,7 @@
     }
 
     /// Records a probe of the ejected host; returns whether it is to be readmitted.
-    pub fn record_probe(&mut self, is_success: bool, now: Time) -> bool {
+    pub(crate) fn record_probe(&mut self, is_success: bool, now: Time) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         if !is_success {
             ejection.probe_successes = 0;
@@ -151,7 +151,7 @@
     }
 
     /// Ends the ejection; the host is on trial.
-    pub fn readmit(&mut self) {
+    pub(crate) fn readmit(&mut self) {
         self.ejection = None;
         self.trial_calls_left = TRIAL_CALLS;
         self.failure_rate = TRIAL_FAILURE_RATE;
--- a/src/state/host/overload.rs
+++ b/src/state/host/overload.rs
@@ -51,7 +51,7 @@
 
 impl OverloadState {
     /// Records a message time in seconds; returns by how many seconds a second it has grown since the report before.
-    pub fn record_message_time(&mut self, took: f64, now: Time) -> f64 {
+    pub(crate) fn record_message_time(&mut self, took: f64, now: Time) -> f64 {
         let age = now.since(self.reported_at).seconds();
         let previous = if age < MAX_REPORT_AGE { self.message_time } else { 0.0 };
         self.message_time = took;
@@ -61,20 +61,20 @@
 
     /// Records by how many seconds a setup took too long; returns the mean of the last two, as a single one may have
     /// met a pause.
-    pub fn record_setup_excess(&mut self, seconds: f64) -> Span {
+    pub(crate) fn record_setup_excess(&mut self, seconds: f64) -> Span {
         let previous = self.last_setup_excess;
         self.last_setup_excess = seconds.max(0.0);
         Span::from_seconds(0.5 * (previous + self.last_setup_excess))
     }
 
     /// Raises the penalty to the message time over its target, if it is lower.
-    pub fn raise_penalty(&mut self, message_time_share: f64) {
+    pub(crate) fn raise_penalty(&mut self, message_time_share: f64) {
         self.penalty = self.penalty.max(message_time_share.min(MAX_PENALTY));
     }
 
     /// Lowers the limit and closes the host for a moment. While a host empties, its load of the moment says nothing of
     /// what it can do, and a limit taken from that would keep it idle: so a second cuts it by three tenths at most.
-    pub fn cut_limit(&mut self, load: f64, now: Time) {
+    pub(crate) fn cut_limit(&mut self, load: f64, now: Time) {
         self.load_limit = self.load_limit.min(load.max(MIN_LIMIT_SHARE * self.load_at_last_tick));
         self.is_overloaded = true;
         self.closed_until = now + CLOSED_AFTER_REPORT;
@@ -82,7 +82,7 @@
 
     /// Lets the limit grow if the host was not overloaded since the last tick; called once a second with the host's load
     /// and the load that others of its size have.
-    pub fn grow_limit(&mut self, load: f64, mean_load: f64) {
+    pub(crate) fn grow_limit(&mut self, load: f64, mean_load: f64) {
         let was_overloaded = std::mem::take(&mut self.is_overloaded);
         if !was_overloaded && self.load_limit.is_finite() {
             self.load_limit += LIMIT_GROWTH * self.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
@@ -91,7 +91,7 @@
     }
 
     /// Adopts what the process before knew.
-    pub fn restore(&mut self, penalty: f64, load_limit: Option<f64>, load: f64) {
+    pub(crate) fn restore(&mut self, penalty: f64, load_limit: Option<f64>, load: f64) {
         self.penalty = penalty;
         self.load_limit = load_limit.unwrap_or(f64::INFINITY);
         self.load_at_last_tick = load;
--- a/src/state/host/probe_times.rs
+++ b/src/state/host/probe_times.rs
@@ -16,17 +16,17 @@
 
 impl ProbeTimes {
     /// Times that start from a usual one.
-    pub fn from_usual(usual: f64) -> ProbeTimes {
+    pub(crate) fn from_usual(usual: f64) -> ProbeTimes {
         ProbeTimes { usual, last: usual }
     }
 
     /// What probes usually take, in seconds.
-    pub fn usual(&self) -> f64 {
+    pub(crate) fn usual(&self) -> f64 {
         self.usual
     }
 
     /// Records what a probe took; returns the mean of the last two as a multiple of the usual.
-    pub fn record(&mut self, took: Span) -> f64 {
+    pub(crate) fn record(&mut self, took: Span) -> f64 {
         let took = took.seconds().max(1e-6);
         let is_first = self.usual <= 0.0;
         let usual = if is_first { took } else { self.usual };
--- a/src/state/host/slow_start_budget.rs
+++ b/src/state/host/slow_start_budget.rs
@@ -11,13 +11,13 @@
 
 impl SlowStartBudget {
     /// A budget that starts at so many attempts.
-    pub fn new(attempts: f64, now: Time) -> SlowStartBudget {
+    pub(crate) fn new(attempts: f64, now: Time) -> SlowStartBudget {
         SlowStartBudget { attempts, updated_at: now }
     }
 
     /// Adds `rate` attempts a second. What is not used within the window lapses, or all nodes would have a call ready for
     /// the same moment.
-    pub fn fill(&mut self, rate: f64, window: Span, now: Time) {
+    pub(crate) fn fill(&mut self, rate: f64, window: Span, now: Time) {
         self.attempts += rate * now.since(self.updated_at).seconds();
         if self.attempts > 1.0 + rate * window.seconds() {
             self.attempts -= 1.0;
--- a/src/state/host/work.rs
+++ b/src/state/host/work.rs
@@ -13,18 +13,18 @@
 
 impl WorkMeter {
     /// A meter that starts at a smoothed rate.
-    pub fn new(smoothed_rate: f64, now: Time) -> WorkMeter {
+    pub(crate) fn new(smoothed_rate: f64, now: Time) -> WorkMeter {
         WorkMeter { total: 0.0, updated_at: now, total_at_last_tick: 0.0, smoothed_rate }
     }
 
     /// Brings the sum up to now, at the rate since the last update.
-    pub fn update(&mut self, rate: f64, now: Time) {
+    pub(crate) fn update(&mut self, rate: f64, now: Time) {
         self.total += rate * now.since(self.updated_at).seconds();
         self.updated_at = now;
     }
 
     /// Updates the smoothed rate by the work since the last tick, `elapsed` seconds ago.
-    pub fn tick(&mut self, smoothing: f64, elapsed: f64) {
+    pub(crate) fn tick(&mut self, smoothing: f64, elapsed: f64) {
         let work_since = self.total - self.total_at_last_tick;
         self.smoothed_rate = self.smoothed_rate * (1.0 - smoothing) + work_since * smoothing / elapsed;
         self.total_at_last_tick = self.total;
--- a/src/state/host_size.rs
+++ b/src/state/host_size.rs
@@ -17,7 +17,7 @@
 impl SizeEstimator {
     /// Reads a listed weight. Where weights fall with load they are not taken for sizes: loaded hosts would look small
     /// and cold ones large, and budgets, homes and all sums would wander with each list, alike at all nodes.
-    pub fn read_weight(&mut self, host: &mut Host, weight: Weight, weights: Weights) {
+    pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weights: Weights) {
         if weights == Weights::Sizes {
             host.size = Size(weight.0);
             host.reported_connections = None;
@@ -33,7 +33,7 @@
     }
 
     /// Adopts the known sizes of the hosts, from before a change of settings or from another process.
-    pub fn learn_sizes(&mut self, hosts: &[Host]) {
+    pub(crate) fn learn_sizes(&mut self, hosts: &[Host]) {
         for host in hosts {
             let Some(kind) = host.kind else { continue };
             let shown = self.size_by_kind.entry(kind).or_default();
@@ -43,7 +43,7 @@
 
     /// Updates what one reported connection a core stands for: this node's own connections times the nodes, over all
     /// that is reported.
-    pub fn tick(&mut self, hosts: &[Host], node_count: f64, connections: f64, smoothing: f64) {
+    pub(crate) fn tick(&mut self, hosts: &[Host], node_count: f64, connections: f64, smoothing: f64) {
         let listed = hosts.iter().filter(|host| host.condition != Condition::Gone);
         let reported: f64 = listed.filter_map(|host| host.reported_connections).sum();
         if reported > 0.0 {
@@ -53,7 +53,7 @@
     }
 
     /// Connections of the other nodes on a host, where the list tells.
-    pub fn remote_connections(&self, host: &Host) -> Option<f64> {
+    pub(crate) fn remote_connections(&self, host: &Host) -> Option<f64> {
         let reported = host.reported_connections?;
         Some((reported * self.connections_per_report - host.connections()).max(0.0))
     }
--- a/src/state/load_cache.rs
+++ b/src/state/load_cache.rs
@@ -35,32 +35,32 @@
 
 impl LoadCache {
     /// Load of the client's last connection at this node.
-    pub fn local_load(&self, subject: SubjectId) -> Option<f64> {
+    pub(crate) fn local_load(&self, subject: SubjectId) -> Option<f64> {
         self.local.load(subject)
     }
 
     /// Load of the client's last connection at a node that was lost.
-    pub fn lost_node_load(&self, subject: SubjectId) -> Option<f64> {
+    pub(crate) fn lost_node_load(&self, subject: SubjectId) -> Option<f64> {
         self.from_lost_nodes.load(subject)
     }
 
     /// Records a connection of this node that ended.
-    pub fn insert_local(&mut self, subject: SubjectId, load: f64) {
+    pub(crate) fn insert_local(&mut self, subject: SubjectId, load: f64) {
         self.local.insert(subject, load);
     }
 
     /// Records what a lost node told.
-    pub fn insert_from_lost_node(&mut self, subject: SubjectId, load: f64) {
+    pub(crate) fn insert_from_lost_node(&mut self, subject: SubjectId, load: f64) {
         self.from_lost_nodes.insert(subject, load);
     }
 
     /// All loads of this node's connections.
-    pub fn local_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
+    pub(crate) fn local_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
         self.local.0.iter().flatten().map(|(subject, load)| (*subject, *load))
     }
 
     /// Starts a new generation and drops the older one.
-    pub fn rotate(&mut self) {
+    pub(crate) fn rotate(&mut self) {
         self.local.rotate();
         self.from_lost_nodes.rotate();
     }
--- a/src/state/load_stats.rs
+++ b/src/state/load_stats.rs
@@ -17,12 +17,12 @@
 
 impl LoadStats {
     /// Nothing is reported yet.
-    pub fn new(classes: usize) -> LoadStats {
+    pub(crate) fn new(classes: usize) -> LoadStats {
         LoadStats { reported_load: 0.0, reported_count: 0, mean: 0.0, mean_by_class: vec![0.0; classes] }
     }
 
     /// Adds (`sign` 1) or removes (-1) one connection's load at a host, if it was reported.
-    pub fn count(&mut self, host: &mut Host, load: Option<f64>, sign: f64) {
+    pub(crate) fn count(&mut self, host: &mut Host, load: Option<f64>, sign: f64) {
         if let Some(load) = load {
             host.reported_load += sign * load;
             host.reported_count = host.reported_count.wrapping_add_signed(sign as i32);
@@ -35,7 +35,7 @@
     }
 
     /// Updates a class's mean by a connection that ended. The first one starts from the mean of all.
-    pub fn record_class(&mut self, class_index: usize, load: f64) {
+    pub(crate) fn record_class(&mut self, class_index: usize, load: f64) {
         let mean = &mut self.mean_by_class[class_index];
         if *mean <= 0.0 {
             *mean = self.mean;
--- a/src/state/retry_counter.rs
+++ b/src/state/retry_counter.rs
@@ -25,7 +25,7 @@
 impl RetryCounter {
     /// A counter for a budget that has changed. What was sent under the old budget counts against the new one for a
     /// span, and is not known slot by slot; so no retry is sent meanwhile.
-    pub fn after_budget_change(settings: &Settings, now: Time) -> RetryCounter {
+    pub(crate) fn after_budget_change(settings: &Settings, now: Time) -> RetryCounter {
         let blocked_until = settings.retry_budget.map_or(Time(0), |budget| now + budget.window);
         RetryCounter { blocked_until, ..RetryCounter::default() }
     }
@@ -44,14 +44,14 @@
     }
 
     /// Counts a call that arrived.
-    pub fn record_call(&mut self, settings: &Settings, now: Time) {
+    pub(crate) fn record_call(&mut self, settings: &Settings, now: Time) {
         if let Some(budget) = &settings.retry_budget {
             self.current_count(budget, now).calls += 1;
         }
     }
 
     /// Counts an attempt that is about to be sent, if the call has had others before.
-    pub fn record_attempt(&mut self, settings: &Settings, now: Time, attempts_before: u16) {
+    pub(crate) fn record_attempt(&mut self, settings: &Settings, now: Time, attempts_before: u16) {
         if let Some(budget) = settings.retry_budget.as_ref().filter(|_| attempts_before > 0) {
             self.current_count(budget, now).retries += 1;
         }
@@ -59,7 +59,7 @@
 
     /// Whether another retry keeps within the budget in every span that includes now: retries count over all slots that
     /// such a span touches, calls only over those that lie in it completely.
-    pub fn allows_retry(&self, settings: &Settings, now: Time) -> bool {
+    pub(crate) fn allows_retry(&self, settings: &Settings, now: Time) -> bool {
         let Some(budget) = &settings.retry_budget else { return true };
         let slot = RetryCounter::slot(budget, now);
         let last_slots = |slots: u64| {
--- a/src/state/traffic_stats.rs
+++ b/src/state/traffic_stats.rs
@@ -38,7 +38,7 @@
 impl TrafficStats {
     /// Updates what is usual: connections, and the ready hosts' nominal and present size. `first` is one over the
     /// seconds so far. The usual size follows growth at once and loss slowly.
-    pub fn update_usual(&mut self, connections: f64, nominal_size: f64, ready_size: f64, first: f64) {
+    pub(crate) fn update_usual(&mut self, connections: f64, nominal_size: f64, ready_size: f64, first: f64) {
         let per_size = connections.max(1.0) / nominal_size.max(1e-6);
         let smoothing = first.max(CONNECTIONS_PER_SIZE_SMOOTHING);
         self.connections_per_size += (per_size - self.connections_per_size) * smoothing;
@@ -50,7 +50,7 @@
 
     /// Updates the rate of new clients. Clients that return together would swell it, and slow-start budgets with it:
     /// those that say they return are not counted, and a rise is cut to three times a second, which catches the rest.
-    pub fn update_rate(&mut self, elapsed: f64, smoothing: f64) {
+    pub(crate) fn update_rate(&mut self, elapsed: f64, smoothing: f64) {
         let max_rate = 3.0 * self.new_client_rate + 1.0;
         let seen = (f64::from(self.new_clients) / elapsed).min(max_rate);
         self.new_clients = 0;
@@ -58,14 +58,14 @@
     }
 
     /// Fades recent attempts and breaks to the given share.
-    pub fn fade(&mut self, remaining_share: f64) {
+    pub(crate) fn fade(&mut self, remaining_share: f64) {
         self.recent_attempts *= remaining_share;
         self.recent_breaks *= remaining_share;
     }
 
     /// Clients that other nodes sent away and that are here now. Where clients come and go between nodes all nodes have
     /// displaced clients, and none has more than usual; a node that knows no usual count knows nothing of them.
-    pub fn displaced_beyond_usual(&self, in_flight: usize) -> f64 {
+    pub(crate) fn displaced_beyond_usual(&self, in_flight: usize) -> f64 {
         let beyond_usual = in_flight as f64 - self.usual_connections;
         if self.usual_connections > 0.0 { self.displaced_calls.min(beyond_usual).max(0.0) } else { 0.0 }
     }
@@ -74,7 +74,7 @@
     /// third for each that was ahead of it there, as a burst makes its own queue. One slow setup raises the usual by a
     /// fifth at most, so that a host going under does not hide itself; where all are slow, as with a slow session
     /// store, a handful are enough to make that usual.
-    pub fn record_setup(&mut self, took: Span, setups_ahead: u32) -> f64 {
+    pub(crate) fn record_setup(&mut self, took: Span, setups_ahead: u32) -> f64 {
         let took = took.seconds();
         let usual = if self.setup_time > 0.0 { self.setup_time } else { took };
         self.setup_time = usual + SETUP_TIME_SMOOTHING * (took.min(2.0 * usual) - usual);
@@ -82,7 +82,7 @@
     }
 
     /// What the next process of the node has to know of traffic and loads; hosts and clients' loads are left empty.
-    pub fn snapshot(&self, loads: &LoadStats) -> NodeSnapshot {
+    pub(crate) fn snapshot(&self, loads: &LoadStats) -> NodeSnapshot {
         NodeSnapshot {
             mean_load: loads.mean,
             mean_load_by_class: loads.mean_by_class.clone(),
@@ -97,7 +97,7 @@
     }
 
     /// Adopts what the process before knew. Classes that it did not know begin anew.
-    pub fn restore(&mut self, loads: &mut LoadStats, snapshot: &NodeSnapshot) {
+    pub(crate) fn restore(&mut self, loads: &mut LoadStats, snapshot: &NodeSnapshot) {
         loads.mean = snapshot.mean_load;
         for (mean, before) in loads.mean_by_class.iter_mut().zip(&snapshot.mean_load_by_class) {
             *mean = *before;
--- a/src/state/waiting_queue.rs
+++ b/src/state/waiting_queue.rs
@@ -15,12 +15,12 @@
 
 impl WaitingQueue {
     /// All calls that wait.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.calls.len() + self.retrying.len()
     }
 
     /// Makes the calls that wait the retry round; the two buffers change places.
-    pub fn start_round(&mut self, round: Vec<CallIndex>) {
+    pub(crate) fn start_round(&mut self, round: Vec<CallIndex>) {
         self.calls = std::mem::replace(&mut self.retrying, round);
     }
 }
--- a/tests/decision_digests/day.rs
+++ b/tests/decision_digests/day.rs
@@ -65,7 +65,7 @@
 }
 
 /// The world around one node.
-pub struct Day {
+pub(crate) struct Day {
     rng: WyRand,
     node: Node,
     recorder: Recorder,
@@ -80,7 +80,7 @@
 
 impl Day {
     /// Draws the settings and hosts of a day.
-    pub fn new(seed: u64) -> Day {
+    pub(crate) fn new(seed: u64) -> Day {
         let mut rng = WyRand::new_seed(seed);
         let nodes = [1, 1, 3, 8, 20, 60, 120, 300][(seed % 8) as usize];
         let mut settings = draw_settings(&mut rng, nodes);
@@ -121,7 +121,7 @@
     }
 
     /// Plays the day; returns the digest, and how often each kind of action was seen.
-    pub fn play(mut self) -> (u64, [u64; 10]) {
+    pub(crate) fn play(mut self) -> (u64, [u64; 10]) {
         let endpoints = self.endpoints();
         self.publish_list(ListUpdate::Cached, &endpoints);
         self.schedule_after(Span::ZERO, Event::NewCall);
--- a/tests/decision_digests/recorder.rs
+++ b/tests/decision_digests/recorder.rs
@@ -6,30 +6,30 @@
 use glendeck::port::Port;
 
 /// FNV-1a, 64 bits.
-pub struct Digest(u64);
+pub(crate) struct Digest(u64);
 
 impl Digest {
-    pub fn new() -> Digest {
+    pub(crate) fn new() -> Digest {
         Digest(0xcbf2_9ce4_8422_2325)
     }
 
-    pub fn value(&self) -> u64 {
+    pub(crate) fn value(&self) -> u64 {
         self.0
     }
 
-    pub fn add(&mut self, number: u64) {
+    pub(crate) fn add(&mut self, number: u64) {
         for byte in number.to_le_bytes() {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 
-    pub fn add_float(&mut self, number: f64) {
+    pub(crate) fn add_float(&mut self, number: f64) {
         self.add(number.to_bits());
     }
 }
 
 /// What the recording port saw, and what follows from it.
-pub struct Recorder {
+pub(crate) struct Recorder {
     pub digest: Digest,
     pub now: Time,
     /// How often each kind of action was seen.
@@ -44,7 +44,7 @@
 }
 
 impl Recorder {
-    pub fn new(now: Time) -> Recorder {
+    pub(crate) fn new(now: Time) -> Recorder {
         Recorder {
             digest: Digest::new(),
             now,
--- a/tests/lost_node/shape.rs
+++ b/tests/lost_node/shape.rs
@@ -2,7 +2,7 @@
 
 /// Some clients ask for more than the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeavyClients {
+pub(crate) struct HeavyClients {
     pub percent: u64,
     /// What they ask for, in multiples of the others.
     pub factor: f64,
@@ -10,7 +10,7 @@
 
 /// Clients' groups.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Groups {
+pub(crate) struct Groups {
     /// 0 for none.
     pub count: u64,
     /// What a host pays for each group, in connections of the mean load.
@@ -19,7 +19,7 @@
 
 /// Nodes, hosts and clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shape {
+pub(crate) struct Shape {
     pub nodes: usize,
     pub hosts: usize,
     /// Connections of the mean load that fill a host.
--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/world.rs
@@ -86,13 +86,13 @@
 
 /// Client seconds after the loss.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Service {
+pub(crate) struct Service {
     pub wanted: f64,
     pub served: f64,
 }
 
 /// One day of a fleet.
-pub struct World {
+pub(crate) struct World {
     shape: Shape,
     now: Time,
     events: EventQueue<Event>,
@@ -115,7 +115,7 @@
 
 impl World {
     /// A fleet with as many clients as fill the hosts as the shape says, without what groups cost beside them.
-    pub fn new(seed: u64, shape: Shape, told_after_ms: Option<u64>) -> World {
+    pub(crate) fn new(seed: u64, shape: Shape, told_after_ms: Option<u64>) -> World {
         let mut world = World {
             shape,
             now: START,
@@ -149,7 +149,7 @@
     }
 
     /// Plays the day.
-    pub fn run(mut self) -> Service {
+    pub(crate) fn run(mut self) -> Service {
         let end = self.now + DAY;
         while let Some((time, event)) = self.events.pop_until(end) {
             self.now = time;
--- a/tests/scenarios/notation.rs
+++ b/tests/scenarios/notation.rs
@@ -12,17 +12,17 @@
 use crate::support::usual_settings;
 
 /// Parses a word.
-pub fn parse<T: FromStr<Err: Debug>>(text: &str) -> T {
+pub(crate) fn parse<T: FromStr<Err: Debug>>(text: &str) -> T {
     text.parse().unwrap_or_else(|error| panic!("{text:?}: {error:?}"))
 }
 
 /// A span given in seconds.
-pub fn seconds(text: &str) -> Span {
+pub(crate) fn seconds(text: &str) -> Span {
     Span::from_seconds(parse(text))
 }
 
 /// How an attempt or a probe ends.
-pub fn outcome(text: &str) -> AttemptOutcome {
+pub(crate) fn outcome(text: &str) -> AttemptOutcome {
     match text {
         "completed" => AttemptOutcome::Completed,
         "error" => AttemptOutcome::Error,
@@ -36,7 +36,7 @@
 }
 
 /// The state in which the list names a host.
-pub fn condition(text: &str) -> Condition {
+pub(crate) fn condition(text: &str) -> Condition {
     match text {
         "ready" => Condition::Ready,
         "draining" => Condition::Draining,
@@ -46,37 +46,37 @@
 }
 
 /// Words of the form `name=value`; a bare word is a flag.
-pub struct Options<'a>(HashMap<&'a str, &'a str>);
+pub(crate) struct Options<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Options<'a> {
     /// Takes up all words of a statement.
-    pub fn new(words: &[&'a str]) -> Options<'a> {
+    pub(crate) fn new(words: &[&'a str]) -> Options<'a> {
         Options(words.iter().map(|word| word.split_once('=').unwrap_or((word, ""))).collect())
     }
 
     /// Whether the name was given, with or without a value.
-    pub fn has(&self, name: &str) -> bool {
+    pub(crate) fn has(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 
     /// The value as text.
-    pub fn text(&self, name: &str) -> Option<&'a str> {
+    pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
         self.0.get(name).copied()
     }
 
     /// The value, parsed.
-    pub fn value<T: FromStr<Err: Debug>>(&self, name: &str) -> Option<T> {
+    pub(crate) fn value<T: FromStr<Err: Debug>>(&self, name: &str) -> Option<T> {
         self.text(name).map(parse)
     }
 
     /// The value as a span, given in seconds.
-    pub fn span(&self, name: &str) -> Option<Span> {
+    pub(crate) fn span(&self, name: &str) -> Option<Span> {
         self.text(name).map(seconds)
     }
 }
 
 /// The settings of a node: what differs from the usual ones.
-pub fn settings(words: &[&str]) -> Settings {
+pub(crate) fn settings(words: &[&str]) -> Settings {
     let options = Options::new(words);
     let usual = usual_settings(options.value("node").unwrap_or(0), options.value("nodes").unwrap_or(1));
     let other_revenue = options.value("other-revenue").unwrap_or(1.0);
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/player.rs
@@ -42,7 +42,7 @@
 }
 
 /// A node with the world around it.
-pub struct Player {
+pub(crate) struct Player {
     node: Node,
     now: Time,
     port: RecordingPort,
@@ -61,7 +61,7 @@
 
 impl Player {
     /// Starts a node at time 0.
-    pub fn start(settings: Settings) -> Player {
+    pub(crate) fn start(settings: Settings) -> Player {
         let mut port = RecordingPort::default();
         let node = Node::start(settings, SEED, Time(0), &mut port);
         let mut player = Player {
@@ -82,7 +82,7 @@
     }
 
     /// Plays one statement.
-    pub fn play(&mut self, words: &[&str]) {
+    pub(crate) fn play(&mut self, words: &[&str]) {
         match words {
             ["at", time] => self.run_to(Time(0) + seconds(time)),
             [name @ ("ready" | "draining" | "gone"), hosts, ..] => self.change_list(name, hosts, words),
--- a/tests/support/event_queue.rs
+++ b/tests/support/event_queue.rs
@@ -5,7 +5,7 @@
 use glendeck::domain::Time;
 
 /// A queue from which events come by time, and at one time in the order in which they were added.
-pub struct EventQueue<E> {
+pub(crate) struct EventQueue<E> {
     events: BTreeMap<(Time, u64), E>,
     added: u64,
 }
@@ -18,13 +18,13 @@
 
 impl<E> EventQueue<E> {
     /// Adds an event that is due at `time`.
-    pub fn push(&mut self, time: Time, event: E) {
+    pub(crate) fn push(&mut self, time: Time, event: E) {
         self.added += 1;
         self.events.insert((time, self.added), event);
     }
 
     /// Takes out the next event that is due at `until` or before.
-    pub fn pop_until(&mut self, until: Time) -> Option<(Time, E)> {
+    pub(crate) fn pop_until(&mut self, until: Time) -> Option<(Time, E)> {
         let (&(time, _), _) = self.events.first_key_value()?;
         if time > until {
             return None;
@@ -33,7 +33,7 @@
     }
 
     /// Drops all events.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.events.clear();
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 mod event_queue;
 
-pub use event_queue::EventQueue;
+pub(crate) use event_queue::EventQueue;
 
 use glendeck::domain::{
     AttemptNumber, CallId, Cell, Condition, Endpoint, HostId, Idempotency, Settings, SlowStart, Span, Time,
@@ -15,7 +15,7 @@
 
 /// What a node asked for on its port.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Action {
+pub(crate) enum Action {
     SendAttempt { call: CallId, host: HostId, timeout: Span },
     Reject { call: CallId, retry_after: Option<Span> },
     Fail { call: CallId },
@@ -29,7 +29,7 @@
 
 /// A port that records all actions in order.
 #[derive(Default)]
-pub struct RecordingPort {
+pub(crate) struct RecordingPort {
     pub actions: Vec<Action>,
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// Settings of one node of several, with one idempotent class and an endpoint list that comes by itself.
-pub fn usual_settings(node_index: usize, node_count: usize) -> Settings {
+pub(crate) fn usual_settings(node_index: usize, node_count: usize) -> Settings {
     Settings {
         classes: vec![TrafficClass {
             idempotency: Idempotency::Idempotent,
@@ -97,7 +97,7 @@
 }
 
 /// A ready host of weight 1 that started long ago.
-pub fn usual_endpoint(host: HostId) -> Endpoint {
+pub(crate) fn usual_endpoint(host: HostId) -> Endpoint {
     Endpoint {
         host,
         zone: Zone(0),
