--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -47,11 +47,11 @@
     assert_eq!((here.zones.as_slice(), here.settings.zone.0), (["x", "w"].map(String::from).as_slice(), 0));
     assert_eq!(here.names.traffic, ["t", "s"]);
     assert_eq!(here.settings.classes.iter().map(|of| of.revenue).collect::<Vec<_>>(), [1.0, 2.0]);
-    assert_eq!(here.settings.weights, glendeck::domain::Weights::Live);
+    assert_eq!(here.settings.weight_kind, glendeck::domain::WeightKind::Live);
     // The way back is the same step; what is in hand may still go by the names that are gone.
     let renewed = here.renew(start(GOOD));
     assert!(renewed.settings && !renewed.zones);
-    assert_eq!(here.settings.weights, glendeck::domain::Weights::Sizes);
+    assert_eq!(here.settings.weight_kind, glendeck::domain::WeightKind::Sizes);
     assert_eq!((here.names.traffic.len(), here.settings.classes.len(), here.zones.len()), (2, 2, 2));
     assert!(!here.renew(start(GOOD)).settings);
 }
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -59,7 +59,7 @@
         if change.settings {
             let now = self.now;
             let settings = self.config.settings.clone();
-            info!(weights = ?settings.weights, nodes = settings.node_count, "settings changed");
+            info!(weights = ?settings.weight_kind, nodes = settings.node_count, "settings changed");
             self.metrics.name(&self.config.names.traffic);
             self.tell(|node, port| node.update_settings(now, settings, port));
         }
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,7 +1,7 @@
 //! From settings by path to typed settings, a function for each section.
 
 use glendeck::domain::{
-    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, Weights, Zone,
+    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, WeightKind, Zone,
 };
 
 use crate::error::SettingsError;
@@ -29,11 +29,11 @@
         zone: Zone(map.whole_number("myZone")?),
         node_index: map.whole_number("me")?,
         node_count: map.whole_number("fleetSize")?,
-        tick: map.span("tickMs")?,
+        clock_granularity: map.span("tickMs")?,
         max_attempts: map.whole_number("caps.maxLegs")?,
         can_probe: map.flag("caps.mayProbe")?,
         can_cancel: map.flag("caps.mayCancel")?,
-        weights: weights(map)?,
+        weight_kind: weights(map)?,
         reports_message_times: map.flag_or("extra.tellsDelay", false)?,
         retry_after,
         poll_interval,
@@ -41,7 +41,7 @@
         retry_budget: retry_budget(map)?,
         start_uncertainty: map.span_or("safety.startDriftMs", Span::ZERO)?,
         cross_zone_price: map.number_or("prices.crossZone", 0.0)?,
-        whole_weight: whole_weight(map)?,
+        overall_service_weight: overall_service_weight(map)?,
     })
 }
 
@@ -103,10 +103,10 @@
 }
 
 /// Deployments from before there was the key send sizes.
-fn weights(map: &SettingsMap) -> Result<Weights, SettingsError> {
+fn weights(map: &SettingsMap) -> Result<WeightKind, SettingsError> {
     match map.optional_text(WEIGHT_KIND) {
-        None | Some("none" | "nominal" | "rough") => Ok(Weights::Sizes),
-        Some("live") => Ok(Weights::Live),
+        None | Some("none" | "nominal" | "rough") => Ok(WeightKind::Sizes),
+        Some("live") => Ok(WeightKind::Live),
         Some(other) => Err(SettingsError::invalid(WEIGHT_KIND, other, "none, nominal, rough or live")),
     }
 }
@@ -115,7 +115,7 @@
     Ok(SlowStart {
         initial_share: map.number("safety.coldFrom")?,
         duration: map.span("safety.warmAfterMs")?,
-        multiple: map.number("safety.fallMultiple")?,
+        capacity_multiple: map.number("safety.fallMultiple")?,
         window: map.span("safety.fallMs")?,
     })
 }
@@ -134,7 +134,7 @@
 }
 
 /// The weight of the whole service in the score, against the worst class; all of it if neither has a weight.
-fn whole_weight(map: &SettingsMap) -> Result<f64, SettingsError> {
+fn overall_service_weight(map: &SettingsMap) -> Result<f64, SettingsError> {
     let whole = map.number_or("scoreParts.whole", 1.0)?;
     let worst_class = map.number_or("scoreParts.worstClass", 0.0)?;
     if whole + worst_class > 0.0 { Ok(whole / (whole + worst_class)) } else { Ok(1.0) }
--- a/src/domain.rs
+++ b/src/domain.rs
@@ -8,7 +8,7 @@
 mod time;
 
 pub use call::{AttemptOutcome, AttemptReport, Call, Idempotency, Scope};
-pub use endpoint::{Condition, Endpoint, ListUpdate, Size, Weight, Weights};
+pub use endpoint::{Condition, Endpoint, ListUpdate, Size, Weight, WeightKind};
 pub use ids::{
     AttemptNumber, CallId, Cell, ClassId, GroupId, HostId, Kind, SubjectId, TenantId, TimerToken, Zone,
 };
--- a/src/domain/endpoint.rs
+++ b/src/domain/endpoint.rs
@@ -32,7 +32,7 @@
     Gone,
 }
 
-/// What the list gives to compare hosts by; [`Weights`] says what it stands for.
+/// What the list gives to compare hosts by; [`WeightKind`] says what it stands for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Weight(pub f64);
 
@@ -42,7 +42,7 @@
 
 /// What the list's weights stand for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightKind {
     /// Sizes, or nothing to tell hosts apart by.
     #[default]
     Sizes,
--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -1,6 +1,6 @@
 //! What a deployment allows, asks and pays, as far as the decisions read it.
 
-use super::{Idempotency, Span, Weights, Zone};
+use super::{Idempotency, Span, WeightKind, Zone};
 
 /// Node count up to which all nodes together are bound strictly in what they send a cold host.
 const SHARED_LIMIT_FULL_NODES: f64 = 30.0;
@@ -26,7 +26,7 @@
     /// Nodes of the fleet.
     pub node_count: u32,
     /// Granularity of the instance's clock.
-    pub tick: Span,
+    pub clock_granularity: Span,
     /// Attempts that a call may have.
     pub max_attempts: u16,
     /// Hosts answer probes.
@@ -34,7 +34,7 @@
     /// Outstanding attempts can be cancelled.
     pub can_cancel: bool,
     /// What the list's weights stand for.
-    pub weights: Weights,
+    pub weight_kind: WeightKind,
     /// Hosts report what a message takes while it takes long.
     pub reports_message_times: bool,
     /// The longest wait that clients follow after a reject, where they are told one.
@@ -50,7 +50,7 @@
     /// Cost of an attempt that crosses zones, as a fraction of first attempts.
     pub cross_zone_price: f64,
     /// What the whole run weighs in how service is judged, beside the worst-served traffic class.
-    pub whole_weight: f64,
+    pub overall_service_weight: f64,
 }
 
 /// What the deployment says of a traffic class.
@@ -74,7 +74,7 @@
     /// When it has all of it.
     pub duration: Span,
     /// Multiple of what fills a host once that it may be sent while it warms up.
-    pub multiple: f64,
+    pub capacity_multiple: f64,
     /// Window in which attempts to a cold host are counted.
     pub window: Span,
 }
@@ -132,9 +132,9 @@
 
     /// These settings with the classes' revenue raised to the power of the whole run's weight. Choosing by revenue alone
     /// starves the class that earns least: the more the worst-served class weighs, the less revenue counts.
-    pub(crate) fn with_tempered_revenue(mut self) -> Settings {
+    pub(crate) fn with_effective_revenue(mut self) -> Settings {
         for class in &mut self.classes {
-            class.revenue = class.revenue.powf(self.whole_weight);
+            class.revenue = class.revenue.powf(self.overall_service_weight);
         }
         self
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -104,7 +104,7 @@
 impl Node {
     /// Starts a node that knows no host yet. All randomness follows from the seed.
     pub fn start(settings: Settings, seed: u64, now: Time, port: &mut dyn Port) -> Node {
-        let settings = settings.with_tempered_revenue();
+        let settings = settings.with_effective_revenue();
         let mut rng = WyRand::new_seed(seed);
         // Nodes that start together tick at different moments, so that their moves do not coincide.
         let tick_offset = TICK_PERIOD.times(f64::from(rng.generate::<f32>()));
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -7,8 +7,8 @@
 use crate::port::Port;
 use crate::state::call::{CallIndex, InFlightCall, PossibleRun};
 use crate::state::host::Host;
-use crate::state::shared_draw::shared_draw;
 use crate::state::timers::QUEUE_TIMER;
+use crate::state::unit_hash::unit_hash;
 
 /// Longest wait until waiting calls are tried again: short against any setup target, and long enough to cost little CPU.
 const MAX_RETRY_DELAY: Span = Span::ms(40);
@@ -71,7 +71,7 @@
             return false;
         }
         let connections = self.hosts.iter().map(Host::connections).sum::<f64>();
-        shared_draw(call.id.0, self.settings.node_index.into()) < self.settings.large_fleet_factor()
+        unit_hash(call.id.0, self.settings.node_index.into()) < self.settings.large_fleet_factor()
             && connections + self.random() > remaining_part * self.traffic.usual_connections.max(1.0)
     }
 
@@ -79,7 +79,7 @@
     pub(super) fn enqueue(&mut self, call_index: CallIndex, port: &mut dyn Port) {
         self.calls[call_index].is_waiting = true;
         self.waiting.calls.push(call_index);
-        let tick = self.settings.tick;
+        let tick = self.settings.clock_granularity;
         let delay = self.time_left(call_index).clamp(tick, MAX_RETRY_DELAY.max(tick));
         let wakeup_at = self.now + delay;
         if self.waiting.wakeup_at.is_none_or(|earliest| wakeup_at < earliest) {
--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -6,7 +6,7 @@
 use crate::domain::{Condition, GroupId};
 use crate::state::call::CallIndex;
 use crate::state::host::{Host, HostIndex};
-use crate::state::shared_draw::shared_draw;
+use crate::state::unit_hash::unit_hash;
 
 /// A node's few connections say little of one group: this many that are like its groups in the mean count beside them.
 const PRIOR_CONNECTIONS: f64 = 20.0;
@@ -85,6 +85,6 @@
         if host.condition != Condition::Ready || host.outlier.is_ejected() || weight <= 0.0 {
             return f64::INFINITY;
         }
-        (1.0 - shared_draw(group.0, host.id.0)) / weight
+        (1.0 - unit_hash(group.0, host.id.0)) / weight
     }
 }
--- a/src/node/eligibility.rs
+++ b/src/node/eligibility.rs
@@ -50,7 +50,7 @@
 
     /// Time for another attempt.
     pub(super) fn time_left(&self, call_index: CallIndex) -> Span {
-        let reserve = self.settings.tick.times(RESERVED_TICKS);
+        let reserve = self.settings.clock_granularity.times(RESERVED_TICKS);
         (self.calls[call_index].call.deadline - reserve).since(self.now)
     }
 }
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -6,8 +6,8 @@
 use crate::state::endpoint_watch::{FIRST_FETCH_BACKOFF, request_spread};
 use crate::state::host::{Host, HostIndex, SlowStartBudget};
 use crate::state::remote_connections::remote_load_per_size;
-use crate::state::shared_draw::shared_draw;
 use crate::state::timers::WATCH_TIMER;
+use crate::state::unit_hash::unit_hash;
 
 /// Longest wait after failed requests, as a part of the poll interval.
 const MAX_RETRY_SHARE: f64 = 0.3;
@@ -64,7 +64,7 @@
         host.zone = endpoint.zone;
         host.cell = endpoint.cell;
         host.kind = endpoint.kind;
-        self.sizes.read_weight(host, endpoint.weight, self.settings.weights);
+        self.sizes.read_weight(host, endpoint.weight, self.settings.weight_kind);
     }
 
     /// The smoothed load of a new host starts at the others' mean. Unless it is cold, other nodes are assumed to have as
@@ -79,7 +79,7 @@
         let mut host = Host::new(endpoint, mean_load, self.now);
         host.slow_start_budget = SlowStartBudget::new(self.first_budget(endpoint.host), self.now);
         host.record_start(endpoint.started_at, self.settings.start_uncertainty, self.now);
-        self.sizes.read_weight(&mut host, endpoint.weight, self.settings.weights);
+        self.sizes.read_weight(&mut host, endpoint.weight, self.settings.weight_kind);
         let remote_load = host.size.0 * remote_load_per_size(&self.hosts);
         self.hosts.push(host);
         if endpoint.condition == Condition::Ready && self.slow_start_share(host_index) >= 1.0 {
@@ -96,7 +96,7 @@
         let mut turn = self.settings.node_index as usize;
         for host in self.hosts_by_id.iter().copied() {
             let host = &mut self.hosts[host];
-            let draw = shared_draw(host.id.0, self.settings.node_index.into());
+            let draw = unit_hash(host.id.0, self.settings.node_index.into());
             host.score_offset = ((turn % step) as f64 + draw) / step as f64;
             turn += usize::from(host.condition == Condition::Ready);
         }
--- a/src/node/reconfiguration.rs
+++ b/src/node/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! A change of settings while the node runs.
 
 use super::Node;
-use crate::domain::{Settings, Time, Weights};
+use crate::domain::{Settings, Time, WeightKind};
 use crate::port::Port;
 use crate::state::endpoint_watch::{EndpointWatch, request_spread};
 use crate::state::host_size::SizeEstimator;
@@ -15,20 +15,20 @@
     pub fn update_settings(&mut self, now: Time, settings: Settings, port: &mut dyn Port) {
         self.now = now;
         let had_to_poll = self.settings.poll_interval.is_some();
-        let had_live_weights = self.settings.weights == Weights::Live;
+        let had_live_weights = self.settings.weight_kind == WeightKind::Live;
         if settings.retry_budget != self.settings.retry_budget {
             self.retries = RetryCounter::after_budget_change(&settings, now);
         }
-        self.settings = settings.with_tempered_revenue();
+        self.settings = settings.with_effective_revenue();
         self.loads.mean_by_class.resize(self.settings.classes.len(), 0.0);
         self.change_weights(had_live_weights);
         self.change_polling(had_to_poll, port);
     }
 
     fn change_weights(&mut self, had_live_weights: bool) {
-        match self.settings.weights {
+        match self.settings.weight_kind {
             // What was reported of loads would go on to count beside sizes, and never age.
-            Weights::Sizes => {
+            WeightKind::Sizes => {
                 self.sizes = SizeEstimator::default();
                 for host in &mut self.hosts {
                     host.reported_connections = None;
@@ -36,8 +36,8 @@
                 }
             }
             // Without the sizes of before, the first weights that fell with load would be taken for them.
-            Weights::Live if !had_live_weights => self.sizes.learn_sizes(&self.hosts),
-            Weights::Live => {}
+            WeightKind::Live if !had_live_weights => self.sizes.learn_sizes(&self.hosts),
+            WeightKind::Live => {}
         }
     }
 
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -1,7 +1,7 @@
 //! The score of a host: this node's connections and their smoothed load, compared by the host's size.
 
 use super::Node;
-use crate::domain::Weights;
+use crate::domain::WeightKind;
 use crate::state::call::CallIndex;
 use crate::state::host::HostIndex;
 
@@ -72,7 +72,7 @@
     /// Load for each unit of size that hosts of other zones are assumed to carry unseen: each zone as much as this one,
     /// on its own hosts. Without this, a node beside few hosts would crowd these while others idle.
     pub(super) fn remote_zone_load(&self) -> f64 {
-        let is_reported = self.settings.weights == Weights::Live;
+        let is_reported = self.settings.weight_kind == WeightKind::Live;
         let mut local_score = 0.0;
         let mut local_size = 0.0;
         let mut remote_size = 0.0;
--- a/src/node/slow_start.rs
+++ b/src/node/slow_start.rs
@@ -5,8 +5,8 @@
 use crate::domain::{Condition, HostId};
 use crate::state::call::CallIndex;
 use crate::state::host::{Host, HostIndex};
-use crate::state::remote_connections::{Intake, redistribute};
-use crate::state::shared_draw::shared_draw;
+use crate::state::remote_connections::{FillLimit, redistribute};
+use crate::state::unit_hash::unit_hash;
 
 /// Lowest smoothing of the rate of new clients.
 const RATE_SMOOTHING: f64 = 0.06;
@@ -48,7 +48,7 @@
     /// Below 1 there is a rush.
     fn calm(&self) -> f64 {
         let usual = 0.5
-            * self.settings.slow_start.multiple
+            * self.settings.slow_start.capacity_multiple
             * self.fleet.open_share
             * self.traffic.new_client_rate
             * RECENT_ATTEMPTS_SECONDS;
@@ -65,7 +65,7 @@
         let fill_rate = self.traffic.connections_per_size * self.fill_per_second(host);
         let rate = fill_rate.min(NEW_CLIENT_SHARE * self.max_rate(host));
         let part = rate / self.traffic.new_client_rate.max(MIN_NEW_CLIENT_RATE);
-        let draw = shared_draw(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.node_index));
+        let draw = unit_hash(call.id.0, self.hosts[host].id.0 ^ u64::from(self.settings.node_index));
         let is_new = !call.is_returning && !call.is_mid_flow;
         is_new && draw < self.settings.large_fleet_factor().powi(2) * part
     }
@@ -109,7 +109,7 @@
         let arrivals = size_share * self.traffic.new_client_rate;
         // Twice what a host carries came to half of the limit; nodes of a large fleet use up theirs: once.
         let by_arrivals =
-            self.settings.slow_start.multiple * slow_start_share * arrivals * (2.0 - large_fleet);
+            self.settings.slow_start.capacity_multiple * slow_start_share * arrivals * (2.0 - large_fleet);
         // In a rush all nodes use their budgets in full, and together would push the host over.
         let usual = large_fleet * self.traffic.connections_per_size * self.fill_per_second(host);
         let by_usual = self.calm().max(MIN_CALM_SHARE * slow_start_share) * usual;
@@ -121,7 +121,7 @@
     /// by their arrivals, and hosts that came back would stay empty.
     fn fill_per_second(&self, host: HostIndex) -> f64 {
         let slow_start = &self.settings.slow_start;
-        FILL_MULTIPLE * slow_start.multiple * self.hosts[host].size.0
+        FILL_MULTIPLE * slow_start.capacity_multiple * self.hosts[host].size.0
             / slow_start.duration.seconds().max(1e-9)
     }
 
@@ -142,13 +142,13 @@
     pub(super) fn update_remote_load(&mut self, elapsed: f64) {
         let in_flight = (self.calls.len() as f64).max(1.0);
         let ending_share = (self.traffic.new_client_rate / in_flight * elapsed).min(1.0);
-        let intakes: Vec<Intake> = (0..self.hosts.len())
-            .map(|host| Intake {
+        let fill_limits: Vec<FillLimit> = (0..self.hosts.len())
+            .map(|host| FillLimit {
                 slow_start_share: self.slow_start_share(host),
                 max_fill: self.fill_per_second(host) * elapsed,
             })
             .collect();
-        redistribute(&mut self.hosts, ending_share, &intakes);
+        redistribute(&mut self.hosts, ending_share, &fill_limits);
     }
 
     /// The budget that a host begins with. With the same one at all nodes, they would send a cold host their first call
@@ -156,6 +156,6 @@
     pub(super) fn first_budget(&self, host: HostId) -> f64 {
         let node_part = f64::from(self.settings.node_index) / f64::from(self.settings.node_count.max(1));
         let shared = self.settings.large_fleet_factor().max(self.settings.shared_limit_factor());
-        shared * (node_part + shared_draw(host.0, 0)).fract() - (1.0 - shared) * node_part
+        shared * (node_part + unit_hash(host.0, 0)).fract() - (1.0 - shared) * node_part
     }
 }
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -1,7 +1,7 @@
 //! What a node leaves to its next process, and to other nodes should it be lost.
 
 use super::Node;
-use crate::domain::{GroupId, HostId, NodeSnapshot, Size, SubjectId, Time, WarmState, Weights};
+use crate::domain::{GroupId, HostId, NodeSnapshot, Size, SubjectId, Time, WarmState, WeightKind};
 use crate::state::host::Host;
 
 /// Ticks that a restored node counts as having run: past the time in which means are those of all seconds so far.
@@ -30,7 +30,7 @@
                 self.hosts[*host].restore(host_snapshot, self.now);
             }
         }
-        if self.settings.weights == Weights::Live {
+        if self.settings.weight_kind == WeightKind::Live {
             self.restore_sizes(snapshot);
         }
         for (subject, load) in &snapshot.loads {
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,7 +12,7 @@
 pub(crate) mod load_stats;
 pub(crate) mod remote_connections;
 pub(crate) mod retry_counter;
-pub(crate) mod shared_draw;
 pub(crate) mod timers;
 pub(crate) mod traffic_stats;
+pub(crate) mod unit_hash;
 pub(crate) mod waiting_queue;
--- a/src/state/host_size.rs
+++ b/src/state/host_size.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::domain::{Condition, Kind, Size, Weight, Weights};
+use crate::domain::{Condition, Kind, Size, Weight, WeightKind};
 use crate::state::host::Host;
 
 /// Learns nominal sizes where listed weights fall with load.
@@ -17,8 +17,8 @@
 impl SizeEstimator {
     /// Reads a listed weight. Where weights fall with load they are not taken for sizes: loaded hosts would look small
     /// and cold ones large, and budgets, homes and all sums would wander with each list, alike at all nodes.
-    pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weights: Weights) {
-        if weights == Weights::Sizes {
+    pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weights: WeightKind) {
+        if weights == WeightKind::Sizes {
             host.size = Size(weight.0);
             host.reported_connections = None;
             return;
--- a/src/state/remote_connections.rs
+++ b/src/state/remote_connections.rs
@@ -4,7 +4,7 @@
 use crate::state::host::Host;
 
 /// A host's part in the redistribution of a time step.
-pub(crate) struct Intake {
+pub(crate) struct FillLimit {
     /// Share of its capacity that the host has by now.
     pub slow_start_share: f64,
     /// The most that a cold host is filled by in this step.
@@ -21,29 +21,29 @@
 
 /// Advances the estimate by one step: the share `ending_share` of each host's connections ends and returns elsewhere,
 /// all of them where the host is not ready. Cold hosts are filled first; the rest goes to warm hosts by size.
-pub(crate) fn redistribute(hosts: &mut [Host], ending_share: f64, intakes: &[Intake]) {
+pub(crate) fn redistribute(hosts: &mut [Host], ending_share: f64, fill_limits: &[FillLimit]) {
     let mut unplaced = 0.0;
     let mut warm_size = 0.0;
     let mut ready_size = 0.0;
-    for (host, intake) in hosts.iter_mut().zip(intakes) {
+    for (host, limit) in hosts.iter_mut().zip(fill_limits) {
         let is_ready = host.condition == Condition::Ready;
         let ending = host.remote_load * if is_ready { ending_share } else { 1.0 };
         host.remote_load -= ending;
         unplaced += ending;
         ready_size += if is_ready { host.size.0 } else { 0.0 };
-        warm_size += if is_ready && intake.slow_start_share >= 1.0 { host.size.0 } else { 0.0 };
+        warm_size += if is_ready && limit.slow_start_share >= 1.0 { host.size.0 } else { 0.0 };
     }
-    let is_ready = |(host, _): &(&mut Host, &Intake)| host.condition == Condition::Ready;
-    for (host, intake) in hosts.iter_mut().zip(intakes).filter(is_ready) {
-        if intake.slow_start_share < 1.0 {
-            let room = host.size.0 * intake.slow_start_share - host.remote_load;
-            let fill = intake.max_fill.min(room).clamp(0.0, unplaced);
+    let is_ready = |(host, _): &(&mut Host, &FillLimit)| host.condition == Condition::Ready;
+    for (host, limit) in hosts.iter_mut().zip(fill_limits).filter(is_ready) {
+        if limit.slow_start_share < 1.0 {
+            let room = host.size.0 * limit.slow_start_share - host.remote_load;
+            let fill = limit.max_fill.min(room).clamp(0.0, unplaced);
             host.remote_load += fill;
             unplaced -= fill;
         }
     }
-    for (host, intake) in hosts.iter_mut().zip(intakes).filter(is_ready) {
-        if warm_size <= 0.0 || intake.slow_start_share >= 1.0 {
+    for (host, limit) in hosts.iter_mut().zip(fill_limits).filter(is_ready) {
+        if warm_size <= 0.0 || limit.slow_start_share >= 1.0 {
             let target_size = if warm_size > 0.0 { warm_size } else { ready_size };
             host.remote_load += unplaced * host.size.0 / target_size;
         }
--- a/src/state/shared_draw.rs
+++ b/src/state/unit_hash.rs
@@ -6,7 +6,7 @@
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A number above 0 and below 1 that depends on the two keys alone and so is the same at every node.
-pub(crate) fn shared_draw(first_key: u64, second_key: u64) -> f64 {
+pub(crate) fn unit_hash(first_key: u64, second_key: u64) -> f64 {
     let seed = first_key ^ second_key.wrapping_mul(GOLDEN_RATIO);
     let mixed = WyRand::new_seed(seed).generate::<u64>();
     ((mixed >> 11) as f64 + 0.5) / (1u64 << 53) as f64
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -12,7 +12,7 @@
     SlowStart, Span, SubjectId, TenantId, Time, TimerToken,
 };
 use nanorand::{Rng, WyRand};
-use support::{Action, EventQueue, RecordingPort, usual_endpoint, usual_settings};
+use support::{Action, EventQueue, RecordingPort, default_endpoint, default_settings};
 use test_case::test_case;
 
 const START: Time = Time(100_000_000_000_000);
@@ -23,8 +23,12 @@
 const MEAN_LIFE_MS: u64 = 40_000;
 /// How full the hosts are as a rule.
 const USUAL_FILL: f64 = 0.5;
-const SLOW_START: SlowStart =
-    SlowStart { initial_share: 0.2, duration: Span::ms(20_000), multiple: 3.0, window: Span::ms(1_000) };
+const SLOW_START: SlowStart = SlowStart {
+    initial_share: 0.2,
+    duration: Span::ms(20_000),
+    capacity_multiple: 3.0,
+    window: Span::ms(1_000),
+};
 /// Days that are drawn for each number of nodes.
 const DAYS: u64 = 100;
 const DAY_MS: u64 = 90_000;
@@ -95,7 +99,7 @@
     Settings {
         reports_message_times: false,
         slow_start: SLOW_START,
-        ..usual_settings(node_index, node_count)
+        ..default_settings(node_index, node_count)
     }
 }
 
@@ -141,7 +145,7 @@
             .map(|index| Endpoint {
                 condition: if self.hosts[index].is_listed { Condition::Ready } else { Condition::Gone },
                 started_at: self.hosts[index].started_at,
-                ..usual_endpoint(HostId(index as u64 + 1))
+                ..default_endpoint(HostId(index as u64 + 1))
             })
             .collect();
         for node in 0..self.nodes.len() {
@@ -324,7 +328,7 @@
     let from = SLOW_START.initial_share;
     let share = from + (1.0 - from) * age.seconds() / SLOW_START.duration.seconds();
     let window = SLOW_START.window.seconds();
-    let allowed = SLOW_START.multiple * window * share * FULL / SLOW_START.duration.seconds();
+    let allowed = SLOW_START.capacity_multiple * window * share * FULL / SLOW_START.duration.seconds();
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
--- a/tests/decision_digests/day/settings.rs
+++ b/tests/decision_digests/day/settings.rs
@@ -1,7 +1,7 @@
 //! Settings as drawn for a day.
 
 use glendeck::domain::{
-    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, Weights, Zone,
+    Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, WeightKind, Zone,
 };
 use nanorand::{Rng, WyRand};
 
@@ -29,18 +29,18 @@
         zone: Zone(u16::from(chance(0.5))),
         node_index: 0,
         node_count: nodes,
-        tick: Span::ms(5),
+        clock_granularity: Span::ms(5),
         max_attempts: if chance(0.5) { 3 } else { 5 },
         can_probe: chance(0.8),
         can_cancel: chance(0.7),
-        weights: if chance(0.3) { Weights::Live } else { Weights::Sizes },
+        weight_kind: if chance(0.3) { WeightKind::Live } else { WeightKind::Sizes },
         reports_message_times: chance(0.5),
         retry_after: chance(0.5).then_some(Span::ms(2_000)),
         poll_interval: chance(0.7).then_some(Span::ms(4_000)),
         slow_start: SlowStart {
             initial_share: 0.2,
             duration: Span::ms(15_000),
-            multiple: 4.0,
+            capacity_multiple: 4.0,
             window: Span::ms(1_000),
         },
         retry_budget: chance(0.6).then_some(RetryBudget {
@@ -50,6 +50,6 @@
         }),
         start_uncertainty: if chance(0.3) { Span::ms(500) } else { Span::ZERO },
         cross_zone_price: if chance(0.5) { 0.05 } else { 0.0 },
-        whole_weight: if chance(0.5) { 0.5 } else { 1.0 },
+        overall_service_weight: if chance(0.5) { 0.5 } else { 1.0 },
     }
 }
--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/world.rs
@@ -13,7 +13,7 @@
 use nanorand::{Rng, WyRand};
 
 use crate::shape::Shape;
-use crate::support::{Action, EventQueue, RecordingPort, usual_endpoint, usual_settings};
+use crate::support::{Action, EventQueue, RecordingPort, default_endpoint, default_settings};
 
 const START: Time = Time(100_000_000_000_000);
 const DAY: Span = Span::ms(65_000);
@@ -110,7 +110,7 @@
 }
 
 fn settings(shape: &Shape, node: NodeIndex) -> Settings {
-    Settings { cross_zone_price: 0.03, ..usual_settings(node, shape.nodes) }
+    Settings { cross_zone_price: 0.03, ..default_settings(node, shape.nodes) }
 }
 
 impl World {
@@ -160,7 +160,7 @@
 
     fn publish_list(&mut self) {
         let endpoints: Vec<Endpoint> =
-            (0..self.shape.hosts).map(|index| usual_endpoint(HostId(index as u64 + 1))).collect();
+            (0..self.shape.hosts).map(|index| default_endpoint(HostId(index as u64 + 1))).collect();
         for node in 0..self.nodes.len() {
             self.notify(node, |node, now, port| {
                 node.endpoints_changed(now, ListUpdate::Complete, &endpoints, port);
--- a/tests/scenarios/notation.rs
+++ b/tests/scenarios/notation.rs
@@ -6,10 +6,10 @@
 
 use glendeck::domain::{
     AttemptOutcome, Condition, Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass,
-    Weights,
+    WeightKind,
 };
 
-use crate::support::usual_settings;
+use crate::support::default_settings;
 
 /// Parses a word.
 pub(crate) fn parse<T: FromStr<Err: Debug>>(text: &str) -> T {
@@ -78,7 +78,7 @@
 /// The settings of a node: what differs from the usual ones.
 pub(crate) fn settings(words: &[&str]) -> Settings {
     let options = Options::new(words);
-    let usual = usual_settings(options.value("node").unwrap_or(0), options.value("nodes").unwrap_or(1));
+    let usual = default_settings(options.value("node").unwrap_or(0), options.value("nodes").unwrap_or(1));
     let other_revenue = options.value("other-revenue").unwrap_or(1.0);
     let class = |revenue| TrafficClass {
         idempotency: idempotency(&options),
@@ -89,15 +89,15 @@
     Settings {
         classes: vec![class(1.0), class(other_revenue)],
         max_attempts: options.value("attempts").unwrap_or(4),
-        weights: if options.has("live-weights") { Weights::Live } else { Weights::Sizes },
+        weight_kind: if options.has("live-weights") { WeightKind::Live } else { WeightKind::Sizes },
         reports_message_times: !options.has("no-message-times"),
         retry_after: options.span("retry-after"),
         poll_interval: options.span("poll-interval"),
-        slow_start: SlowStart { multiple: 4.0, ..usual.slow_start },
+        slow_start: SlowStart { capacity_multiple: 4.0, ..usual.slow_start },
         retry_budget: options.text("retry-budget").map(retry_budget),
         start_uncertainty: options.span("start-uncertainty").unwrap_or(Span::ZERO),
         cross_zone_price: options.value("cross-zone-price").unwrap_or(0.0),
-        whole_weight: options.value("whole-weight").unwrap_or(1.0),
+        overall_service_weight: options.value("whole-weight").unwrap_or(1.0),
         ..usual
     }
 }
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/player.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::notation::{Options, condition, outcome, parse, seconds, settings};
-use crate::support::{Action, EventQueue, RecordingPort, usual_endpoint};
+use crate::support::{Action, EventQueue, RecordingPort, default_endpoint};
 
 /// The seed of all nodes.
 const SEED: u64 = 7;
@@ -287,7 +287,7 @@
                 weight: Weight(options.value("weight").unwrap_or(1.0)),
                 kind: options.value("kind").map(Kind),
                 started_at: options.span("started").map(|start| Time(0) + start),
-                ..usual_endpoint(self.host(host))
+                ..default_endpoint(self.host(host))
             })
             .collect();
         self.node.endpoints_changed(self.now, ListUpdate::Delta, &endpoints, &mut self.port);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use glendeck::domain::{
     AttemptNumber, CallId, Cell, Condition, Endpoint, HostId, Idempotency, Settings, SlowStart, Span, Time,
-    TimerToken, TrafficClass, Weight, Weights, Zone,
+    TimerToken, TrafficClass, Weight, WeightKind, Zone,
 };
 use glendeck::port::Port;
 
@@ -64,7 +64,7 @@
 }
 
 /// Settings of one node of several, with one idempotent class and an endpoint list that comes by itself.
-pub(crate) fn usual_settings(node_index: usize, node_count: usize) -> Settings {
+pub(crate) fn default_settings(node_index: usize, node_count: usize) -> Settings {
     Settings {
         classes: vec![TrafficClass {
             idempotency: Idempotency::Idempotent,
@@ -75,29 +75,29 @@
         zone: Zone(0),
         node_index: node_index as u32,
         node_count: node_count as u32,
-        tick: Span::ms(5),
+        clock_granularity: Span::ms(5),
         max_attempts: 4,
         can_probe: true,
         can_cancel: true,
-        weights: Weights::Sizes,
+        weight_kind: WeightKind::Sizes,
         reports_message_times: true,
         retry_after: None,
         poll_interval: None,
         slow_start: SlowStart {
             initial_share: 0.2,
             duration: Span::ms(20_000),
-            multiple: 3.0,
+            capacity_multiple: 3.0,
             window: Span::ms(1_000),
         },
         retry_budget: None,
         start_uncertainty: Span::ZERO,
         cross_zone_price: 0.0,
-        whole_weight: 0.5,
+        overall_service_weight: 0.5,
     }
 }
 
 /// A ready host of weight 1 that started long ago.
-pub(crate) fn usual_endpoint(host: HostId) -> Endpoint {
+pub(crate) fn default_endpoint(host: HostId) -> Endpoint {
     Endpoint {
         host,
         zone: Zone(0),
