--- a/crates/harness/src/bin/harness-node.rs
+++ b/crates/harness/src/bin/harness-node.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use glendeck_store::{Faults, Instead};
+use glendeck_store::{DiskFaults, FaultAction};
 
 #[derive(Debug)]
 struct ScriptEntry {
@@ -20,31 +20,31 @@
     }
 }
 
-impl Faults for ScriptEntry {
-    fn writes(&self, _: u64, _: &[u8]) -> io::Result<Instead> {
+impl DiskFaults for ScriptEntry {
+    fn on_write(&self, _: u64, _: &[u8]) -> io::Result<FaultAction> {
         match self.now().as_str() {
             "full" => Err(io::Error::from_raw_os_error(28)),
-            _ => Ok(Instead::Nothing),
+            _ => Ok(FaultAction::Proceed),
         }
     }
 
-    fn syncs(&self) -> io::Result<Instead> {
+    fn on_sync(&self) -> io::Result<FaultAction> {
         match self.now().as_str() {
             "fails" => Err(io::Error::from_raw_os_error(5)),
             "stalls" => {
                 while self.now() == "stalls" {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                Ok(Instead::Nothing)
+                Ok(FaultAction::Proceed)
             }
-            _ => Ok(Instead::Nothing),
+            _ => Ok(FaultAction::Proceed),
         }
     }
 }
 
 fn main() -> ExitCode {
     let told = std::env::var_os("HARNESS_DISK").map(PathBuf::from);
-    let faults = told.map(|file| Arc::new(ScriptEntry { file }) as Arc<dyn Faults>);
+    let faults = told.map(|file| Arc::new(ScriptEntry { file }) as Arc<dyn DiskFaults>);
     let ahead_s = std::env::var("HARNESS_CLOCK").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     glendeck_node::run(glendeck_node::Machine { disk: faults, ahead_s })
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::{Incarnation, RequestId};
 use glendeck_fleet::{Action, Fleet, NodeStatus, Timestamp};
-use glendeck_store::{Faults, StoreError};
+use glendeck_store::{DiskFaults, StoreError};
 use nanorand::{Rng, WyRand};
 use rustix::io::Errno;
 use tracing::{error, info};
@@ -96,7 +96,7 @@
     store: Option<StoreThread>,
     /// The store was in use at the start: ticks until it is tried again.
     store_retry: Option<u32>,
-    faults: Option<Arc<dyn Faults>>,
+    faults: Option<Arc<dyn DiskFaults>>,
     pending: PendingRequests,
     hosts: FleetHosts,
     most_links: usize,
@@ -174,7 +174,7 @@
     ///
     /// Fails if the node cannot listen for its peers, or its store cannot be opened. A store that another
     /// process still uses is no error: the node waits for it, and does not vote meanwhile.
-    pub(crate) fn join_fleet(&mut self, faults: Option<Arc<dyn Faults>>) -> Result<(), FleetError> {
+    pub(crate) fn join_fleet(&mut self, faults: Option<Arc<dyn DiskFaults>>) -> Result<(), FleetError> {
         let Some(settings) = self.config.fleet.clone() else { return Ok(()) };
         let name = UnitName(self.config.name.clone());
         let incarnation = draw_incarnation(self.config.seed);
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -9,7 +9,7 @@
 use glendeck_fleet::policy::UnitName;
 use glendeck_fleet::state::Incarnation;
 use glendeck_fleet::{Fleet, FleetConfig, LONGEST_LOG, StoreWrite};
-use glendeck_store::{Faults, Outcome, Store, StoreError};
+use glendeck_store::{DiskFaults, Outcome, Store, StoreError};
 use tracing::{error, info, warn};
 
 use super::FleetError;
@@ -47,7 +47,7 @@
     settings: &FleetSettings,
     name: &UnitName,
     incarnation: Incarnation,
-    faults: Option<Arc<dyn Faults>>,
+    faults: Option<Arc<dyn DiskFaults>>,
 ) -> Result<OpenedFleet, FleetError> {
     match open_store(settings, name, incarnation, faults) {
         Err(FleetError::Store(cause @ StoreError::InUse(_))) => {
@@ -76,7 +76,7 @@
     settings: &FleetSettings,
     name: &UnitName,
     incarnation: Incarnation,
-    faults: Option<Arc<dyn Faults>>,
+    faults: Option<Arc<dyn DiskFaults>>,
 ) -> Result<OpenedFleet, FleetError> {
     let mut config = config_without_store(settings, name, incarnation);
     let Some(folder) = &settings.folder else {
@@ -146,7 +146,7 @@
         for outcome in self.store_outcomes() {
             match outcome {
                 Outcome::Written(batch) => self.tell_fleet(|fleet, now| fleet.written(now, batch)),
-                Outcome::Dead(cause) => {
+                Outcome::Failed(cause) => {
                     if let Some(membership) = &mut self.membership {
                         membership.store = None;
                     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Machine {
     /// Faults of the store's disk.
-    pub disk: Option<Arc<dyn glendeck_store::Faults>>,
+    pub disk: Option<Arc<dyn glendeck_store::DiskFaults>>,
     /// How far its wall clock is ahead, in seconds.
     pub ahead_s: i64,
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -10,46 +10,46 @@
 
 /// What is done in place of a write or sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Instead {
+pub enum FaultAction {
     /// Nothing else: the operation is carried out.
-    Nothing,
+    Proceed,
     /// The operation is left out, and reported as done.
-    Pretend,
+    SkipSilently,
 }
 
 /// A disk's misbehaviour, asked for before each operation. Only tests have one.
-pub trait Faults: Debug + Send + Sync {
+pub trait DiskFaults: Debug + Send + Sync {
     /// Before a write of `data` at `offset`, and with no data before the file's length is set to `offset`.
     ///
     /// # Errors
     /// What the disk is to answer.
-    fn writes(&self, offset: u64, data: &[u8]) -> io::Result<Instead>;
+    fn on_write(&self, offset: u64, data: &[u8]) -> io::Result<FaultAction>;
 
     /// Before a sync.
     ///
     /// # Errors
     /// What the disk is to answer.
-    fn syncs(&self) -> io::Result<Instead>;
+    fn on_sync(&self) -> io::Result<FaultAction>;
 }
 
 /// A file that may misbehave.
 #[derive(Debug)]
 pub(crate) struct Disk {
     file: FileBackend,
-    faults: Option<Arc<dyn Faults>>,
+    faults: Option<Arc<dyn DiskFaults>>,
 }
 
 impl Disk {
-    pub(crate) fn new(file: File, faults: Option<Arc<dyn Faults>>) -> Result<Disk, redb::Error> {
+    pub(crate) fn new(file: File, faults: Option<Arc<dyn DiskFaults>>) -> Result<Disk, redb::Error> {
         Ok(Disk { file: FileBackend::new(file)?, faults })
     }
 
-    fn before_write(&self, offset: u64, data: &[u8]) -> io::Result<Instead> {
-        self.faults.as_ref().map_or(Ok(Instead::Nothing), |faults| faults.writes(offset, data))
+    fn before_write(&self, offset: u64, data: &[u8]) -> io::Result<FaultAction> {
+        self.faults.as_ref().map_or(Ok(FaultAction::Proceed), |faults| faults.on_write(offset, data))
     }
 
-    fn before_sync(&self) -> io::Result<Instead> {
-        self.faults.as_ref().map_or(Ok(Instead::Nothing), |faults| faults.syncs())
+    fn before_sync(&self) -> io::Result<FaultAction> {
+        self.faults.as_ref().map_or(Ok(FaultAction::Proceed), |faults| faults.on_sync())
     }
 }
 
@@ -64,22 +64,22 @@
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         match self.before_write(length, &[])? {
-            Instead::Pretend => Ok(()),
-            Instead::Nothing => self.file.set_len(length),
+            FaultAction::SkipSilently => Ok(()),
+            FaultAction::Proceed => self.file.set_len(length),
         }
     }
 
     fn sync_data(&self) -> io::Result<()> {
         match self.before_sync()? {
-            Instead::Pretend => Ok(()),
-            Instead::Nothing => self.file.sync_data(),
+            FaultAction::SkipSilently => Ok(()),
+            FaultAction::Proceed => self.file.sync_data(),
         }
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         match self.before_write(offset, data)? {
-            Instead::Pretend => Ok(()),
-            Instead::Nothing => self.file.write(offset, data),
+            FaultAction::SkipSilently => Ok(()),
+            FaultAction::Proceed => self.file.write(offset, data),
         }
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,7 +9,7 @@
 mod tables;
 mod writer;
 
-pub use disk::{Faults, Instead};
+pub use disk::{DiskFaults, FaultAction};
 pub use open::{Opened, StoreError, open};
 pub use tables::ReadError;
 pub use writer::{Outcome, Store};
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -8,7 +8,7 @@
 use glendeck_fleet::StoredState;
 use redb::Database;
 
-use crate::disk::{Disk, Faults};
+use crate::disk::{Disk, DiskFaults};
 use crate::tables::{ReadError, read_state};
 
 const STORE_FILE: &str = "fleet.redb";
@@ -75,7 +75,7 @@
 /// # Errors
 /// A missing, unwritable or full folder, or one that another process uses. A file that cannot be read is no error: it is
 /// moved aside and reported in [`Opened::unreadable`].
-pub fn open(folder: &Path, faults: Option<Arc<dyn Faults>>) -> Result<Opened, StoreError> {
+pub fn open(folder: &Path, faults: Option<Arc<dyn DiskFaults>>) -> Result<Opened, StoreError> {
     if !folder.is_dir() {
         return Err(StoreError::NoFolder(folder.to_owned()));
     }
@@ -109,7 +109,7 @@
 /// The outer error is that the file cannot be opened, the inner one that it is damaged.
 fn open_database(
     folder: &Path,
-    faults: Option<Arc<dyn Faults>>,
+    faults: Option<Arc<dyn DiskFaults>>,
 ) -> Result<Result<Database, ReadError>, StoreError> {
     let file = open_file(folder, STORE_FILE)?;
     let disk = Disk::new(file, faults)
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -18,7 +18,7 @@
     /// The batch of this number is on disk.
     Written(u64),
     /// The store is dead, for this reason.
-    Dead(String),
+    Failed(String),
 }
 
 struct Batch {
@@ -58,9 +58,9 @@
     for batch in batches {
         let outcome = match write_batch(&file.database, &batch.writes) {
             Ok(()) => Outcome::Written(batch.number),
-            Err(error) => Outcome::Dead(error.to_string()),
+            Err(error) => Outcome::Failed(error.to_string()),
         };
-        let is_dead = matches!(outcome, Outcome::Dead(_));
+        let is_dead = matches!(outcome, Outcome::Failed(_));
         let is_reported = outcomes.send(outcome).is_ok() && wake.write_all(&[0]).is_ok();
         if is_dead || !is_reported {
             return;
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
-use glendeck_store::{Faults, Instead, Outcome, ReadError, Store, StoreError, open};
+use glendeck_store::{DiskFaults, FaultAction, Outcome, ReadError, Store, StoreError, open};
 use test_case::test_case;
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
@@ -37,26 +37,26 @@
     stalls: AtomicBool,
 }
 
-impl Faults for Switch {
-    fn writes(&self, _: u64, _: &[u8]) -> io::Result<Instead> {
+impl DiskFaults for Switch {
+    fn on_write(&self, _: u64, _: &[u8]) -> io::Result<FaultAction> {
         if self.full.load(Ordering::Relaxed) {
             return Err(io::Error::from_raw_os_error(28));
         }
-        Ok(Instead::Nothing)
+        Ok(FaultAction::Proceed)
     }
 
-    fn syncs(&self) -> io::Result<Instead> {
+    fn on_sync(&self) -> io::Result<FaultAction> {
         if self.stalls.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(700));
         }
         if self.fails.load(Ordering::Relaxed) {
             return Err(io::Error::from_raw_os_error(5));
         }
-        Ok(Instead::Nothing)
+        Ok(FaultAction::Proceed)
     }
 }
 
-fn start(folder: &Folder, faults: Option<Arc<dyn Faults>>) -> (Store, StoredState, Option<ReadError>) {
+fn start(folder: &Folder, faults: Option<Arc<dyn DiskFaults>>) -> (Store, StoredState, Option<ReadError>) {
     let until = Instant::now() + Duration::from_secs(5);
     let opened = loop {
         // The thread of the previous store closes it soon after its owner is gone.
@@ -128,7 +128,7 @@
     let dead = loop {
         assert!(store.write(batch, vec![StoreWrite::Log(1, vec![7; 200_000 * batch as usize])]));
         match outcome(&store) {
-            Outcome::Dead(why) => break why,
+            Outcome::Failed(why) => break why,
             Outcome::Written(_) => batch += 1,
         }
         assert!(batch < 40, "no write fails");
