--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -48,7 +48,7 @@
 fn message_with_a_flipped_bit_is_not_read() {
     let outcome = Outcome::NeverRan;
     let owner = UnitName("n3".into());
-    let id = RecordId { owner, incarnation: Incarnation(1 << 60), count: 77 };
+    let id = RecordId { owner, incarnation: Incarnation(1 << 60), call_number: 77 };
     let message = ReplicaMessage::CallEnded { sequence: 1, id, work: WorkId(0xfeed_beef), outcome };
     let bare = postcard::to_stdvec(&Frame::ReplicaMessages(vec![message])).unwrap();
     let flipped = |bytes: &[u8], bit: usize| {
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -91,7 +91,7 @@
     fn own_hints(&self) -> Hints {
         let state = self.warm_state_of_node(MAX_HINTS / 2);
         let homes = state.homes.iter().map(|(group, host)| {
-            let hint = Hint::Home { group: group.0, host: host.0 };
+            let hint = Hint::GroupOnHost { group: group.0, host: host.0 };
             (hint, 1)
         });
         let loads = state.loads.iter().map(|(subject, load)| {
@@ -161,7 +161,7 @@
     let mut state = domain::WarmState::default();
     for HintValue { hint, value } in hints {
         match hint {
-            Hint::Home { group, host } => state.homes.push((GroupId(*group), HostId(*host))),
+            Hint::GroupOnHost { group, host } => state.homes.push((GroupId(*group), HostId(*host))),
             Hint::Load { subject } => {
                 state.loads.push((SubjectId(*subject), f64::from(*value) / LOAD_SCALE));
             }
--- a/crates/takeover/src/id.rs
+++ b/crates/takeover/src/id.rs
@@ -17,5 +17,5 @@
     /// The process of that node.
     pub incarnation: Incarnation,
     /// The number of the call within that process.
-    pub count: u64,
+    pub call_number: u64,
 }
--- a/crates/takeover/src/owner/mod.rs
+++ b/crates/takeover/src/owner/mod.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 struct OwnedCall {
     /// Its number in [`RecordId`].
-    count: u64,
+    call_number: u64,
     work: WorkId,
     is_repeat: bool,
     /// What the last query has shown.
@@ -52,11 +52,11 @@
     me: UnitName,
     incarnation: Incarnation,
     random: WyRand,
-    count: u64,
+    last_call_number: u64,
     /// By the node's number of the call.
     calls: BTreeMap<u64, OwnedCall>,
-    /// The node's number of the call, by [`RecordId::count`].
-    call_by_count: BTreeMap<u64, u64>,
+    /// The node's number of the call, by [`RecordId::call_number`].
+    call_by_number: BTreeMap<u64, u64>,
 }
 
 impl Owner {
@@ -65,9 +65,9 @@
             me,
             incarnation,
             random: WyRand::new_seed(seed),
-            count: 0,
+            last_call_number: 0,
             calls: BTreeMap::new(),
-            call_by_count: BTreeMap::new(),
+            call_by_number: BTreeMap::new(),
         }
     }
 
@@ -120,7 +120,7 @@
 
     pub(crate) fn call_ended(&mut self, call: u64, outcome: Outcome, view: &View) -> Vec<Action> {
         let Some(owned) = self.calls.remove(&call) else { return vec![] };
-        self.call_by_count.remove(&owned.count);
+        self.call_by_number.remove(&owned.call_number);
         if !owned.has_sent_intent {
             return vec![];
         }
@@ -205,8 +205,8 @@
         actions
     }
 
-    fn record_id(&self, count: u64) -> RecordId {
-        RecordId { owner: self.me.clone(), incarnation: self.incarnation, count }
+    fn record_id(&self, call_number: u64) -> RecordId {
+        RecordId { owner: self.me.clone(), incarnation: self.incarnation, call_number }
     }
 
     fn call_of(&self, id: &RecordId) -> Option<u64> {
@@ -214,15 +214,15 @@
         if !is_of_this_process {
             return None;
         }
-        self.call_by_count.get(&id.count).copied()
+        self.call_by_number.get(&id.call_number).copied()
     }
 
     fn entry(&mut self, call: u64, work: WorkId, now: Timestamp) -> &mut OwnedCall {
         self.calls.entry(call).or_insert_with(|| {
-            self.count += 1;
-            self.call_by_count.insert(self.count, call);
+            self.last_call_number += 1;
+            self.call_by_number.insert(self.last_call_number, call);
             OwnedCall {
-                count: self.count,
+                call_number: self.last_call_number,
                 work,
                 is_repeat: false,
                 supersedes: Vec::new(),
@@ -243,7 +243,7 @@
             None => FirstAttempt { host: attempt.host, age_ms: 0 },
         };
         Some(Intent {
-            id: self.record_id(owned.count),
+            id: self.record_id(owned.call_number),
             work: attempt.work,
             term: view.term_of(&self.me),
             version: view.version,
@@ -270,7 +270,7 @@
         let Some(owned) = self.calls.get(&call) else { return vec![] };
         let Some(round) = &owned.query_round else { return vec![] };
         round.requests(&ReplicaMessage::Query {
-            id: self.record_id(owned.count),
+            id: self.record_id(owned.call_number),
             sequence: round.sequence(),
             work: owned.work,
             version: view.version,
@@ -280,7 +280,7 @@
     /// Tells the replicas of a call's record how the call ended.
     fn end_record(&self, owned: &OwnedCall, outcome: Outcome, view: &View) -> Vec<Action> {
         let message = ReplicaMessage::CallEnded {
-            id: self.record_id(owned.count),
+            id: self.record_id(owned.call_number),
             work: owned.work,
             sequence: owned.sequence,
             outcome,
--- a/crates/takeover/src/replica/tests.rs
+++ b/crates/takeover/src/replica/tests.rs
@@ -16,12 +16,12 @@
     Timestamp((100_000_000 + ms) * 1_000_000)
 }
 
-fn store(replica: &mut Replica, ms: u64, count: u64) -> IntentVerdict {
+fn store(replica: &mut Replica, ms: u64, call_number: u64) -> IntentVerdict {
     let owner = UnitName::from("n3");
     let view = View { voter_slots: vec![UnitName::from("n0")], hears_leader: true, ..View::default() };
     let intent = Intent {
-        id: RecordId { owner: owner.clone(), incarnation: Incarnation(1), count },
-        work: WorkId(count),
+        id: RecordId { owner: owner.clone(), incarnation: Incarnation(1), call_number },
+        work: WorkId(call_number),
         term: 0,
         version: 0,
         is_repeat: false,
@@ -40,7 +40,9 @@
 fn a_full_replica_refuses_accepts_again_after_expiry_and_has_no_spare_capacity() {
     let max_records = MAX_RECORDS as u64;
     let mut replica = Replica::new(timestamp(0), RETENTION_MS, LONGEST_CALL_MS);
-    assert!((0..max_records).all(|count| store(&mut replica, 0, count) == IntentVerdict::Accepted));
+    assert!(
+        (0..max_records).all(|call_number| store(&mut replica, 0, call_number) == IntentVerdict::Accepted)
+    );
     assert_eq!(store(&mut replica, 0, max_records), IntentVerdict::Unavailable);
     assert!(replica.records.values().all(|records| records.capacity() == 1));
     replica.tick(timestamp(11_600));
--- a/crates/takeover/src/warm_state/message.rs
+++ b/crates/takeover/src/warm_state/message.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Hint {
     /// A host has connections of a group.
-    Home {
+    GroupOnHost {
         /// The group.
         group: u64,
         /// The host.
--- a/crates/takeover/tests/warm_state/main.rs
+++ b/crates/takeover/tests/warm_state/main.rs
@@ -85,7 +85,7 @@
 /// The process whose hints these are, and how often it had published then.
 fn mark(hints: impl IntoIterator<Item = Hint>) -> Option<(u64, u64)> {
     hints.into_iter().find_map(|known| match known {
-        Hint::Home { group, host } if group % 1_000 == MARK => Some((group / 1_000, host)),
+        Hint::GroupOnHost { group, host } if group % 1_000 == MARK => Some((group / 1_000, host)),
         _ => None,
     })
 }
@@ -266,7 +266,7 @@
             let (incarnation, which, load) =
                 (self.nodes[at].incarnation, self.roll(20), self.roll(900) as u32);
             let known = match self.roll(2) {
-                0 => Hint::Home { group: incarnation * 1_000 + which, host: which % 5 },
+                0 => Hint::GroupOnHost { group: incarnation * 1_000 + which, host: which % 5 },
                 _ => Hint::Load { subject: incarnation * 1_000 + which },
             };
             let gone = self.roll(3) == 0;
@@ -274,7 +274,7 @@
             let _ = if gone { hints.remove(&known) } else { hints.insert(known, load) };
         }
         let node = &mut self.nodes[at];
-        let marked = |incarnation, host| Hint::Home { group: incarnation * 1_000 + MARK, host };
+        let marked = |incarnation, host| Hint::GroupOnHost { group: incarnation * 1_000 + MARK, host };
         node.hints.remove(&marked(node.incarnation, node.publish_count));
         node.publish_count += 1;
         node.hints.insert(marked(node.incarnation, node.publish_count), 1);
--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -18,8 +18,8 @@
 
 const FIRST_ATTEMPT: FirstAttempt = FirstAttempt { host: 81, age_ms: 120 };
 
-fn id(count: u64) -> RecordId {
-    RecordId { owner: UnitName::from("a"), incarnation: Incarnation(77), count }
+fn id(call_number: u64) -> RecordId {
+    RecordId { owner: UnitName::from("a"), incarnation: Incarnation(77), call_number }
 }
 
 fn intent(is_repeat: bool) -> Intent {
@@ -68,7 +68,7 @@
 }
 
 fn warm_state_messages() -> Vec<(&'static str, WarmStateMessage)> {
-    let home = Hint::Home { group: 4, host: 5 };
+    let home = Hint::GroupOnHost { group: 4, host: 5 };
     let load = Hint::Load { subject: 6 };
     vec![
         (
