--- a/src/node.rs
+++ b/src/node.rs
@@ -1,12 +1,12 @@
-//! A node: the part of a balancer that decides.
+//! A node: the part of a balancer that makes the decisions.
 //!
-//! Start one with [`Node::start`], then tell it what happens by its other methods, in the order in which it happens; it
-//! answers on the [`Port`] handed in. docs/design.md says where the mechanism comes from.
+//! Start one with [`Node::start`], then report each event, in order, through its other methods. The node
+//! responds on the [`Port`] that is passed in. docs/design.md describes where the mechanism comes from.
 //!
-//! A call passes the stages of [`CHAIN`]: whether it may still be tried ([`eligibility`]), where it goes
-//! ([`placement`]), and the one place that sends attempts and checks each ([`dispatch`]). The end of an attempt passes
-//! them in reverse. Each submodule adds one concern to [`Node`] and
-//! imports no other; the state that they share is in [`crate::state`].
+//! A call passes the stages of [`CHAIN`]: [`eligibility`] decides whether it may still be tried,
+//! [`placement`] chooses its host, and [`dispatch`] is the only place that checks and sends attempts. The end
+//! of an attempt passes the stages in reverse order. Each submodule adds one concern to [`Node`] and imports
+//! no other submodule; the shared state is in [`crate::state`].
 
 mod admission;
 mod affinity;
@@ -47,17 +47,17 @@
 use crate::state::traffic_stats::TrafficStats;
 use crate::state::waiting_queue::WaitingQueue;
 
-/// What a stage decides on a call.
+/// Result of one stage for a call.
 enum StageResult {
-    /// The next stage decides.
+    /// The call goes on to the next stage.
     Continue,
-    /// The call waits for a host.
+    /// The call is put into the waiting queue.
     Enqueue,
     /// The call gets its final answer now.
     Answer,
 }
 
-/// One stage of the chain.
+/// One stage of the chain: `forward` handles a call, `unwind` the end of an attempt.
 struct Stage {
     forward: fn(&mut Node, CallIndex, &mut dyn Port) -> StageResult,
     unwind: fn(&mut Node, CallIndex, AttemptEnd, &mut dyn Port) -> ControlFlow<()>,
@@ -91,22 +91,23 @@
     load_cache: LoadCache,
     traffic: TrafficStats,
     retries: RetryCounter,
-    /// Ticks so far.
+    /// Ticks since the start.
     ticks: u64,
     last_tick: Time,
-    /// Host that was probed last to measure its probe time.
+    /// Last host considered when hosts in service are probed in turn.
     probe_cursor: HostIndex,
-    /// Most ready hosts are ejected, which is more likely this node's own fault: ejections are ignored.
+    /// Ejections are ignored: more than half of the ready hosts are ejected, which points to a fault of this
+    /// node rather than of the hosts.
     is_in_panic_mode: bool,
     endpoint_watch: EndpointWatch,
 }
 
 impl Node {
-    /// Starts a node that knows no host yet. All randomness follows from the seed.
+    /// Starts a node that knows no hosts yet. All random numbers derive from the seed.
     pub fn start(settings: Settings, seed: u64, now: Time, port: &mut dyn Port) -> Node {
         let settings = settings.with_tempered_revenue();
         let mut rng = WyRand::new_seed(seed);
-        // Nodes that start together tick at different moments, so that their moves do not coincide.
+        // Nodes that start together tick at different times, so that their migrations do not coincide.
         let tick_offset = TICK_PERIOD.times(f64::from(rng.generate::<f32>()));
         port.set_timer(now + tick_offset, TICK_TIMER);
         let watch_offset = request_spread(&settings).times(f64::from(rng.generate::<f32>()));
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Sends a call through the stages, from the first.
+    /// Passes a call through the stages, from the first to the last.
     fn forward(&mut self, call_index: CallIndex, port: &mut dyn Port) {
         for stage in &CHAIN {
             match (stage.forward)(self, call_index, port) {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Sends the end of an attempt through the stages, from the last.
+    /// Passes the end of an attempt through the stages, from the last to the first.
     fn unwind(&mut self, call_index: CallIndex, end: AttemptEnd, port: &mut dyn Port) {
         for stage in CHAIN.iter().rev() {
             if (stage.unwind)(self, call_index, end, port).is_break() {
@@ -163,12 +164,12 @@
         f64::from(self.rng.generate::<f32>())
     }
 
-    /// A random factor from 0.5 to 1: spreads what happens together over the second half of a wait.
+    /// A random factor from 0.5 to 1, which spreads simultaneous events over the second half of a wait.
     fn second_half_jitter(&mut self) -> f64 {
         0.5 + 0.5 * self.random()
     }
 
-    /// A random factor from 0.75 to 1.25, so that nodes do not act in step.
+    /// A random factor from 0.75 to 1.25, so that nodes do not act at the same time.
     fn jitter(&mut self) -> f64 {
         0.75 + 0.5 * self.random()
     }
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -1,4 +1,4 @@
-//! Admission and load shedding: whether a call is tried, waits for a host, or is answered at once.
+//! Admission: whether a call is tried, waits for a host, or is answered at once to shed load.
 
 use std::cmp::Reverse;
 
@@ -10,20 +10,23 @@
 use crate::state::shared_draw::shared_draw;
 use crate::state::timers::QUEUE_TIMER;
 
-/// Longest wait until waiting calls are tried again: short against any setup target, and long enough to cost little CPU.
+/// Maximum delay before waiting calls are tried again: short compared with any setup target, and long enough
+/// to cost little CPU.
 const MAX_RETRY_DELAY: Span = Span::ms(40);
-/// Failures after which a round of waiting calls ends: in a small fleet, and by how many fewer in a large one.
+/// Number of calls that find no host after which a round of waiting calls ends, in a small fleet.
 const MAX_FAILURES_PER_ROUND: usize = 8;
-const FEWER_FAILURES_IN_LARGE_FLEET: f64 = 6.0;
-/// Returning clients are admitted up to this multiple of the part of the usual fleet that is left. Higher and lower ones
-/// served fewer.
+/// Reduction of [`MAX_FAILURES_PER_ROUND`] in a large fleet.
+const LARGE_FLEET_FAILURE_REDUCTION: f64 = 6.0;
+/// Returning clients are admitted up to this multiple of the share of the usual fleet size that remains.
+/// Higher and lower values served fewer clients.
 const READMISSION_FACTOR: f64 = 1.3;
-/// Breaks of late from which a node takes it that part of the fleet was lost.
+/// Decaying count of broken connections from which a node assumes that part of the fleet was lost.
 const MIN_RECENT_BREAKS: f64 = 0.3;
 
 impl Node {
-    /// Books a call as in flight. A heavy connection that was sent away would return looking like any other: what it
-    /// asked for is remembered for the client's return.
+    /// Records a call as in flight. A call without a known load gets that of its subject's previous
+    /// connection, since a heavy connection that was migrated would otherwise look like any other when its
+    /// client returns.
     pub(super) fn admit(&mut self, call: Call) -> CallIndex {
         let local_load = call.load.or_else(|| self.load_cache.local_load(call.subject?));
         let is_displaced = call.is_returning && local_load.is_none();
@@ -42,8 +45,8 @@
         call_index
     }
 
-    /// Raises all limits by one connection in sum. They were learnt while other nodes had connections there too, and
-    /// would keep those nodes' clients out.
+    /// Raises the load limits of all hosts, by at most one connection in total. The limits were learned while
+    /// other nodes also had connections on these hosts, and would keep those nodes' clients out.
     fn raise_load_limits(&mut self) {
         for host in 0..self.hosts.len() {
             let small_fleet = self.settings.small_fleet_factor();
@@ -52,30 +55,33 @@
         }
     }
 
-    /// Share of the in-flight calls that another node had before. When a node drains or dies, its clients come to one
-    /// that prefers its own zone and keeps its limits. Nodes of a large fleet have too few calls to tell: 0 there.
+    /// Share of the in-flight calls whose previous connection was at another node. When a node drains or
+    /// fails, its clients come to a node that prefers its own zone and keeps its load limits; this share
+    /// relaxes both. It is 0 in a large fleet, where a node has too few calls to estimate it.
     pub(super) fn displaced_share(&self) -> f64 {
         let displaced = self.traffic.displaced_beyond_usual(self.calls.len());
         self.settings.small_fleet_factor() * displaced / self.calls.len().max(1) as f64
     }
 
-    /// Whether a returning client is turned away at once. When much of a large fleet is lost or cold, its clients return
-    /// to the hosts that are left, and these go under. So a node on which connections broke just now admits returning
-    /// clients only up to the part of its usual connections that the hosts can carry; the others hear when to return.
+    /// Whether a returning client is turned away at once. When a large part of a large fleet is lost or cold,
+    /// its clients return to the remaining hosts and overload them. So a node on which connections broke
+    /// recently admits returning clients only up to the share of its usual connections that the hosts can
+    /// carry; the others are told when to return.
     pub(super) fn exceeds_remaining_capacity(&mut self, call_index: CallIndex) -> bool {
         let call = self.calls[call_index].call;
-        let remaining_part =
+        let remaining_share =
             READMISSION_FACTOR * self.traffic.ready_size / self.traffic.usual_ready_size.max(1e-9);
         let is_new = !call.is_returning || call.is_mid_flow;
-        if is_new || remaining_part >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
+        if is_new || remaining_share >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
             return false;
         }
         let connections = self.hosts.iter().map(Host::connections).sum::<f64>();
         shared_draw(call.id.0, self.settings.node_index.into()) < self.settings.large_fleet_factor()
-            && connections + self.random() > remaining_part * self.traffic.usual_connections.max(1.0)
+            && connections + self.random() > remaining_share * self.traffic.usual_connections.max(1.0)
     }
 
-    /// Lets a call wait for a host. A timer makes sure that it is answered in time if none appears.
+    /// Puts a call into the waiting queue. A timer makes sure that it is answered in time if no host becomes
+    /// available.
     pub(super) fn enqueue(&mut self, call_index: CallIndex, port: &mut dyn Port) {
         self.calls[call_index].is_waiting = true;
         self.waiting.calls.push(call_index);
@@ -88,14 +94,15 @@
         }
     }
 
-    /// Tries the waiting calls again: first what earns most for its load, then what waited longest.
+    /// Tries the waiting calls again, those with the highest revenue per load first, then the oldest first.
     ///
-    /// With many calls waiting, asking every host for each of them costs more CPU than a node has. Once a call that may
-    /// go anywhere finds no host, or some others did not, the rest waits on.
+    /// With many calls waiting, checking every host for each of them costs more CPU than a node has. Once a
+    /// call that accepts any host has found none, or several others have not, the remaining calls keep
+    /// waiting.
     pub(super) fn retry_waiting_calls(&mut self, port: &mut dyn Port) {
         self.start_retry_round();
-        let fewer_failures = (FEWER_FAILURES_IN_LARGE_FLEET * self.settings.large_fleet_factor()) as usize;
-        let max_failures = MAX_FAILURES_PER_ROUND - fewer_failures;
+        let reduction = (LARGE_FLEET_FAILURE_REDUCTION * self.settings.large_fleet_factor()) as usize;
+        let max_failures = MAX_FAILURES_PER_ROUND - reduction;
         let mut failures = 0;
         let mut is_fleet_closed = false;
         while let Some(call_index) = self.waiting.retrying.pop() {
@@ -105,12 +112,12 @@
                 self.requeue_or_answer(call_index, port);
                 continue;
             }
-            let may_go_anywhere = self.may_go_anywhere(call_index);
+            let accepts_any_host = self.accepts_any_host(call_index);
             let waiting_before = self.waiting.calls.len();
             self.forward(call_index, port);
             if self.waiting.calls.len() > waiting_before {
                 failures += 1;
-                is_fleet_closed |= may_go_anywhere;
+                is_fleet_closed |= accepts_any_host;
             }
         }
     }
@@ -118,23 +125,26 @@
     fn start_retry_round(&mut self) {
         let mut round = std::mem::take(&mut self.waiting.calls);
         round.sort_unstable_by(|first, second| {
-            let by_worth = self.worth(*first).total_cmp(&self.worth(*second));
+            let by_revenue = self.revenue_per_load(*first).total_cmp(&self.revenue_per_load(*second));
             let arrival = |call_index: &CallIndex| Reverse(self.calls[*call_index].call.id);
-            by_worth.then_with(|| arrival(first).cmp(&arrival(second)))
+            by_revenue.then_with(|| arrival(first).cmp(&arrival(second)))
         });
         self.waiting.start_round(round);
     }
 
-    fn may_go_anywhere(&self, call_index: CallIndex) -> bool {
+    /// Whether neither a home, an attempt that may have run, nor a high load restricts the choice of host.
+    fn accepts_any_host(&self, call_index: CallIndex) -> bool {
         !self.waits_for_home(call_index)
             && self.calls[call_index].first_run.is_none()
             && self.expected_load(call_index) <= 1.0
     }
 
-    /// Puts a call back, unless its turn to set up would come too late.
+    /// Requeues a call, or answers it if its turn to set up would come too late.
     fn requeue_or_answer(&mut self, call_index: CallIndex, port: &mut dyn Port) {
-        let turn_in = self.waiting.calls.len() as f64 * self.traffic.setup_time / self.setup_limit.limit;
-        let is_too_late = self.setup_limit.is_reached() && self.time_left(call_index).seconds() < turn_in;
+        let expected_wait =
+            self.waiting.calls.len() as f64 * self.traffic.setup_time / self.setup_limit.limit;
+        let is_too_late =
+            self.setup_limit.is_reached() && self.time_left(call_index).seconds() < expected_wait;
         if is_too_late {
             self.answer(call_index, port);
         } else {
@@ -146,7 +156,7 @@
     pub(super) fn answer(&mut self, call_index: CallIndex, port: &mut dyn Port) {
         let call_id = self.calls[call_index].call.id;
         if self.may_reject(call_index) {
-            // Clients that were turned away together return spread over the second half of the wait.
+            // Spreads the return of clients that are rejected together over the second half of the wait.
             let spread = self.second_half_jitter();
             port.reject(call_id, self.settings.retry_after.map(|longest| longest.times(spread)));
         } else {
@@ -155,7 +165,7 @@
         self.remove_call(call_index);
     }
 
-    /// Forgets a call that is over.
+    /// Removes a call that is over, and records its load for its class and for the client's return.
     pub(super) fn remove_call(&mut self, call_index: CallIndex) {
         let call = self.calls.remove(call_index);
         if let Some(load) = call.load {
@@ -171,7 +181,7 @@
         }
     }
 
-    /// Adapts the limit of setups to one that took so long, or failed (`None`).
+    /// Adapts the setup limit to the duration of a setup; `None` means that the setup failed.
     pub(super) fn record_setup_time(&mut self, call_index: CallIndex, took: Option<Span>) {
         let class = self.calls[call_index].class_index();
         let target = self.settings.classes[class].setup_target.seconds();
--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -1,6 +1,6 @@
-//! Connections of one group prefer the same hosts, their homes. All nodes draw the homes alike from the ids, by weighted
-//! rendezvous hashing: a node of many sees few of a group's connections, and without a common order all nodes together
-//! would spread the group over every host.
+//! Group affinity: connections of one group prefer the same hosts, the homes of the group. All nodes draw the
+//! homes from the ids in the same way, by weighted rendezvous hashing: each of many nodes sees few of a
+//! group's connections, and without a common order the nodes together would spread the group over every host.
 
 use super::Node;
 use crate::domain::{Condition, GroupId};
@@ -8,37 +8,39 @@
 use crate::state::host::{Host, HostIndex};
 use crate::state::shared_draw::shared_draw;
 
-/// A node's few connections say little of one group: this many that are like its groups in the mean count beside them.
+/// Weight, in connections, of the average group when a group's share of the traffic is estimated: a node's
+/// few connections say little about a single group.
 const PRIOR_CONNECTIONS: f64 = 20.0;
-/// Hosts of one zone that a group has to fill to get homes in each zone: a smaller group costs more in each zone than
-/// its crossings do, and gets homes over all zones.
+/// Number of hosts of one zone that a group must fill to get homes in each zone. For a smaller group, homes
+/// in each zone cost more than crossing zones does, so it gets homes across all zones.
 const MIN_HOSTS_FOR_ZONE_HOMES: f64 = 0.25;
-/// Added to the number of expected homes before it is rounded down.
+/// Added to the expected number of homes before it is rounded down.
 const HOME_ROUNDING: f64 = 0.75;
-/// Open share of the fleet below which calls wait for a home, for a node of many.
+/// Open share of the fleet below which calls wait for a home; scaled by the remote share, so it is lower with
+/// few nodes.
 const WAIT_BELOW_OPEN_SHARE: f64 = 0.95;
 
-/// What weighs hosts while the homes of one group are drawn.
+/// Weights of the hosts when the homes of one group are drawn.
 struct HomeWeights {
-    /// Weight of hosts in other zones; those of this node's zone have 1.
+    /// Weight of hosts in other zones; hosts in this node's zone have weight 1.
     remote_zone: f64,
-    /// How far a cold host counts with its full size. In a large fleet, drawn by what it can do now, it would be nobody's
-    /// home while it warms up.
+    /// How far a cold host counts with its full size: 0 is only its current size, 1 its full size. In a large
+    /// fleet, a cold host that counted with its current size would be home to no group while it warms up.
     full_size: f64,
 }
 
 impl Node {
-    /// Whether the call waits for a home, or a host that has some of its group. When homes are closed, calls that go
-    /// anywhere would make every host pay for every group. So they wait unless nearly all is open; more so, the less a
-    /// node sees.
+    /// Whether the call waits for a home, or for a host that already has connections of its group. If calls
+    /// whose homes are closed went to any host, every host would pay for every group. So they wait unless
+    /// nearly the whole fleet is open; the less of the traffic a node sees, the higher that threshold.
     pub(super) fn waits_for_home(&self, call_index: CallIndex) -> bool {
         let has_group = self.calls[call_index].call.group.is_some();
         has_group && self.fleet.open_share < WAIT_BELOW_OPEN_SHARE * self.settings.remote_share()
     }
 
-    /// Orders the hosts for the call's group. A group with more of the traffic has more homes.
+    /// Orders the hosts for the call's group. A group with a larger share of the traffic has more homes.
     pub(super) fn order_homes(&mut self, call_index: CallIndex) {
-        // Taken out, since the keys are computed from the rest of the node.
+        // Taken out of `self`, since the keys are computed from the rest of the node.
         let mut order = std::mem::take(&mut self.home_order);
         order.clear();
         if let Some(group) = self.calls[call_index].call.group {
@@ -58,25 +60,25 @@
         self.home_order = order;
     }
 
-    /// The group's part of the traffic, shrunk towards how alike this node's groups are.
+    /// The group's share of the traffic, shrunk towards the average similarity of this node's groups.
     fn group_traffic_share(&self, group: GroupId) -> f64 {
         let own = f64::from(self.groups.connections(group));
         (own + PRIOR_CONNECTIONS * self.groups.similarity) / (self.groups.total as f64 + PRIOR_CONNECTIONS)
     }
 
-    /// Weight of hosts in other zones when homes are drawn; those of this zone have 1.
+    /// Weight of hosts in other zones when homes are drawn; hosts in this zone have weight 1.
     fn remote_zone_weight(&self, traffic_share: f64) -> f64 {
         let is_local = |host: &&Host| host.zone == self.settings.zone && host.condition == Condition::Ready;
         let local_hosts = self.hosts.iter().filter(is_local).count();
         if traffic_share * (local_hosts as f64) < MIN_HOSTS_FOR_ZONE_HOMES {
             return 1.0;
         }
-        let by_price = 1.0 - self.settings.crossing_cost();
-        let by_displaced = self.displaced_share() / self.settings.remote_share().max(0.1);
-        by_price.max(by_displaced).clamp(0.0, 1.0)
+        let price_weight = 1.0 - self.settings.crossing_cost();
+        let displaced_weight = self.displaced_share() / self.settings.remote_share().max(0.1);
+        price_weight.max(displaced_weight).clamp(0.0, 1.0)
     }
 
-    /// A host's key in the group's order; infinite if it cannot be a home.
+    /// Key of a host in the group's order, lowest first; infinite if the host cannot be a home.
     fn home_key(&self, group: GroupId, host_index: HostIndex, weights: &HomeWeights) -> f64 {
         let host = &self.hosts[host_index];
         let zone_weight = if host.zone == self.settings.zone { 1.0 } else { weights.remote_zone };
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -1,5 +1,6 @@
-//! Last stage: the one place that sends attempts. Each is checked here against the four rules: no call is lost, no effect
-//! happens twice, drains are kept, and all nodes together do not overload a cold host.
+//! Last stage: the only place that sends attempts. Each attempt is checked here against four rules: no call
+//! is lost, no effect happens twice, drains are respected, and all nodes together do not overload a cold
+//! host.
 
 use std::ops::ControlFlow;
 
@@ -9,13 +10,13 @@
 use crate::state::call::{AttemptEnd, AttemptSlot, CallIndex, PossibleRun};
 use crate::state::host::HostIndex;
 
-/// An attempt may take this part of what is left, so that another has room.
+/// Share of the remaining time that an attempt may take, which leaves time for another.
 const TIMEOUT_SHARE: f64 = 0.5;
-/// An attempt may take so many times what setups take of late.
+/// Multiple of the recent setup time that an attempt may take.
 const SETUP_TIME_MULTIPLE: f64 = 3.0;
 
 impl Node {
-    /// Sends an attempt to the host that was chosen.
+    /// Sends an attempt to the chosen host.
     pub(super) fn send(&mut self, call_index: CallIndex, port: &mut dyn Port) -> StageResult {
         let host = self.calls[call_index].chosen_host;
         if !self.is_permitted(call_index, host) || !self.is_within_retry_budget(call_index) {
@@ -40,7 +41,7 @@
         StageResult::Continue
     }
 
-    /// All that an attempt may not break, asked while choosing and again on sending.
+    /// Whether an attempt keeps all rules; checked when a host is chosen and again before sending.
     pub(super) fn is_permitted(&self, call_index: CallIndex, host: HostIndex) -> bool {
         let call = &self.calls[call_index];
         call.outstanding.is_none()
@@ -52,9 +53,10 @@
             && self.may_repeat_on(call_index, host)
     }
 
-    /// What an attempt may take: the setup target or half of what is left, so that another has room, or three times
-    /// what setups take of late. Where all setups take long, an attempt that is cut off is worked on all the same,
-    /// before the next.
+    /// Time that the next attempt may take: the setup target, half of the remaining time (which leaves time
+    /// for another attempt), or three times the recent setup time, whichever is longest, but never more than
+    /// the remaining time. The last permitted attempt gets all of it. Where all setups are slow, hosts still
+    /// work on an attempt that was cut off before they start the next one.
     fn attempt_timeout(&self, call_index: CallIndex) -> Span {
         let call = &self.calls[call_index];
         let time_left = self.time_left(call_index);
@@ -66,7 +68,7 @@
         time_left.times(TIMEOUT_SHARE).max(setup_target).max(recent_setups).min(time_left)
     }
 
-    /// Books an attempt at a host.
+    /// Records an outstanding attempt at a host.
     pub(super) fn occupy_slot(&mut self, call_index: CallIndex, host: HostIndex) {
         self.hosts[host].update_work(self.now, self.loads.mean);
         let call = &mut self.calls[call_index];
@@ -77,7 +79,7 @@
         self.count_load(call_index, host, 1.0);
     }
 
-    /// First step of an attempt's end: its place at the host is free again.
+    /// First step of an attempt's end: frees its slot at the host.
     pub(super) fn release_slot(
         &mut self,
         call_index: CallIndex,
@@ -108,7 +110,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Counts a connection's load in (`sign` 1) or out (-1) at a host.
+    /// Adds (`sign` 1) or subtracts (-1) a connection's load at a host.
     pub(super) fn count_load(&mut self, call_index: CallIndex, host: HostIndex, sign: f64) {
         self.hosts[host].update_work(self.now, self.loads.mean);
         self.loads.count(&mut self.hosts[host], self.calls[call_index].load, sign);
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -1,4 +1,4 @@
-//! What happens to calls and attempts, as the host of the node reports it.
+//! Events of calls and attempts, as the process that runs the node reports them.
 
 use super::Node;
 use crate::domain::{
@@ -9,11 +9,11 @@
 use crate::state::host::HostIndex;
 use crate::state::timers::{QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
 
-/// A queue timer that fires so much early counts as due.
+/// A queue timer that fires early by up to this much counts as due.
 const TIMER_TOLERANCE: Span = Span(1000);
 
 impl Node {
-    /// A client asks for a connection.
+    /// Handles a client's request for a connection.
     pub fn call_arrived(&mut self, now: Time, call: Call, port: &mut dyn Port) {
         self.now = now;
         self.retries.record_call(&self.settings, now);
@@ -22,12 +22,12 @@
         if self.exceeds_remaining_capacity(call_index) {
             return self.answer(call_index, port);
         }
-        // Calls that wait for a home do not wait for each other.
-        let is_first = self.waiting.calls.is_empty() || self.waits_for_home(call_index);
-        if is_first { self.forward(call_index, port) } else { self.enqueue(call_index, port) }
+        // Calls that wait for a home do not queue behind each other.
+        let skips_queue = self.waiting.calls.is_empty() || self.waits_for_home(call_index);
+        if skips_queue { self.forward(call_index, port) } else { self.enqueue(call_index, port) }
     }
 
-    /// A connection was open at a host when the node started.
+    /// Registers a connection that was already open at a host when the node started.
     pub fn existing_connection(&mut self, now: Time, call: Call, host: HostId) {
         self.now = now;
         let Some(host) = self.host_index.get(&host).copied() else { return };
@@ -36,7 +36,7 @@
         self.occupy_slot(call_index, host);
     }
 
-    /// An attempt has set up its connection after the time it took.
+    /// Handles an attempt that has set up its connection after the time `took`.
     pub fn attempt_established(
         &mut self,
         now: Time,
@@ -55,22 +55,23 @@
         self.setup_limit.in_progress -= 1;
         self.hosts[host].outlier.record_success();
         let allowed_time = self.traffic.record_setup(took, self.calls[call_index].setups_ahead);
-        // A host that goes under answers probes beside its work. A setup waits behind that work: by what it took too
-        // long, a message is late too.
+        // An overloaded host answers probes independently of its work, but a setup waits behind that work. A
+        // message there is delayed by as much as the setup exceeded its allowed time.
         if !self.settings.reports_message_times {
             let excess = self.hosts[host].overload.record_setup_excess(took.seconds() - allowed_time);
             self.record_message_time(host, excess, port);
         }
     }
 
-    /// The call and host of an attempt, if that is the call's outstanding one.
+    /// The call and host of an attempt, if it is the call's outstanding one.
     fn outstanding_attempt(&self, call: CallId, attempt: AttemptNumber) -> Option<(CallIndex, HostIndex)> {
         let call_index = *self.call_index.get(&call)?;
         let call = self.calls.get(call_index).filter(|call| call.attempts == attempt.0 + 1)?;
         call.outstanding.map(|slot| (call_index, slot.host))
     }
 
-    /// An attempt has ended. `final_answer` says that the client has its answer by this end or before it.
+    /// Handles the end of an attempt. `final_answer` is true if the client has its final answer through this
+    /// end or before it.
     pub fn attempt_ended(
         &mut self,
         now: Time,
@@ -87,7 +88,8 @@
         self.unwind(call_index, end, port);
     }
 
-    /// The client left: nothing is owed to it, and an attempt that is still outstanding need not go on.
+    /// Handles a client that leaves: it needs no answer, and an attempt that is still outstanding need not
+    /// continue.
     pub fn client_left(&mut self, now: Time, call: CallId, port: &mut dyn Port) {
         self.now = now;
         let Some(call_index) = self.call_index.get(&call).copied() else { return };
@@ -100,7 +102,7 @@
         }
     }
 
-    /// A host reported on an outstanding attempt.
+    /// Handles a host's report on an outstanding attempt.
     pub fn attempt_report(
         &mut self,
         now: Time,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// A timer that the node set has fired.
+    /// Handles a timer that the node has set.
     pub fn timer_fired(&mut self, now: Time, token: TimerToken, port: &mut dyn Port) {
         self.now = now;
         match token {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// A timer that an earlier one has overtaken would start a second chain of timers, and chains that multiply stop the
-    /// node: only the one that is expected counts.
+    /// Retries the waiting calls if this is the expected timer. A timer that was replaced by an earlier one
+    /// would start a second chain of timers, and multiplying chains would stall the node.
     fn queue_timer_fired(&mut self, port: &mut dyn Port) {
         if self.waiting.wakeup_at.is_some_and(|wakeup_at| self.now + TIMER_TOLERANCE >= wakeup_at) {
             self.waiting.wakeup_at = None;
--- a/src/node/idempotency.rs
+++ b/src/node/idempotency.rs
@@ -1,4 +1,4 @@
-//! No effect twice: where a call may run again after an attempt that may have run.
+//! Protection against repeated effects: where a call may run again after an attempt that may have run.
 
 use super::Node;
 use crate::domain::{Idempotency, Scope};
@@ -10,7 +10,7 @@
         self.settings.classes[self.calls[call_index].class_index()].idempotency
     }
 
-    /// Whether the call may run again on some host.
+    /// Whether the call may run again on any host.
     pub(super) fn may_repeat(&self, call_index: CallIndex) -> bool {
         match (self.idempotency(call_index), self.calls[call_index].first_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Whether the call may run again on this host: a keyed one only where its repeat is recognised.
+    /// Whether the call may run again on this host: a keyed call only where hosts recognise its repeat.
     pub(super) fn may_repeat_on(&self, call_index: CallIndex, host: HostIndex) -> bool {
         let (Idempotency::Keyed { scope, .. }, Some(run)) =
             (self.idempotency(call_index), self.calls[call_index].first_run)
--- a/src/node/outlier_detection.rs
+++ b/src/node/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: hosts that fail are ejected until probes succeed, and return on trial.
+//! Outlier detection: hosts that fail are ejected until probes succeed, then return on trial.
 
 use std::ops::ControlFlow;
 
@@ -8,13 +8,13 @@
 use crate::state::call::{AttemptEnd, CallIndex};
 use crate::state::host::HostIndex;
 
-/// Part of an attempt that a probe counts as for a cold host.
+/// Cost of a probe to a cold host's slow-start budget, in attempts.
 const PROBE_COST: f64 = 0.1;
-/// Probes of hosts in service for each new client.
+/// Probes of hosts in service per new client.
 const PROBES_PER_NEW_CLIENT: f64 = 3.0;
 
 impl Node {
-    /// Second step of an attempt's end: what it says of the host.
+    /// Second step of an attempt's end: records what the outcome shows about the host.
     pub(super) fn learn_from_attempt(
         &mut self,
         call_index: CallIndex,
@@ -48,7 +48,8 @@
         ControlFlow::Continue(())
     }
 
-    /// A host that died takes all its connections along, and the list tells seconds later.
+    /// Records a connection that broke. When a host dies, all its connections break, seconds before the list
+    /// reports it.
     fn record_broken_connection(&mut self, host_index: HostIndex) {
         self.cut_load_limit(host_index, self.load(host_index));
         self.traffic.recent_breaks += 1.0;
@@ -63,7 +64,8 @@
         self.hosts[host_index].outlier.back_off_after_reject(self.now, jitter);
     }
 
-    /// Records a failed attempt or probe. A host that fails fast has few connections and would draw every call.
+    /// Records a failed attempt or probe. Without ejection, a host that fails fast has few connections and so
+    /// would attract every call.
     fn record_failure(&mut self, host_index: HostIndex) {
         if self.hosts[host_index].outlier.record_failure() {
             self.eject(host_index);
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Ends an ejection; the host is tried with one call at a time before it is trusted.
+    /// Ends an ejection and starts the trial, during which the host gets one call at a time.
     fn readmit(&mut self, host_index: HostIndex) {
         self.hosts[host_index].outlier.readmit();
         self.update_panic_mode();
     }
 
-    /// Ignores ejections while more than half of the ready hosts are ejected, as Envoy's panic mode does: it is more
-    /// likely this node's own view, and the rest would be crushed.
+    /// Ignores ejections while more than half of the ready hosts are ejected, as Envoy's panic mode does: the
+    /// cause is then more likely this node's own view, and the remaining hosts would be overloaded.
     pub(super) fn update_panic_mode(&mut self) {
         let mut ready = 0;
         let mut ejected = 0;
@@ -95,12 +97,12 @@
         self.is_in_panic_mode = ejected * 2 > ready;
     }
 
-    /// Whether a host is ejected now; for operators and tests.
+    /// Whether a host is currently ejected; for operators and tests.
     pub fn is_ejected(&self, host: HostId) -> bool {
         self.host_index.get(&host).is_some_and(|host| self.hosts[*host].outlier.is_ejected())
     }
 
-    /// Probes ejected hosts that are due; where hosts cannot be probed, readmits them.
+    /// Probes the ejected hosts whose probe is due; readmits them where hosts cannot be probed.
     pub(super) fn probe_ejected_hosts(&mut self, port: &mut dyn Port) {
         for host_index in 0..self.hosts.len() {
             let jitter = self.jitter();
@@ -117,14 +119,14 @@
         }
     }
 
-    /// Probes some hosts in service, in turn. Where message times are not reported, nothing else shows that other work
-    /// on the same machine slows a host; it slows answers to probes at once.
+    /// Probes some hosts in service, in turn. Where message times are not reported, only the answers to
+    /// probes show that other work on the same machine slows a host down, and they slow down at once.
     pub(super) fn probe_hosts_in_service(&mut self, port: &mut dyn Port) {
         if self.settings.reports_message_times || !self.settings.can_probe {
             return;
         }
-        let by_rate = (PROBES_PER_NEW_CLIENT * self.traffic.new_client_rate) as usize + 1;
-        for _ in 0..by_rate.min(self.hosts.len()) {
+        let probe_count = (PROBES_PER_NEW_CLIENT * self.traffic.new_client_rate) as usize + 1;
+        for _ in 0..probe_count.min(self.hosts.len()) {
             self.probe_cursor = (self.probe_cursor + 1) % self.hosts.len();
             let host = &mut self.hosts[self.probe_cursor];
             let is_in_service = host.condition == Condition::Ready && !host.outlier.is_ejected();
@@ -135,7 +137,7 @@
         }
     }
 
-    /// A probe has ended after the time it took.
+    /// Handles the end of a probe after the time `took`.
     pub fn probe_finished(
         &mut self,
         now: Time,
@@ -154,8 +156,9 @@
         }
     }
 
-    /// A host that hangs still accepts connections, and each call there waits for its attempt to time out; so a failed
-    /// probe counts as a failure. A slow one counts as a slow message.
+    /// Records a probe of a host in service. A host that hangs still accepts connections, and each call there
+    /// waits for its attempt to time out; so a failed probe counts as a failure. A slow probe counts as a
+    /// slow message.
     fn record_service_probe(
         &mut self,
         host_index: HostIndex,
--- a/src/node/placement.rs
+++ b/src/node/placement.rs
@@ -1,4 +1,4 @@
-//! Second stage: which host gets the call.
+//! Second stage: the choice of the host.
 
 use nanorand::Rng;
 
@@ -16,7 +16,7 @@
 }
 
 impl Node {
-    /// Chooses the cheapest host that is open to the call; ties break at random.
+    /// Chooses the cheapest host that is open to the call; ties are broken at random.
     pub(super) fn place(&mut self, call_index: CallIndex, _: &mut dyn Port) -> StageResult {
         let remote_zone_load = self.remote_zone_load();
         self.order_homes(call_index);
@@ -63,8 +63,9 @@
         PlacementCost { has_failed_there, cost }
     }
 
-    /// Whether a host takes new attempts: it is ready, not ejected, below its load limit, and did not turn attempts away
-    /// just now. After an ejection it gets one call at a time.
+    /// Whether a host accepts new attempts: it is ready, not ejected (unless in panic mode), below its load
+    /// limit, and neither rejected attempts nor was overloaded just now. After an ejection it gets one call
+    /// at a time.
     pub(super) fn is_available(&self, host_index: HostIndex) -> bool {
         let host = &self.hosts[host_index];
         host.condition == Condition::Ready
@@ -74,9 +75,9 @@
             && host.outlier.rejecting_until.max(host.overload.closed_until) <= self.now
     }
 
-    /// Whether the host has room for the whole load of a connection that is known to be heavier than most.
+    /// Whether the host has room for the whole load of a call that is expected to be heavier than the mean.
     fn has_room(&self, call_index: CallIndex, host: HostIndex) -> bool {
-        let beyond_mean = (self.expected_load(call_index) - 1.0).max(0.0);
-        self.load(host) + beyond_mean < self.hosts[host].overload.load_limit
+        let load_above_mean = (self.expected_load(call_index) - 1.0).max(0.0);
+        self.load(host) + load_above_mean < self.hosts[host].overload.load_limit
     }
 }
--- a/src/node/rebalancing.rs
+++ b/src/node/rebalancing.rs
@@ -1,13 +1,14 @@
-//! Rebalancing: one connection leaves the most loaded host at a time, naming no target (the gap test of docs/design.md).
+//! Rebalancing: migrates one connection at a time from the most loaded host, without naming a target (the gap
+//! test of docs/design.md).
 
 use super::Node;
 use crate::domain::Condition;
 use crate::port::Port;
 use crate::state::host::HostIndex;
 
-/// Part of the highest load that the gap has to exceed.
+/// Minimum gap between the highest and the lowest load, as a share of the highest.
 const MIN_GAP_SHARE: f64 = 0.2;
-/// By how many connections, or mean loads, the highest has to exceed the lowest.
+/// Minimum gap between the highest and the lowest load, in connections or in multiples of the mean load.
 const MIN_GAP: f64 = 2.0;
 
 /// A host and its load for each unit of size.
@@ -18,7 +19,8 @@
 }
 
 impl Node {
-    /// Migrates a random connection of the most loaded host, if the gap to the least loaded is wide enough.
+    /// Migrates a random connection of the most loaded host if the gap to the least loaded host is wide
+    /// enough.
     pub(super) fn rebalance(&mut self, port: &mut dyn Port) {
         let Some((highest, lowest)) = self.load_extremes() else { return };
         if !self.is_gap_wide(highest, lowest) {
--- a/src/node/reconfiguration.rs
+++ b/src/node/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! A change of settings while the node runs.
+//! Changes of the settings while the node runs.
 
 use super::Node;
 use crate::domain::{Settings, Time, Weights};
@@ -9,9 +9,9 @@
 use crate::state::timers::WATCH_TIMER;
 
 impl Node {
-    /// Other settings hold from now on. In-flight calls keep the deadline and the attempts that they have; hosts keep
-    /// what is known of them, their slow-start budgets and ejections too. Classes keep their numbers: the settings may
-    /// name more of them than before, not fewer.
+    /// Applies new settings from now on. In-flight calls keep their deadlines and attempts; hosts keep what
+    /// is known about them, including slow-start budgets and ejections. Classes keep their indexes: the new
+    /// settings may add classes but not remove any.
     pub fn update_settings(&mut self, now: Time, settings: Settings, port: &mut dyn Port) {
         self.now = now;
         let had_to_poll = self.settings.poll_interval.is_some();
@@ -27,7 +27,8 @@
 
     fn change_weights(&mut self, had_live_weights: bool) {
         match self.settings.weights {
-            // What was reported of loads would go on to count beside sizes, and never age.
+            // Connections reported through live weights would keep counting in the score and never be
+            // updated.
             Weights::Sizes => {
                 self.sizes = SizeEstimator::default();
                 for host in &mut self.hosts {
@@ -35,7 +36,7 @@
                     host.attempts_since_list = [0.0; 2];
                 }
             }
-            // Without the sizes of before, the first weights that fell with load would be taken for them.
+            // Without the known sizes, the first weights that fall with load would be taken for sizes.
             Weights::Live if !had_live_weights => self.sizes.learn_sizes(&self.hosts),
             Weights::Live => {}
         }
@@ -46,7 +47,8 @@
         if had_to_poll && !has_to_poll {
             self.endpoint_watch = EndpointWatch::unneeded(self.now);
         } else if !had_to_poll && has_to_poll {
-            // A fleet is told its settings together, and would ask in step.
+            // All nodes of a fleet receive new settings together, and would send their requests at the same
+            // time.
             let spread = request_spread(&self.settings).times(self.random());
             let request_at = self.now + spread;
             self.endpoint_watch = EndpointWatch::due(request_at);
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -1,26 +1,27 @@
-//! The score of a host: this node's connections and their smoothed load, compared by the host's size.
+//! The score of a host: this node's connections and their smoothed load, relative to the host's size.
 
 use super::Node;
 use crate::domain::Weights;
 use crate::state::call::CallIndex;
 use crate::state::host::HostIndex;
 
-/// What a host pays once for a group, in connections. Deployments do not tell; 1 to 9 were tried.
+/// Cost of a group on a host that has none of its connections yet, in connections. Deployments do not state
+/// it.
 const GROUP_COST: f64 = 5.0;
-/// Other nodes' connections count twice where the list tells them: as connections, and as the load that comes with them,
-/// which the list does not tell.
+/// Weight of other nodes' connections where the list reports them: they count once as connections and once
+/// for their load, which the list does not report.
 const REMOTE_CONNECTION_WEIGHT: f64 = 2.0;
-/// Least size of a host, so that sizes can be divided by.
+/// Minimum size of a host, so that dividing by sizes is safe.
 const MIN_SIZE: f64 = 1e-6;
-/// Least load of a call, as a part of the mean, when its worth is judged.
+/// Minimum load of a call, as a share of the mean, when its revenue per load is computed.
 const MIN_LOAD_SHARE: f64 = 0.1;
 
 impl Node {
     /// Own connections plus smoothed load, in connections of the mean load.
     ///
-    /// Where the list tells what all nodes have on a host, all nodes see the same late figure and would fill the same
-    /// gap, each the whole of it. There the score is the mean of what all nodes have, and this node's own attempts since
-    /// that list count as if every node had sent the same.
+    /// Where the list reports the connections of all nodes on a host, all nodes see the same outdated figure,
+    /// and each would fill the whole of the same gap. There the score is the mean over all nodes, and this
+    /// node's attempts since that list count as if every node had sent as many.
     fn score(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
         let smoothed = if self.loads.mean > 0.0 { host.work.smoothed_rate / self.loads.mean } else { 0.0 };
@@ -31,8 +32,9 @@
         (own + REMOTE_CONNECTION_WEIGHT * remote) / node_count + self.settings.remote_share() * since_list
     }
 
-    /// The score for each unit of size, raised while the host is overloaded. Hosts of another zone carry load of their
-    /// own that this node does not see: as much as its own zone, where a crossing is dear.
+    /// The score per unit of size, raised while the host is overloaded. Hosts of another zone carry load of
+    /// that zone which this node does not see: the more expensive a crossing is, the more is assumed there,
+    /// up to as much as in this node's zone.
     pub(super) fn relative_load(&self, host_index: HostIndex, remote_zone_load: f64) -> f64 {
         let host = &self.hosts[host_index];
         let crossing_cost =
@@ -41,8 +43,8 @@
         (score / self.size(host_index) + crossing_cost * remote_zone_load) * (1.0 + host.overload.penalty)
     }
 
-    /// Estimate of the other nodes' load for each unit of size, each with as much as this node in all. Nothing where the
-    /// list tells it, which is in the score then.
+    /// Estimate of the other nodes' load per unit of size, assuming that each has as much as this node in
+    /// total. It is 0 where the list reports that load, since the score then includes it.
     pub(super) fn remote_load(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
         if host.reported_connections.is_some() {
@@ -54,7 +56,8 @@
             / self.size(host_index)
     }
 
-    /// What the call itself adds: its load where that is known, and the cost of its group where the host has none of it.
+    /// Load that the call itself adds: its expected load, and the cost of its group where the host has none
+    /// of it.
     pub(super) fn added_load(&self, call_index: CallIndex, host: HostIndex) -> f64 {
         let remote_share = self.settings.remote_share();
         let size = self.size(host);
@@ -69,8 +72,9 @@
         load + group * ((1.0 - remote_share) / size + remote_share / self.fleet.mean_size)
     }
 
-    /// Load for each unit of size that hosts of other zones are assumed to carry unseen: each zone as much as this one,
-    /// on its own hosts. Without this, a node beside few hosts would crowd these while others idle.
+    /// Load per unit of size that hosts of other zones are assumed to carry unseen: each zone as much as this
+    /// one, on its own hosts. Without it, a node in a zone with few hosts would crowd them while others are
+    /// idle.
     pub(super) fn remote_zone_load(&self) -> f64 {
         let is_reported = self.settings.weights == Weights::Live;
         let mut local_score = 0.0;
@@ -94,22 +98,22 @@
         if local_size <= 0.0 || remote_size <= 0.0 {
             return 0.0;
         }
-        let own_part = (1.0 - 2.0 * self.displaced_share()).max(0.0);
+        let own_share = (1.0 - 2.0 * self.displaced_share()).max(0.0);
         let other_zones = f64::from(last_zone.max(self.settings.zone.0));
-        local_score * own_part * other_zones / remote_size
+        local_score * own_share * other_zones / remote_size
     }
 
-    /// What the host can do by now.
+    /// Current size of the host, which grows during slow start.
     pub(super) fn size(&self, host: HostIndex) -> f64 {
         self.hosts[host].size.0.max(MIN_SIZE) * self.slow_start_share(host)
     }
 
-    /// What the host carries for this node now, in connections of the mean load.
+    /// Load that this node currently has on the host, in connections of the mean load.
     pub(super) fn load(&self, host: HostIndex) -> f64 {
         self.hosts[host].load(self.loads.mean)
     }
 
-    /// The load to expect of a call, in connections of the mean load; 0 where no load was ever reported.
+    /// Expected load of a call, in connections of the mean load; 0 if no load was ever reported.
     pub(super) fn expected_load(&self, call_index: CallIndex) -> f64 {
         if self.loads.mean <= 0.0 {
             return 0.0;
@@ -120,8 +124,8 @@
         call.load.unwrap_or(default_load) / self.loads.mean
     }
 
-    /// Revenue of a call for its load.
-    pub(super) fn worth(&self, call_index: CallIndex) -> f64 {
+    /// Revenue of a call per unit of load.
+    pub(super) fn revenue_per_load(&self, call_index: CallIndex) -> f64 {
         let call = &self.calls[call_index];
         let class = call.class_index();
         let known_load = call.load.unwrap_or(self.loads.mean_by_class[class]);
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -1,18 +1,19 @@
-//! What a node leaves to its next process, and to other nodes should it be lost.
+//! State that a node passes on to its next process, and to other nodes if it is lost.
 
 use super::Node;
 use crate::domain::{GroupId, HostId, NodeSnapshot, Size, SubjectId, Time, WarmState, Weights};
 use crate::state::host::Host;
 
-/// Ticks that a restored node counts as having run: past the time in which means are those of all seconds so far.
+/// Tick count of a restored node: past the initial period, in which means are taken over all seconds so far.
 const TICKS_AFTER_RESTORE: u64 = 50;
-/// How long hosts of a lost node's groups count as homes, in seconds.
+/// How long hosts with connections of a lost node's groups count as homes, in seconds.
 const INHERITED_HOME_SECONDS: u32 = 10;
-/// Loads closer to the mean than this part of it are what anybody would expect, and not told.
+/// Minimum relative deviation from the mean load of the loads that other nodes are told; a load closer to the
+/// mean is what they would assume anyway.
 const MIN_LOAD_DEVIATION: f64 = 0.1;
 
 impl Node {
-    /// What the next process has to know to go on from here.
+    /// The state from which the next process continues.
     pub fn snapshot(&self) -> NodeSnapshot {
         NodeSnapshot {
             hosts: self.hosts.iter().map(Host::snapshot).collect(),
@@ -21,9 +22,9 @@
         }
     }
 
-    /// Adopts what the process before knew; called after the endpoint list is known. A process that begins with nothing
-    /// takes hosts for empty and known to be well, sends cold ones a second budget, and takes the clients that the old
-    /// one sends over for another node's.
+    /// Adopts the state of the previous process; called after the endpoint list is known. A process without
+    /// it would take hosts for empty and healthy, send cold hosts a second budget, and take the clients that
+    /// the old process hands over for clients of another node.
     pub fn restore(&mut self, snapshot: &NodeSnapshot) {
         for host_snapshot in &snapshot.hosts {
             if let Some(host) = self.host_index.get(&host_snapshot.host) {
@@ -53,7 +54,7 @@
         self.sizes.learn_sizes(&self.hosts);
     }
 
-    /// Says how many connections the process before has at a host now; without a host, at all of them.
+    /// Sets how many connections the previous process now has at a host; `None` stands for each host.
     pub fn set_predecessor_connections(&mut self, host: Option<HostId>, connections: f64) {
         for known in &mut self.hosts {
             if host.is_none_or(|host| host == known.id) {
@@ -62,8 +63,8 @@
         }
     }
 
-    /// What clients of this node come back to, should it be lost: at most `limit` homes and `limit` loads, of the loads
-    /// those that are furthest from what anybody would expect.
+    /// Hints for the nodes to which this node's clients go if it is lost: at most `limit` homes and `limit`
+    /// loads. Loads that deviate most from the mean are kept.
     pub fn warm_state(&self, limit: usize) -> WarmState {
         let homes = self.groups.homes().map(|(group, host)| (group, self.hosts[host].id));
         let mut homes: Vec<(GroupId, HostId)> = homes.collect();
@@ -80,13 +81,13 @@
         WarmState { homes, loads }
     }
 
-    /// Loads by client: of connections that ended, then of those that are open.
+    /// Loads by subject, first of connections that ended, then of open ones.
     fn known_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
         let open = self.calls.iter().filter_map(|(_, call)| call.call.subject.zip(call.load));
         self.load_cache.local_loads().chain(open)
     }
 
-    /// A node was lost, and its clients come to this one and others.
+    /// Adopts the hints of a lost node, whose clients come to this node and others.
     pub fn adopt_warm_state(&mut self, now: Time, warm_state: &WarmState) {
         self.now = now;
         for (group, host) in &warm_state.homes {
--- a/src/node/tick.rs
+++ b/src/node/tick.rs
@@ -1,33 +1,34 @@
-//! Housekeeping, once a second.
+//! Periodic work, once a second.
 
 use super::Node;
 use crate::domain::{Condition, Span};
 use crate::port::Port;
 use crate::state::timers::{TICK_PERIOD, TICK_TIMER};
 
-/// Smoothing of a host's load, from the paper named in docs/design.md.
+/// Smoothing factor of a host's load, from the paper named in docs/design.md.
 const LOAD_SMOOTHING: f64 = 0.06;
-/// Lowest smoothing of how alike groups are.
-const GROUP_SMOOTHING: f64 = 0.06;
-/// What a second leaves of an overload penalty: half in 5 s, the time between two moves.
+/// Minimum smoothing factor of the similarity of groups.
+const MIN_GROUP_SMOOTHING: f64 = 0.06;
+/// Share of an overload penalty that remains after a second: half after 5 s, the time between two rebalancing
+/// moves.
 const PENALTY_DECAY: f64 = 0.87;
-/// The same where the node has no connections: from there it hears no news, good or bad.
+/// The same for a host without connections of this node, about which it hears nothing, good or bad.
 const UNSEEN_PENALTY_DECAY: f64 = 0.97;
-/// What a second leaves of the counts of recent attempts and breaks.
+/// Share of the counts of recent attempts and breaks that remains after a second.
 const RECENT_DECAY: f64 = 0.8;
-/// Ticks between two generations of remembered loads.
+/// Ticks between two generations of the load cache.
 const LOAD_CACHE_PERIOD: u64 = 30;
-/// Ticks between two moves.
+/// Ticks between two rebalancing moves.
 const REBALANCE_PERIOD: u64 = 5;
 
 impl Node {
-    /// Updates all estimates, probes, and moves connections that are due to move.
+    /// Updates all estimates, sends probes, polls the endpoint list, and rebalances.
     pub(super) fn tick(&mut self, port: &mut dyn Port) {
         let elapsed = self.now.since(self.last_tick).seconds().max(1e-3);
         self.last_tick = self.now;
         self.ticks += 1;
         self.update_hosts(elapsed);
-        self.groups.tick((1.0 / self.ticks as f64).max(GROUP_SMOOTHING));
+        self.groups.tick((1.0 / self.ticks as f64).max(MIN_GROUP_SMOOTHING));
         self.traffic.fade(RECENT_DECAY);
         self.setup_limit.decay();
         self.fill_budgets(elapsed);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Refreshes the sums over the fleet.
+    /// Refreshes the estimate over all ready hosts.
     fn update_fleet_estimate(&mut self) {
         let mut local_load = 0.0;
         let mut local_size = 0.0;
