--- a/tests/scenarios/notation.rs
+++ b/tests/scenarios/notation.rs
@@ -1,4 +1,4 @@
-//! Reads the parts of a scenario's lines.
+//! Parses the parts of a scenario's lines.
 
 use std::collections::HashMap;
 use std::fmt::Debug;
@@ -13,15 +13,15 @@
 
 /// Parses a word.
 pub(crate) fn parse<T: FromStr<Err: Debug>>(text: &str) -> T {
-    text.parse().unwrap_or_else(|error| panic!("{text:?}: {error:?}"))
+    text.parse().unwrap_or_else(|error| panic!("cannot parse {text:?}: {error:?}"))
 }
 
-/// A span given in seconds.
+/// Parses a span given in seconds.
 pub(crate) fn seconds(text: &str) -> Span {
     Span::from_seconds(parse(text))
 }
 
-/// How an attempt or a probe ends.
+/// Parses the outcome of an attempt or a probe.
 pub(crate) fn outcome(text: &str) -> AttemptOutcome {
     match text {
         "completed" => AttemptOutcome::Completed,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The state in which the list names a host.
+/// Parses the condition that the list gives for a host.
 pub(crate) fn condition(text: &str) -> Condition {
     match text {
         "ready" => Condition::Ready,
@@ -49,12 +49,12 @@
 pub(crate) struct Options<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Options<'a> {
-    /// Takes up all words of a statement.
+    /// Reads all words of a statement.
     pub(crate) fn new(words: &[&'a str]) -> Options<'a> {
         Options(words.iter().map(|word| word.split_once('=').unwrap_or((word, ""))).collect())
     }
 
-    /// Whether the name was given, with or without a value.
+    /// Whether the name occurs, with or without a value.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
@@ -75,11 +75,11 @@
     }
 }
 
-/// The settings of a node: what differs from the usual ones.
+/// Parses the settings of a node: what differs from the default ones.
 pub(crate) fn settings(words: &[&str]) -> Settings {
     let options = Options::new(words);
     let usual = usual_settings(options.value("node").unwrap_or(0), options.value("nodes").unwrap_or(1));
-    let other_revenue = options.value("other-revenue").unwrap_or(1.0);
+    let class_1_revenue = options.value("class-1-revenue").unwrap_or(1.0);
     let class = |revenue| TrafficClass {
         idempotency: idempotency(&options),
         setup_target: options.span("setup-target").unwrap_or(Span::ms(800)),
@@ -87,7 +87,7 @@
         revenue,
     };
     Settings {
-        classes: vec![class(1.0), class(other_revenue)],
+        classes: vec![class(1.0), class(class_1_revenue)],
         max_attempts: options.value("attempts").unwrap_or(4),
         weights: if options.has("live-weights") { Weights::Live } else { Weights::Sizes },
         reports_message_times: !options.has("no-message-times"),
@@ -97,7 +97,7 @@
         retry_budget: options.text("retry-budget").map(retry_budget),
         start_uncertainty: options.span("start-uncertainty").unwrap_or(Span::ZERO),
         cross_zone_price: options.value("cross-zone-price").unwrap_or(0.0),
-        whole_weight: options.value("whole-weight").unwrap_or(1.0),
+        whole_weight: options.value("overall-service-weight").unwrap_or(1.0),
         ..usual
     }
 }
@@ -119,8 +119,10 @@
     }
 }
 
-/// `5+0.03`: retries without any call, and for each call, in 10 s.
+/// Parses a retry budget: `5+0.03` allows 5 retries and 0.03 per call in 10 s.
 fn retry_budget(text: &str) -> RetryBudget {
-    let (free, part) = text.split_once('+').unwrap_or_else(|| panic!("{text:?} is no retry budget"));
-    RetryBudget { min_retries: parse(free), ratio: parse(part), window: Span::ms(10_000) }
+    let (min_retries_text, ratio_text) = text
+        .split_once('+')
+        .unwrap_or_else(|| panic!("{text:?} is not a retry budget, which is written RETRIES+RATIO"));
+    RetryBudget { min_retries: parse(min_retries_text), ratio: parse(ratio_text), window: Span::ms(10_000) }
 }
--- a/tests/scenarios/player.rs
+++ b/tests/scenarios/runner.rs
@@ -1,4 +1,4 @@
-//! Plays the statements of a scenario against one node.
+//! Runs the statements of a scenario against one node.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,12 +11,12 @@
 use crate::notation::{Options, condition, outcome, parse, seconds, settings};
 use crate::support::{Action, EventQueue, RecordingPort, usual_endpoint};
 
-/// The seed of all nodes.
+/// Seed of all nodes.
 const SEED: u64 = 7;
-/// What setups and answers to probes take unless the scenario says otherwise.
-const USUAL_SETUP_TIME: Span = Span::ms(20);
-/// When the final answer of a call is due after its arrival, unless the scenario says otherwise.
-const USUAL_DEADLINE: Span = Span::ms(3200);
+/// Time that setups and answers to probes take unless the scenario sets another.
+const DEFAULT_SETUP_TIME: Span = Span::ms(20);
+/// Time from a call's arrival to its deadline unless the scenario sets another.
+const DEFAULT_DEADLINE: Span = Span::ms(3200);
 
 #[derive(Clone, Copy)]
 enum Event {
@@ -27,11 +27,11 @@
 /// What a host does with attempts.
 #[derive(Clone, Copy)]
 enum Behaviour {
-    /// It sets them up at once.
+    /// It sets up each attempt at once.
     Healthy,
-    /// It does not answer.
+    /// It never answers.
     Silent,
-    /// It ends them at once.
+    /// It ends each attempt at once with this outcome.
     Ends(AttemptOutcome),
 }
 
@@ -41,35 +41,35 @@
     host: HostId,
 }
 
-/// A node with the world around it.
-pub(crate) struct Player {
+/// A node with simulated hosts, clients and time.
+pub(crate) struct ScenarioRunner {
     node: Node,
     now: Time,
     port: RecordingPort,
-    /// Names of the hosts; the position is the id.
+    /// Names of the hosts, indexed by id.
     host_names: Vec<String>,
-    /// All that the node has done since the last `clear`, a line each.
-    done: Vec<String>,
+    /// All actions of the node since the last `clear`, one line each.
+    performed: Vec<String>,
     events: EventQueue<Event>,
     behaviours: HashMap<HostId, Behaviour>,
     outstanding: BTreeMap<CallId, Outstanding>,
     attempts: HashMap<CallId, u16>,
     setup_times: HashMap<HostId, Span>,
-    /// What the process before left.
+    /// State that the previous process left.
     snapshot: NodeSnapshot,
 }
 
-impl Player {
+impl ScenarioRunner {
     /// Starts a node at time 0.
-    pub(crate) fn start(settings: Settings) -> Player {
+    pub(crate) fn start(settings: Settings) -> ScenarioRunner {
         let mut port = RecordingPort::default();
         let node = Node::start(settings, SEED, Time(0), &mut port);
-        let mut player = Player {
+        let mut runner = ScenarioRunner {
             node,
             now: Time(0),
             port,
             host_names: Vec::new(),
-            done: Vec::new(),
+            performed: Vec::new(),
             events: EventQueue::default(),
             behaviours: HashMap::new(),
             outstanding: BTreeMap::new(),
@@ -77,12 +77,12 @@
             setup_times: HashMap::new(),
             snapshot: NodeSnapshot::default(),
         };
-        player.settle();
-        player
+        runner.process_actions();
+        runner
     }
 
-    /// Plays one statement.
-    pub(crate) fn play(&mut self, words: &[&str]) {
+    /// Executes one statement.
+    pub(crate) fn execute(&mut self, words: &[&str]) {
         match words {
             ["at", time] => self.run_to(Time(0) + seconds(time)),
             [name @ ("ready" | "draining" | "gone"), hosts, ..] => self.change_list(name, hosts, words),
@@ -94,7 +94,7 @@
             }
             ["probe-ended", host, outcome] => self.end_probe(host, outcome),
             ["open", calls, host, ..] => self.open(calls, host, words),
-            ["call", calls, ..] => self.arrive(calls, words),
+            ["call", calls, ..] => self.start_calls(calls, words),
             ["end", calls, how, ..] => {
                 for call in self.calls(calls) {
                     self.end_attempt(call, outcome(how), words.contains(&"final"));
@@ -116,11 +116,11 @@
                 let host = self.host(host);
                 self.node.set_predecessor_connections(Some(host), parse(open));
             }
-            ["clear"] => self.done.clear(),
+            ["clear"] => self.performed.clear(),
             ["expect" | "never" | "first", ..] => self.check(words),
             other => panic!("unknown statement {other:?}"),
         }
-        self.settle();
+        self.process_actions();
     }
 
     fn check(&self, words: &[&str]) {
@@ -128,34 +128,38 @@
             ["expect", pattern @ .., "times", least, most] => {
                 let count = self.count(pattern);
                 let range = parse(least)..=parse(most);
-                assert!(range.contains(&count), "{count} times {pattern:?} in {:#?}", self.done);
+                assert!(
+                    range.contains(&count),
+                    "{pattern:?} occurred {count} times, expected {range:?}, in {:#?}",
+                    self.performed
+                );
             }
             ["expect", pattern @ ..] => {
-                assert!(self.count(pattern) > 0, "no {pattern:?} in {:#?}", self.done);
+                assert!(self.count(pattern) > 0, "{pattern:?} did not occur in {:#?}", self.performed);
             }
             ["never", pattern @ ..] => {
-                assert_eq!(self.count(pattern), 0, "{pattern:?} in {:#?}", self.done);
+                assert_eq!(self.count(pattern), 0, "{pattern:?} occurred in {:#?}", self.performed);
             }
             ["first", verb, rest @ ..] => {
-                let line = self.done.iter().find(|line| line.starts_with(*verb)).cloned();
+                let line = self.performed.iter().find(|line| line.starts_with(*verb)).cloned();
                 assert_eq!(line, Some(format!("{verb} {}", rest.join(" "))));
             }
             other => panic!("unknown check {other:?}"),
         }
     }
 
-    /// How many actions fit a pattern, in which `*` stands for any word.
+    /// Number of actions that match a pattern, in which `*` stands for any word.
     fn count(&self, pattern: &[&str]) -> usize {
-        let fits = |line: &&String| {
+        let matches_pattern = |line: &&String| {
             let mut words = line.split(' ');
             pattern
                 .iter()
                 .all(|expected| words.next().is_some_and(|word| *expected == "*" || *expected == word))
         };
-        self.done.iter().filter(fits).count()
+        self.performed.iter().filter(matches_pattern).count()
     }
 
-    /// Runs the clock; timers and time-outs on the way happen.
+    /// Advances the clock; timers and time-outs that become due fire.
     fn run_to(&mut self, time: Time) {
         while let Some((event_time, event)) = self.events.pop_until(time) {
             self.now = event_time;
@@ -163,17 +167,17 @@
                 Event::Timer(token) => self.node.timer_fired(event_time, token, &mut self.port),
                 Event::AttemptTimeout(call) => self.end_attempt(call, AttemptOutcome::TimedOut, false),
             }
-            self.settle();
+            self.process_actions();
         }
         self.now = time;
     }
 
-    /// Records what the node did, and lets hosts answer the attempts that reached them.
-    fn settle(&mut self) {
+    /// Records the actions of the node and lets hosts answer the attempts sent to them.
+    fn process_actions(&mut self) {
         while !self.port.actions.is_empty() {
             let mut answered = Vec::new();
             for action in std::mem::take(&mut self.port.actions) {
-                self.done.push(self.describe(action));
+                self.performed.push(self.describe(action));
                 match action {
                     Action::SendAttempt { call, host, timeout } => {
                         if let Some(behaviour) = self.attempt_sent(call, host, timeout) {
@@ -209,7 +213,8 @@
         }
     }
 
-    /// Books an attempt. Returns how the host answers at once: with an outcome, or by setting it up (`None`).
+    /// Records an attempt. Returns the immediate answer of the host, if any: an outcome, or `None` for a
+    /// setup.
     fn attempt_sent(&mut self, call: CallId, host: HostId, timeout: Span) -> Option<Option<AttemptOutcome>> {
         let attempts = self.attempts.entry(call).or_default();
         let outstanding = Outstanding { attempt: AttemptNumber(*attempts), host };
@@ -253,7 +258,7 @@
     }
 
     fn setup_time(&self, host: HostId) -> Span {
-        self.setup_times.get(&host).copied().unwrap_or(USUAL_SETUP_TIME)
+        self.setup_times.get(&host).copied().unwrap_or(DEFAULT_SETUP_TIME)
     }
 
     fn set_behaviour(&mut self, host: &str, text: &str) {
@@ -266,7 +271,7 @@
         self.behaviours.insert(host, behaviour);
     }
 
-    /// The id of a host, which is new if its name is.
+    /// Id of a host; a new name gets a new id.
     fn host(&mut self, name: &str) -> HostId {
         let known = self.host_names.iter().position(|known| known == name);
         let index = known.unwrap_or_else(|| {
@@ -312,20 +317,20 @@
         }
     }
 
-    fn arrive(&mut self, calls: &str, words: &[&str]) {
+    fn start_calls(&mut self, calls: &str, words: &[&str]) {
         let options = Options::new(words);
         for id in self.calls(calls) {
             let call = self.call(id, &options);
             self.node.call_arrived(self.now, call, &mut self.port);
-            self.settle();
+            self.process_actions();
         }
     }
 
-    /// `7` is one call, `7..9` are three, `@a` are those with an attempt at host a.
+    /// Parses calls: `7` is one call, `7..9` are three, `@a` are those with an attempt at host a.
     fn calls(&self, text: &str) -> Vec<CallId> {
         if let Some(name) = text.strip_prefix('@') {
-            let is_there = |outstanding: &Outstanding| self.host_names[outstanding.host.0 as usize] == name;
-            let calls = self.outstanding.iter().filter(|(_, outstanding)| is_there(outstanding));
+            let is_at_host = |outstanding: &Outstanding| self.host_names[outstanding.host.0 as usize] == name;
+            let calls = self.outstanding.iter().filter(|(_, outstanding)| is_at_host(outstanding));
             return calls.map(|(call, _)| *call).collect();
         }
         let (first, last) = text.split_once("..").unwrap_or((text, text));
@@ -339,7 +344,7 @@
             tenant: TenantId(0),
             subject: options.value("subject").map(SubjectId),
             group: options.value("group").map(GroupId),
-            deadline: self.now + options.span("deadline").unwrap_or(USUAL_DEADLINE),
+            deadline: self.now + options.span("deadline").unwrap_or(DEFAULT_DEADLINE),
             load: options.value("load"),
             is_returning: options.has("returning"),
             is_mid_flow: false,
@@ -347,10 +352,14 @@
         }
     }
 
-    /// `a:0.5` is an attempt at host a, half a second ago.
+    /// Parses a prior attempt: `a:0.5` is an attempt at host a, half a second ago.
     fn prior_attempt(&self, text: &str) -> (HostId, Time) {
-        let (name, age) = text.split_once(':').expect("a host and seconds");
-        let host = self.host_names.iter().position(|known| known == name).expect("a known host");
+        let (name, age) = text.split_once(':').expect("a prior attempt is written HOST:SECONDS");
+        let host = self
+            .host_names
+            .iter()
+            .position(|known| known == name)
+            .expect("the host of a prior attempt must be named before");
         (HostId(host as u64), self.now - seconds(age))
     }
 }
