--- a/src/node.rs
+++ b/src/node.rs
@@ -91,7 +91,7 @@
     load_cache: LoadCache,
     traffic: TrafficStats,
     retries: RetryCounter,
-    /// Ticks since the start.
+    /// Number of ticks so far.
     ticks: u64,
     last_tick: Time,
     /// Last host considered when hosts in service are probed in turn.
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -63,10 +63,10 @@
         self.settings.small_fleet_factor() * displaced / self.calls.len().max(1) as f64
     }
 
-    /// Whether a returning client is turned away at once. When a large part of a large fleet is lost or cold,
-    /// its clients return to the remaining hosts and overload them. So a node on which connections broke
-    /// recently admits returning clients only up to the share of its usual connections that the hosts can
-    /// carry; the others are told when to return.
+    /// Whether a returning client gets its final answer at once. When a large part of a large fleet is lost
+    /// or cold, its clients return to the remaining hosts and overload them. So a node on which connections
+    /// broke recently admits returning clients only up to the share of its usual connections that the hosts
+    /// can carry; the others are told when to return.
     pub(super) fn exceeds_remaining_capacity(&mut self, call_index: CallIndex) -> bool {
         let call = self.calls[call_index].call;
         let remaining_share =
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Requests the list where it may be stale without notice; called once a second. In panic mode or without
-    /// a ready host, the whole list is fetched, with growing delays. A request without an answer is repeated.
+    /// Requests the list when it may be stale without notice; called once a second. Without any host, the
+    /// first request is sent at once. In panic mode or without a ready host, the whole list is fetched, with
+    /// growing delays. A request without an answer is repeated.
     pub(super) fn poll_endpoints(&mut self, port: &mut dyn Port) {
         let Some(poll_interval) = self.settings.poll_interval else { return };
         if self.hosts.is_empty() && self.endpoint_watch.is_new() {
