--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -20,7 +20,7 @@
 /// Returning clients are admitted up to this multiple of the share of the usual fleet size that remains.
 /// Higher and lower values served fewer clients.
 const READMISSION_FACTOR: f64 = 1.3;
-/// Decaying count of broken connections from which a node assumes that part of the fleet was lost.
+/// Decaying count of broken connections at which a node assumes that part of the fleet was lost.
 const MIN_RECENT_BREAKS: f64 = 0.3;
 
 impl Node {
--- a/src/node/idempotency.rs
+++ b/src/node/idempotency.rs
@@ -10,7 +10,7 @@
         self.settings.classes[self.calls[call_index].class_index()].idempotency
     }
 
-    /// Whether the call may run again on any host.
+    /// Whether the call may run again at all.
     pub(super) fn may_repeat(&self, call_index: CallIndex) -> bool {
         match (self.idempotency(call_index), self.calls[call_index].first_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -17,7 +17,7 @@
 const BACKLOG_CLEAR_SECONDS: f64 = 0.8;
 /// Share of the message target below which nothing is shed. Shedding only from a higher share lost far more.
 const HEALTHY_SHARE: f64 = 0.3;
-/// Maximum share of a host's load that is shed at once, unless the host is stalled.
+/// Maximum share of a host's load that is shed at once, unless the host is stalled and no call has a group.
 const MAX_SHED_SHARE: f64 = 0.5;
 /// A load limit below this multiple of the mean load grows as fast as one at that multiple.
 const MEAN_LOAD_MULTIPLE: f64 = 1.5;
@@ -45,7 +45,7 @@
         // A stalled host does not show its capacity, and limits cut because of it would close the fleet. All
         // its connections are served sooner elsewhere, unless groups make moving them expensive.
         let max_share = if is_stalled && self.groups.total == 0 { 1.0 } else { MAX_SHED_SHARE };
-        // Where most hosts are closed, a connection that leaves one comes back to another closed one.
+        // Where most hosts are closed, a connection that leaves one only moves its load to another like it.
         let share = (growth + self.fleet.open_share * took / BACKLOG_CLEAR_SECONDS).clamp(0.0, max_share);
         let new_limit = if is_stalled { f64::INFINITY } else { load * (1.0 - growth.max(0.0)) };
         self.cut_load_limit(host_index, new_limit);
