--- a/src/node.rs
+++ b/src/node.rs
@@ -94,7 +94,7 @@
     /// Number of ticks so far.
     ticks: u64,
     last_tick: Time,
-    /// Last host considered when hosts in service are probed in turn.
+    /// Last host considered when hosts in service are probed in turn to measure their probe times.
     probe_cursor: HostIndex,
     /// Ejections are ignored: more than half of the ready hosts are ejected, which points to a fault of this
     /// node rather than of the hosts.
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -13,7 +13,7 @@
 /// Maximum delay before waiting calls are tried again: short compared with any setup target, and long enough
 /// to cost little CPU.
 const MAX_RETRY_DELAY: Span = Span::ms(40);
-/// Number of calls that find no host after which a round of waiting calls ends, in a small fleet.
+/// Number of calls that return to the queue after which a round of waiting calls ends, in a small fleet.
 const MAX_FAILURES_PER_ROUND: usize = 8;
 /// Reduction of [`MAX_FAILURES_PER_ROUND`] in a large fleet.
 const LARGE_FLEET_FAILURE_REDUCTION: f64 = 6.0;
@@ -45,8 +45,9 @@
         call_index
     }
 
-    /// Raises the load limits of all hosts, by at most one connection in total. The limits were learned while
-    /// other nodes also had connections on these hosts, and would keep those nodes' clients out.
+    /// Raises the load limits of all hosts in proportion to their sizes, by about one connection in total
+    /// over the ready hosts of a small fleet. The limits were learned while other nodes also had connections
+    /// on these hosts, and would keep those nodes' clients out.
     fn raise_load_limits(&mut self) {
         for host in 0..self.hosts.len() {
             let small_fleet = self.settings.small_fleet_factor();
@@ -55,24 +56,26 @@
         }
     }
 
-    /// Share of the in-flight calls whose previous connection was at another node. When a node drains or
-    /// fails, its clients come to a node that prefers its own zone and keeps its load limits; this share
-    /// relaxes both. It is 0 in a large fleet, where a node has too few calls to estimate it.
+    /// Share of the in-flight calls, beyond the usual, that had a connection at another node: their client
+    /// returns, but this node does not know its load. When a node drains or fails, its clients come to a node
+    /// that prefers its own zone and keeps its load limits; this share relaxes both. It is 0 in a large
+    /// fleet, where a node has too few calls to estimate it.
     pub(super) fn displaced_share(&self) -> f64 {
         let displaced = self.traffic.displaced_beyond_usual(self.calls.len());
         self.settings.small_fleet_factor() * displaced / self.calls.len().max(1) as f64
     }
 
-    /// Whether a returning client gets its final answer at once. When a large part of a large fleet is lost
-    /// or cold, its clients return to the remaining hosts and overload them. So a node on which connections
-    /// broke recently admits returning clients only up to the share of its usual connections that the hosts
-    /// can carry; the others are told when to return.
+    /// Whether a returning client is refused at once. When a large part of a large fleet is lost or cold, its
+    /// clients return to the remaining hosts and overload them. So a node on which connections broke recently
+    /// admits returning clients only up to the share of its usual connections that the hosts can carry; the
+    /// others are told when to return. New clients and connections that are already open (`is_mid_flow`) are
+    /// exempt.
     pub(super) fn exceeds_remaining_capacity(&mut self, call_index: CallIndex) -> bool {
         let call = self.calls[call_index].call;
         let remaining_share =
             READMISSION_FACTOR * self.traffic.ready_size / self.traffic.usual_ready_size.max(1e-9);
-        let is_new = !call.is_returning || call.is_mid_flow;
-        if is_new || remaining_share >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
+        let is_exempt = !call.is_returning || call.is_mid_flow;
+        if is_exempt || remaining_share >= 1.0 || self.traffic.recent_breaks < MIN_RECENT_BREAKS {
             return false;
         }
         let connections = self.hosts.iter().map(Host::connections).sum::<f64>();
@@ -97,7 +100,7 @@
     /// Tries the waiting calls again, those with the highest revenue per load first, then the oldest first.
     ///
     /// With many calls waiting, checking every host for each of them costs more CPU than a node has. Once a
-    /// call that accepts any host has found none, or several others have not, the remaining calls keep
+    /// call that accepts any host has returned to the queue, or several others have, the remaining calls keep
     /// waiting.
     pub(super) fn retry_waiting_calls(&mut self, port: &mut dyn Port) {
         self.start_retry_round();
--- a/src/node/affinity.rs
+++ b/src/node/affinity.rs
@@ -8,13 +8,13 @@
 use crate::state::host::{Host, HostIndex};
 use crate::state::shared_draw::shared_draw;
 
-/// Weight, in connections, of the average group when a group's share of the traffic is estimated: a node's
-/// few connections say little about a single group.
+/// Weight, in connections, of the similarity of all groups when one group's share of the traffic is
+/// estimated: a node's few connections say little about a single group.
 const PRIOR_CONNECTIONS: f64 = 20.0;
 /// Number of hosts of one zone that a group must fill to get homes in each zone. For a smaller group, homes
 /// in each zone cost more than crossing zones does, so it gets homes across all zones.
 const MIN_HOSTS_FOR_ZONE_HOMES: f64 = 0.25;
-/// Added to the expected number of homes before it is rounded down.
+/// Added to the expected number of homes before it is rounded down to the homes beyond the first.
 const HOME_ROUNDING: f64 = 0.75;
 /// Open share of the fleet below which calls wait for a home; scaled by the remote share, so it is lower with
 /// few nodes.
@@ -26,19 +26,20 @@
     remote_zone: f64,
     /// How far a cold host counts with its full size: 0 is only its current size, 1 its full size. In a large
     /// fleet, a cold host that counted with its current size would be home to no group while it warms up.
-    full_size: f64,
+    full_size_share: f64,
 }
 
 impl Node {
     /// Whether the call waits for a home, or for a host that already has connections of its group. If calls
-    /// whose homes are closed went to any host, every host would pay for every group. So they wait unless
-    /// nearly the whole fleet is open; the less of the traffic a node sees, the higher that threshold.
+    /// whose homes are closed went to any host, every host would bear the cost of every group. So they wait
+    /// unless nearly the whole fleet is open; the less of the traffic a node sees, the higher that threshold.
     pub(super) fn waits_for_home(&self, call_index: CallIndex) -> bool {
         let has_group = self.calls[call_index].call.group.is_some();
         has_group && self.fleet.open_share < WAIT_BELOW_OPEN_SHARE * self.settings.remote_share()
     }
 
-    /// Orders the hosts for the call's group. A group with a larger share of the traffic has more homes.
+    /// Orders the hosts for the call's group. A group has at least one home, and more homes with a larger
+    /// share of the traffic.
     pub(super) fn order_homes(&mut self, call_index: CallIndex) {
         // Taken out of `self`, since the keys are computed from the rest of the node.
         let mut order = std::mem::take(&mut self.home_order);
@@ -47,7 +48,7 @@
             let traffic_share = self.group_traffic_share(group);
             let weights = HomeWeights {
                 remote_zone: self.remote_zone_weight(traffic_share),
-                full_size: self.settings.large_fleet_factor(),
+                full_size_share: self.settings.large_fleet_factor(),
             };
             order.keys.extend((0..self.hosts.len()).map(|host| self.home_key(group, host, &weights)));
             let usable_hosts = order.keys.iter().filter(|key| !key.is_infinite()).count() as u32;
@@ -60,7 +61,8 @@
         self.home_order = order;
     }
 
-    /// The group's share of the traffic, shrunk towards the average similarity of this node's groups.
+    /// The group's share of the traffic, shrunk towards the similarity of this node's groups: the probability
+    /// that two connections belong to the same group.
     fn group_traffic_share(&self, group: GroupId) -> f64 {
         let own = f64::from(self.groups.connections(group));
         (own + PRIOR_CONNECTIONS * self.groups.similarity) / (self.groups.total as f64 + PRIOR_CONNECTIONS)
@@ -82,7 +84,8 @@
     fn home_key(&self, group: GroupId, host_index: HostIndex, weights: &HomeWeights) -> f64 {
         let host = &self.hosts[host_index];
         let zone_weight = if host.zone == self.settings.zone { 1.0 } else { weights.remote_zone };
-        let size_share = weights.full_size + (1.0 - weights.full_size) * self.slow_start_share(host_index);
+        let size_share =
+            weights.full_size_share + (1.0 - weights.full_size_share) * self.slow_start_share(host_index);
         let weight = zone_weight * host.size.0 * size_share;
         if host.condition != Condition::Ready || host.outlier.is_ejected() || weight <= 0.0 {
             return f64::INFINITY;
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -56,7 +56,8 @@
     /// Time that the next attempt may take: the setup target, half of the remaining time (which leaves time
     /// for another attempt), or three times the recent setup time, whichever is longest, but never more than
     /// the remaining time. The last permitted attempt gets all of it. Where all setups are slow, hosts still
-    /// work on an attempt that was cut off before they start the next one.
+    /// work on an attempt that was cut off before they start the next one, so a shorter timeout would only
+    /// add work.
     fn attempt_timeout(&self, call_index: CallIndex) -> Span {
         let call = &self.calls[call_index];
         let time_left = self.time_left(call_index);
--- a/src/node/eligibility.rs
+++ b/src/node/eligibility.rs
@@ -7,12 +7,13 @@
 use crate::port::Port;
 use crate::state::call::{AttemptEnd, CallIndex};
 
-/// Clock ticks reserved before a deadline: an event at the deadline itself is seen one tick later, and the
-/// answer must still be in time.
+/// Ticks of the clock, not the node's one-second ticks, that are reserved before a deadline: an event at the
+/// deadline itself is seen one tick later, and the answer must still be in time.
 const RESERVED_TICKS: f64 = 2.0;
 
 impl Node {
-    /// Answers a call that can no longer succeed; enqueues it while too many setups are in progress.
+    /// Answers a call that can no longer succeed or whose retry exceeds the budget; enqueues it while too
+    /// many setups are in progress.
     pub(super) fn check_eligibility(&mut self, call_index: CallIndex, _: &mut dyn Port) -> StageResult {
         let call = &self.calls[call_index];
         let setup_target = self.settings.classes[call.class_index()].setup_target;
--- a/src/node/endpoint_list.rs
+++ b/src/node/endpoint_list.rs
@@ -9,10 +9,11 @@
 use crate::state::shared_draw::shared_draw;
 use crate::state::timers::WATCH_TIMER;
 
-/// Maximum delay after failed requests, as a share of the poll interval.
+/// Maximum backoff after failed requests, as a share of the poll interval; the request spread of a large
+/// fleet may exceed it.
 const MAX_RETRY_SHARE: f64 = 0.3;
-/// Time after which an unanswered request is repeated, and maximum delay between fetches, as a share of the
-/// poll interval.
+/// Time after which an unanswered request is repeated, and maximum backoff between fetches before jitter, as
+/// a share of the poll interval.
 const MAX_WAIT_SHARE: f64 = 0.5;
 /// Base of the delay after failed requests; each failure doubles it.
 const RETRY_DELAY_BASE: Span = Span::ms(250);
@@ -69,7 +70,7 @@
     }
 
     /// Adds a host that the list names for the first time. Its smoothed load starts at the mean of the other
-    /// hosts. Unless it is cold, other nodes are assumed to have as much load there per unit of size as
+    /// hosts. If it is ready and warm, other nodes are assumed to have as much load there per unit of size as
     /// elsewhere.
     fn add_host(&mut self, endpoint: &Endpoint) {
         let smoothed_loads = self.hosts.iter().map(|host| host.work.smoothed_rate).sum::<f64>();
@@ -104,16 +105,16 @@
         }
     }
 
-    /// Requests the list when it may be stale without notice; called once a second. Without any host, the
-    /// first request is sent at once. In panic mode or without a ready host, the whole list is fetched, with
-    /// growing delays. A request without an answer is repeated.
+    /// Requests the list when it may have become stale unnoticed; called once a second. Without any host, the
+    /// first request does not wait for the node's offset. In panic mode or without a ready host, the whole
+    /// list is fetched, with growing delays. A request without an answer is repeated.
     pub(super) fn poll_endpoints(&mut self, port: &mut dyn Port) {
         let Some(poll_interval) = self.settings.poll_interval else { return };
         if self.hosts.is_empty() && self.endpoint_watch.is_new() {
             self.endpoint_watch.record_request();
             port.watch_endpoints();
         }
-        self.fetch_while_in_doubt(poll_interval, port);
+        self.fetch_while_list_in_doubt(poll_interval, port);
         let request_age = self.now.since(self.endpoint_watch.request_at);
         if self.endpoint_watch.is_requested() && request_age > poll_interval.times(MAX_WAIT_SHARE) {
             self.endpoint_watch.request_at = self.now;
@@ -121,7 +122,7 @@
         }
     }
 
-    fn fetch_while_in_doubt(&mut self, poll_interval: Span, port: &mut dyn Port) {
+    fn fetch_while_list_in_doubt(&mut self, poll_interval: Span, port: &mut dyn Port) {
         let is_any_ready = self.hosts.iter().any(|host| host.condition == Condition::Ready);
         if is_any_ready && !self.is_in_panic_mode {
             self.endpoint_watch.fetch_backoff = FIRST_FETCH_BACKOFF;
--- a/src/node/events.rs
+++ b/src/node/events.rs
@@ -9,7 +9,7 @@
 use crate::state::host::HostIndex;
 use crate::state::timers::{QUEUE_TIMER, TICK_TIMER, WATCH_TIMER};
 
-/// A queue timer that fires early by up to this much counts as due.
+/// A queue timer that fires early by up to this much, one microsecond, counts as due.
 const TIMER_TOLERANCE: Span = Span(1000);
 
 impl Node {
@@ -22,7 +22,7 @@
         if self.exceeds_remaining_capacity(call_index) {
             return self.answer(call_index, port);
         }
-        // Calls that wait for a home do not queue behind each other.
+        // A call that waits for a home does not queue behind other waiting calls.
         let skips_queue = self.waiting.calls.is_empty() || self.waits_for_home(call_index);
         if skips_queue { self.forward(call_index, port) } else { self.enqueue(call_index, port) }
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Handles a timer that the node has set.
+    /// Handles the firing of a timer that the node has set.
     pub fn timer_fired(&mut self, now: Time, token: TimerToken, port: &mut dyn Port) {
         self.now = now;
         match token {
--- a/src/node/outlier_detection.rs
+++ b/src/node/outlier_detection.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Ends an ejection and starts the trial, during which the host gets one call at a time.
+    /// Ends an ejection and starts the trial, during which the host gets one setup at a time.
     fn readmit(&mut self, host_index: HostIndex) {
         self.hosts[host_index].outlier.readmit();
         self.update_panic_mode();
@@ -119,8 +119,9 @@
         }
     }
 
-    /// Probes some hosts in service, in turn. Where message times are not reported, only the answers to
-    /// probes show that other work on the same machine slows a host down, and they slow down at once.
+    /// Probes some hosts in service that have calls of this node, in turn. Where message times are not
+    /// reported, only the answers to probes show that other work on the same machine slows a host down, and
+    /// they slow down at once.
     pub(super) fn probe_hosts_in_service(&mut self, port: &mut dyn Port) {
         if self.settings.reports_message_times || !self.settings.can_probe {
             return;
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -15,11 +15,12 @@
 const STALL_GROWTH: f64 = 0.8;
 /// Time within which a host's backlog is to be cleared, in seconds.
 const BACKLOG_CLEAR_SECONDS: f64 = 0.8;
-/// Share of the message target below which nothing is shed. Shedding only from a higher share lost far more.
+/// Share of the message target below which nothing is shed. Shedding only from a higher share had far higher
+/// losses.
 const HEALTHY_SHARE: f64 = 0.3;
 /// Maximum share of a host's load that is shed at once, unless the host is stalled and no call has a group.
 const MAX_SHED_SHARE: f64 = 0.5;
-/// A load limit below this multiple of the mean load grows as fast as one at that multiple.
+/// Load limits grow at least as fast as if they were at this multiple of the mean load.
 const MEAN_LOAD_MULTIPLE: f64 = 1.5;
 /// Open share of the fleet below which connections with a low revenue per load are shed first.
 const NEARLY_CLOSED_SHARE: f64 = 0.6;
@@ -27,9 +28,10 @@
 const SHED_CANDIDATES: u32 = 6;
 
 impl Node {
-    /// Handles a report of the time that a message takes at a host. If that time grows by some fraction of a
-    /// second per second, the same fraction of the load is too much, and the backlog is to be cleared soon.
-    /// All nodes receive the same report.
+    /// Handles the time that a message takes at a host. If that time grows by some fraction of a second per
+    /// second, the same fraction of the load is too much, and the backlog is to be cleared soon. Where hosts
+    /// report message times, all nodes receive the same report; otherwise the time is this node's estimate
+    /// from setups and probes.
     pub(super) fn record_message_time(&mut self, host_index: HostIndex, took: Span, port: &mut dyn Port) {
         let target = self.settings.message_target_seconds();
         let took = took.seconds();
@@ -115,8 +117,8 @@
     pub(super) fn grow_load_limits(&mut self) {
         for host_index in 0..self.hosts.len() {
             let load = self.load(host_index);
-            let mean_load = MEAN_LOAD_MULTIPLE * self.fleet.local_load_per_size * self.size(host_index);
-            self.hosts[host_index].overload.grow_limit(load, mean_load);
+            let min_growth_load = MEAN_LOAD_MULTIPLE * self.fleet.local_load_per_size * self.size(host_index);
+            self.hosts[host_index].overload.grow_limit(load, min_growth_load);
         }
     }
 }
--- a/src/node/placement.rs
+++ b/src/node/placement.rs
@@ -64,8 +64,8 @@
     }
 
     /// Whether a host accepts new attempts: it is ready, not ejected (unless in panic mode), below its load
-    /// limit, and neither rejected attempts nor was overloaded just now. After an ejection it gets one call
-    /// at a time.
+    /// limit, and not closed after a reject, an overload or a broken connection. After an ejection it gets
+    /// one setup at a time.
     pub(super) fn is_available(&self, host_index: HostIndex) -> bool {
         let host = &self.hosts[host_index];
         host.condition == Condition::Ready
--- a/src/node/rebalancing.rs
+++ b/src/node/rebalancing.rs
@@ -6,7 +6,7 @@
 use crate::port::Port;
 use crate::state::host::HostIndex;
 
-/// Minimum gap between the highest and the lowest load, as a share of the highest.
+/// Share of the highest load that the gap to the lowest load must exceed.
 const MIN_GAP_SHARE: f64 = 0.2;
 /// Minimum gap between the highest and the lowest load, in connections or in multiples of the mean load.
 const MIN_GAP: f64 = 2.0;
--- a/src/node/score.rs
+++ b/src/node/score.rs
@@ -6,7 +6,7 @@
 use crate::state::host::HostIndex;
 
 /// Cost of a group on a host that has none of its connections yet, in connections. Deployments do not state
-/// it.
+/// it, so it is fixed.
 const GROUP_COST: f64 = 5.0;
 /// Weight of other nodes' connections where the list reports them: they count once as connections and once
 /// for their load, which the list does not report.
@@ -17,11 +17,11 @@
 const MIN_LOAD_SHARE: f64 = 0.1;
 
 impl Node {
-    /// Own connections plus smoothed load, in connections of the mean load.
+    /// Own connections plus the smoothed load as a multiple of a connection's mean load.
     ///
     /// Where the list reports the connections of all nodes on a host, all nodes see the same outdated figure,
-    /// and each would fill the whole of the same gap. There the score is the mean over all nodes, and this
-    /// node's attempts since that list count as if every node had sent as many.
+    /// and each would fill the whole of the same gap. To prevent that, the score is the mean over all nodes
+    /// there, and this node's attempts since that list count as if every node had sent as many.
     fn score(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
         let smoothed = if self.loads.mean > 0.0 { host.work.smoothed_rate / self.loads.mean } else { 0.0 };
@@ -44,7 +44,8 @@
     }
 
     /// Estimate of the other nodes' load per unit of size, assuming that each has as much as this node in
-    /// total. It is 0 where the list reports that load, since the score then includes it.
+    /// total, scaled by the large-fleet factor. It is 0 where the list reports that load, since the score
+    /// then includes it.
     pub(super) fn remote_load(&self, host_index: HostIndex) -> f64 {
         let host = &self.hosts[host_index];
         if host.reported_connections.is_some() {
@@ -56,8 +57,8 @@
             / self.size(host_index)
     }
 
-    /// Load that the call itself adds: its expected load, and the cost of its group where the host has none
-    /// of it.
+    /// Load that the call itself adds: its expected load, scaled by this node's share of the traffic, and the
+    /// cost of its group where the host has none of it.
     pub(super) fn added_load(&self, call_index: CallIndex, host: HostIndex) -> f64 {
         let remote_share = self.settings.remote_share();
         let size = self.size(host);
@@ -73,8 +74,9 @@
     }
 
     /// Load per unit of size that hosts of other zones are assumed to carry unseen: each zone as much as this
-    /// one, on its own hosts. Without it, a node in a zone with few hosts would crowd them while others are
-    /// idle.
+    /// one, on its own hosts, less with displaced clients. Without it, a node in a zone with few hosts would
+    /// crowd them while others are idle. Zones are assumed to be numbered from 0 without gaps. With live
+    /// weights, it is the mean score per unit of size of all available hosts.
     pub(super) fn remote_zone_load(&self) -> f64 {
         let is_reported = self.settings.weights == Weights::Live;
         let mut local_score = 0.0;
@@ -108,12 +110,12 @@
         self.hosts[host].size.0.max(MIN_SIZE) * self.slow_start_share(host)
     }
 
-    /// Load that this node currently has on the host, in connections of the mean load.
+    /// Load that this node currently has on the host, as a multiple of a connection's mean load.
     pub(super) fn load(&self, host: HostIndex) -> f64 {
         self.hosts[host].load(self.loads.mean)
     }
 
-    /// Expected load of a call, in connections of the mean load; 0 if no load was ever reported.
+    /// Expected load of a call, as a multiple of a connection's mean load; 0 if no load was ever reported.
     pub(super) fn expected_load(&self, call_index: CallIndex) -> f64 {
         if self.loads.mean <= 0.0 {
             return 0.0;
--- a/src/node/slow_start.rs
+++ b/src/node/slow_start.rs
@@ -48,8 +48,8 @@
     }
 
     /// Ratio of the usual to the current demand of this node's calls, at most 1; below 1 there is a surge.
-    /// The usual demand is half the allowed multiple of the usual arrivals, scaled by the open share of the
-    /// fleet.
+    /// The usual demand is half the slow-start multiple of the settings times the usual arrivals within
+    /// [`RECENT_ATTEMPTS_SECONDS`], scaled by the open share of the fleet.
     fn usual_demand_ratio(&self) -> f64 {
         let usual = 0.5
             * self.settings.slow_start.multiple
@@ -62,8 +62,9 @@
 
     /// Whether a new client may go to a cold host at random, without budget. Saved budgets lapse, as a surge
     /// would otherwise spend them all at once; without a surge, hardly any call meets a saved budget, and the
-    /// host would stay empty beside crowded ones. New clients do not arrive in surges: each of many nodes
-    /// sends a cold host such a share of them that all nodes together send it what they may.
+    /// host would stay empty beside crowded ones. Surges consist of returning clients, not of new ones: each
+    /// of many nodes sends a cold host such a share of its new clients that all nodes together send it what
+    /// they may.
     fn allows_new_client(&self, call_index: CallIndex, host: HostIndex) -> bool {
         let call = &self.calls[call_index].call;
         let fill_rate = self.traffic.connections_per_size * self.fill_per_second(host);
@@ -104,8 +105,9 @@
         }
     }
 
-    /// Attempts per second that this node may send a cold host: its share of a host's mean arrivals, times
-    /// what the cold host can do by now and the allowed multiple.
+    /// Attempts per second that this node may send a cold host: the larger of a rate from the arrivals and a
+    /// rate from what hosts usually carry, at most `max_rate`. The first is this node's share of a host's
+    /// mean arrivals, times what the cold host can do by now and the slow-start multiple of the settings.
     fn budget_rate(&self, host: HostIndex, nominal_size: f64) -> f64 {
         let slow_start_share = self.slow_start_share(host);
         let large_fleet = self.settings.large_fleet_factor();
@@ -123,9 +125,9 @@
     }
 
     /// How much per second all nodes together may send a cold host, in units of what a unit of size usually
-    /// carries: three times the allowed multiple of the rate that fills it once during its slow start. With
-    /// few calls per node, most nodes let the budget from their arrivals lapse, and hosts that return would
-    /// stay empty.
+    /// carries: three times the slow-start multiple of the rate that fills it once during its slow start.
+    /// Without this, hosts that return would stay empty: with few calls per node, most nodes let the budget
+    /// from their arrivals lapse.
     fn fill_per_second(&self, host: HostIndex) -> f64 {
         let slow_start = &self.settings.slow_start;
         FILL_MULTIPLE * slow_start.multiple * self.hosts[host].size.0
@@ -133,8 +135,9 @@
     }
 
     /// This node's share of the attempts per second that a cold host can take from all nodes, based on what
-    /// hosts carry when half of their capacity is free. Budgets become available at even intervals and lapse
-    /// after half a window, which leaves room for new clients besides them.
+    /// hosts carry when half of their capacity is free; the less strictly nodes share the limit, the higher
+    /// the rate. Budgets become available at even intervals and lapse after as little as half a window, which
+    /// leaves room for new clients besides them.
     fn max_rate(&self, host: HostIndex) -> f64 {
         let node_count = f64::from(self.settings.node_count.max(1));
         let fill = self.fill_per_second(host) / FILL_MULTIPLE * self.slow_start_share(host);
@@ -159,9 +162,9 @@
         redistribute(&mut self.hosts, ending_share, &intakes);
     }
 
-    /// The initial budget of a host. With equal initial budgets, all nodes would send a cold host their first
-    /// call in the same window. So each starts a different fraction of an attempt below zero, or, in a large
-    /// fleet, below one.
+    /// The initial budget of a host, in attempts. With equal initial budgets, all nodes would send a cold
+    /// host their first call in the same window. So each node starts at a different value: between -1 and 0
+    /// in a small fleet, between 0 and 1 in a large one.
     pub(super) fn initial_budget(&self, host: HostId) -> f64 {
         let node_fraction = f64::from(self.settings.node_index) / f64::from(self.settings.node_count.max(1));
         let shared = self.settings.large_fleet_factor().max(self.settings.shared_limit_factor());
--- a/src/node/snapshot.rs
+++ b/src/node/snapshot.rs
@@ -8,8 +8,8 @@
 const TICKS_AFTER_RESTORE: u64 = 50;
 /// How long hosts with connections of a lost node's groups count as homes, in seconds.
 const INHERITED_HOME_SECONDS: u32 = 10;
-/// Minimum relative deviation from the mean load of the loads that other nodes are told; a load closer to the
-/// mean is what they would assume anyway.
+/// Only loads that differ from the mean by more than this share of it are passed to other nodes, which would
+/// assume the mean anyway.
 const MIN_LOAD_DEVIATION: f64 = 0.1;
 
 impl Node {
@@ -54,7 +54,7 @@
         self.sizes.learn_sizes(&self.hosts);
     }
 
-    /// Sets how many connections the previous process now has at a host; `None` stands for each host.
+    /// Sets how many connections the previous process now has at a host; `None` sets it for all hosts.
     pub fn set_predecessor_connections(&mut self, host: Option<HostId>, connections: f64) {
         for known in &mut self.hosts {
             if host.is_none_or(|host| host == known.id) {
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -8,7 +8,7 @@
 use runner::ScenarioRunner;
 use test_case::test_case;
 
-#[test_case("placement"; "placement compares scores, ties, zones, groups and sizes")]
+#[test_case("placement"; "placement follows scores, zones, groups and sizes, and breaks ties at random")]
 #[test_case("rebalancing"; "rebalancing migrates one connection at a time")]
 #[test_case("smoothing"; "the score includes the smoothed reported load")]
 #[test_case("retries"; "a failed attempt is retried on another host, within limits")]
@@ -33,7 +33,7 @@
 #[test_case("returning_clients"; "returning clients do not raise the budget of a cold host")]
 #[test_case("ejection"; "a host that fails fast is ejected until probes succeed")]
 #[test_case("panic_mode"; "ejections are ignored while most hosts are ejected")]
-#[test_case("broken_connections"; "a host whose connections break at once is ejected")]
+#[test_case("broken_connections"; "a host whose connections break at once is ejected and its limit recovers")]
 #[test_case("reject_backoff"; "the backoff after rejects grows with each reject")]
 #[test_case("overload"; "an overloaded host sheds some connections and gets no new ones")]
 #[test_case("load_cache"; "the load of a returning client is remembered")]
