--- a/src/domain.rs
+++ b/src/domain.rs
@@ -1,4 +1,4 @@
-//! Values that the decisions speak in: ids, times, hosts, calls, and the settings of a deployment.
+//! Types that the decisions work with: ids, times, hosts, calls, snapshots, and the settings of a deployment.
 
 mod call;
 mod endpoint;
--- a/src/domain/call.rs
+++ b/src/domain/call.rs
@@ -1,92 +1,92 @@
-//! Calls, and how their attempts go.
+//! Calls, and the outcomes of and reports on their attempts.
 
 use super::{CallId, ClassId, GroupId, HostId, Span, SubjectId, TenantId, Time};
 
-/// A call as it reaches the node, or a connection that was open when the node started.
+/// A call that reaches the node, or a connection that was already open when the node started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
     /// Id of the call.
     pub id: CallId,
     /// Its traffic class.
     pub class: ClassId,
-    /// The customer it belongs to.
+    /// The tenant it belongs to.
     pub tenant: TenantId,
-    /// What it concerns; remembered for the client's return.
+    /// What it concerns; its load is remembered under this id for the client's return.
     pub subject: Option<SubjectId>,
-    /// The group whose work it shares.
+    /// The group of connections that it shares work with.
     pub group: Option<GroupId>,
     /// When its final answer is due.
     pub deadline: Time,
-    /// Expected load in seconds of work a second.
+    /// Expected load, in seconds of work per second.
     pub load: Option<f64>,
-    /// The client has been here before: it tries again, or returns after a break or a migration.
+    /// Whether the client called before: it retries, or reconnects after a broken connection or a migration.
     pub is_returning: bool,
-    /// Packets of a connection that is already open on some host.
+    /// Whether the call stands for packets of a connection that is already open on some host.
     pub is_mid_flow: bool,
-    /// An attempt that may have run before the call came here: its host, and when it was sent at the earliest.
+    /// Host and earliest send time of an attempt that may have run before the call reached this node.
     pub prior_attempt: Option<(HostId, Time)>,
 }
 
-/// What running a call twice would do.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
     /// Hosts recognise a repeat by the call's key.
     Keyed {
-        /// The hosts that recognise it.
+        /// The hosts that recognise a repeat.
         scope: Scope,
-        /// For how long after the first attempt they do.
+        /// How long after the first attempt they recognise it.
         window: Span,
     },
-    /// It may run once.
+    /// It may run at most once.
     NonIdempotent,
 }
 
-/// Which hosts discard the repeats of a keyed call.
+/// Which hosts discard repeats of a keyed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All hosts.
     All,
-    /// Hosts of the zone where it may have run.
+    /// Hosts in the zone where the call may have run.
     Zone,
-    /// Hosts of the cell where it may have run.
+    /// Hosts in the cell where the call may have run.
     Cell,
 }
 
-/// How an attempt ended.
+/// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The host finished it, or answered a probe.
+    /// The host completed the attempt, or answered the probe.
     Completed,
     /// The host answered with an error.
     Error,
-    /// The host turned it away unseen: a full queue, or draining.
+    /// The host rejected it without processing it, because its queue was full or it was draining.
     Rejected,
-    /// It took longer than it may.
+    /// It exceeded its timeout.
     TimedOut,
-    /// No connection came about.
+    /// No connection to the host could be opened.
     Unreachable,
     /// The connection broke while the attempt was outstanding.
     Broken,
     /// The node stopped waiting for it.
     Canceled,
-    /// It did not leave the node.
+    /// It never left the node.
     NeverSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt had no effect for certain.
+    /// Whether the attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NeverSent)
     }
 }
 
-/// A host's report on an attempt that is outstanding.
+/// A host's report on an outstanding attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptReport {
-    /// The connection's load now, in seconds of work a second.
+    /// Current load of the connection, in seconds of work per second.
     Load(f64),
-    /// What a message takes at the host now.
+    /// How long a message currently takes at the host.
     MessageTime(Span),
 }
--- a/src/domain/endpoint.rs
+++ b/src/domain/endpoint.rs
@@ -1,4 +1,4 @@
-//! Hosts as the endpoint list names them.
+//! Entries and updates of the endpoint list.
 
 use super::{Cell, HostId, Kind, Time, Zone};
 
@@ -9,54 +9,54 @@
     pub host: HostId,
     /// Its zone.
     pub zone: Zone,
-    /// Its cell, for calls whose repeats only hosts of one cell recognise.
+    /// Its cell, for keyed calls whose repeats are recognised only within one cell.
     pub cell: Cell,
-    /// Whether it may get new connections.
+    /// Whether it may receive new connections.
     pub condition: Condition,
-    /// What the list gives to compare hosts by.
+    /// Its weight in the list.
     pub weight: Weight,
-    /// Hosts of one kind are of one nominal size; `None` where the list names none.
+    /// Its kind of machine, which determines its nominal size; `None` if the list does not name it.
     pub kind: Option<Kind>,
-    /// When it last started; `None` is long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Time>,
 }
 
-/// Whether a host may get new connections.
+/// Whether a host may receive new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It may.
+    /// It may receive new connections.
     Ready,
-    /// It may not; its open connections go on.
+    /// It may not receive new connections; open ones continue.
     Draining,
-    /// It left the list.
+    /// It is no longer in the list.
     Gone,
 }
 
-/// What the list gives to compare hosts by; [`WeightKind`] says what it stands for.
+/// A host's weight in the endpoint list; [`WeightKind`] defines its meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Weight(pub f64);
 
-/// How much a host can do when warm and empty, beside other hosts.
+/// Capacity of a warm and empty host, relative to other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Size(pub f64);
 
-/// What the list's weights stand for.
+/// What the weights of the endpoint list mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Sizes, or nothing to tell hosts apart by.
+    /// Weights are sizes, or the list has no weights that differ between hosts.
     #[default]
     Sizes,
-    /// Sizes, each divided by one and the connections that the host has a core; late.
+    /// Each weight is the host's size divided by one plus its connections per core, reported with a delay.
     Live,
 }
 
-/// Whether a list names all hosts or only those that changed.
+/// Whether an update of the list names all hosts or only those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The whole list as last seen, maybe stale.
+    /// The whole list as last seen; it may be stale.
     Cached,
     /// The whole list.
     Complete,
-    /// Only hosts that changed.
+    /// Only the hosts that changed.
     Delta,
 }
--- a/src/domain/ids.rs
+++ b/src/domain/ids.rs
@@ -1,4 +1,4 @@
-//! Ids and indices, a type each.
+//! Ids and indices, each with its own type.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,26 +9,26 @@
 }
 
 ids! {
-    /// A client's request; never used twice, not even when the client tries again.
+    /// Id of a client's request; never reused, not even when the client retries.
     CallId(u64);
-    /// Number of an attempt within its call, from 0.
+    /// Number of an attempt within its call, counted from 0.
     AttemptNumber(u16);
-    /// A host's address as one number; it carries no meaning.
+    /// Opaque number that identifies a host by its address.
     HostId(u64);
     /// Index of a zone.
     Zone(u16);
-    /// A few hosts that share which keys of calls they have seen.
+    /// Id of a small set of hosts that share the call keys they have seen.
     Cell(u16);
     /// Index of a kind of machine.
     Kind(u64);
     /// Index of a traffic class.
     ClassId(u8);
-    /// Index of a customer with a share of the fleet.
+    /// Index of a tenant, a customer with a share of the fleet.
     TenantId(u32);
-    /// What a call concerns; a client that returns brings the same.
+    /// Id of what a call concerns; a returning client sends the same one.
     SubjectId(u64);
-    /// Connections of one group share work on a host.
+    /// Id of a group of connections that share work on a host.
     GroupId(u64);
-    /// Names a timer of the instance.
+    /// Identifies a timer of the node.
     TimerToken(u32);
 }
--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -1,17 +1,17 @@
-//! What a deployment allows, asks and pays, as far as the decisions read it.
+//! The deployment's settings that the decisions use.
 
 use super::{Idempotency, Span, WeightKind, Zone};
 
-/// Node count up to which all nodes together are bound strictly in what they send a cold host.
+/// Largest node count at which the fleet-wide limit on attempts to a cold host applies in full.
 const SHARED_LIMIT_FULL_NODES: f64 = 30.0;
-/// By how many more nodes that fades to nothing.
+/// Number of additional nodes over which that limit fades to nothing.
 const SHARED_LIMIT_FADE_NODES: f64 = 90.0;
-/// Power of the remote share that tells large fleets from small ones.
+/// Exponent of the remote share; it separates large fleets from small ones.
 const LARGE_FLEET_POWER: i32 = 8;
-/// Multiple of the crossing price at which another zone counts as loaded as the node's own: a price of a tenth keeps calls
-/// in their zone until hosts there are overloaded.
+/// Multiplier of the cross-zone price. At a price of 0.1, hosts of another zone count as carrying as much as
+/// those of the node's own zone, which keeps calls in their zone until hosts there are overloaded.
 const CROSSING_COST_FACTOR: f64 = 10.0;
-/// The message target where no class has one.
+/// The message target if no class has one.
 const DEFAULT_MESSAGE_TARGET: Span = Span::ms(1000);
 
 /// Settings of one node.
@@ -23,114 +23,116 @@
     pub zone: Zone,
     /// Index of this node in its fleet.
     pub node_index: u32,
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     pub node_count: u32,
-    /// Granularity of the instance's clock.
+    /// Granularity of the node's clock.
     pub clock_granularity: Span,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts per call.
     pub max_attempts: u16,
-    /// Hosts answer probes.
+    /// Whether hosts answer probes.
     pub can_probe: bool,
-    /// Outstanding attempts can be cancelled.
+    /// Whether outstanding attempts can be cancelled.
     pub can_cancel: bool,
-    /// What the list's weights stand for.
+    /// What the weights of the endpoint list mean.
     pub weight_kind: WeightKind,
-    /// Hosts report what a message takes while it takes long.
+    /// Whether hosts report message times while messages take long.
     pub reports_message_times: bool,
-    /// The longest wait that clients follow after a reject, where they are told one.
+    /// Longest wait that a rejected client may be told before it retries; `None` if it cannot be told one.
     pub retry_after: Option<Span>,
-    /// The list must be asked for, at least this often without a watch; `None` if it comes by itself.
+    /// Longest time between requests for the endpoint list without a watch; `None` if the list is pushed.
     pub poll_interval: Option<Span>,
-    /// How cold hosts are spared.
+    /// How hosts warm up, and how much they may be sent meanwhile.
     pub slow_start: SlowStart,
-    /// Limit on retries; without one, as many as a call may have.
+    /// Limit on retries; if `None`, only `max_attempts` limits them.
     pub retry_budget: Option<RetryBudget>,
-    /// A listed start may be off by so much, either way.
+    /// Maximum error of a listed start time, in either direction.
     pub start_uncertainty: Span,
-    /// Cost of an attempt that crosses zones, as a fraction of first attempts.
+    /// Cost of an attempt that crosses zones, as a fraction of a first attempt.
     pub cross_zone_price: f64,
-    /// What the whole run weighs in how service is judged, beside the worst-served traffic class.
+    /// Weight of the service as a whole in the service score, 0 to 1; the worst-served class has the rest.
     pub overall_service_weight: f64,
 }
 
-/// What the deployment says of a traffic class.
+/// Settings of a traffic class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficClass {
-    /// Whether its calls may run again.
+    /// Whether its calls may run more than once.
     pub idempotency: Idempotency,
-    /// In what time a connection is to be set up.
+    /// Time within which a connection should be set up.
     pub setup_target: Span,
-    /// In what time a message is to be answered.
+    /// Time within which a message should be answered.
     pub message_target: Option<Span>,
-    /// What its connections earn, beside those of other classes.
+    /// Revenue of its connections, relative to other classes.
     pub revenue: f64,
 }
 
-/// How a cold host warms up and what overloads it.
+/// How a cold host warms up, and how much it may be sent meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Share of its capacity that a host has when it starts.
+    /// Share of its capacity that a host has at its start.
     pub initial_share: f64,
-    /// When it has all of it.
+    /// Time from its start until it has all of its capacity.
     pub duration: Span,
-    /// Multiple of what fills a host once that it may be sent while it warms up.
+    /// Attempts that a host may be sent while it warms up, as a multiple of the connections that fill it.
     pub capacity_multiple: f64,
-    /// Window in which attempts to a cold host are counted.
+    /// Length of the windows in which attempts to a cold host are counted.
     pub window: Span,
 }
 
 impl SlowStart {
-    /// Attempts a second that a cold host stands, if `allowed` of them a second are allowed.
+    /// Attempts per second that a cold host withstands if `allowed` attempts per second are allowed.
     ///
-    /// With N allowed in a window, the host is overloaded past N + 2 sqrt(N) + 2. One less is (sqrt(N) + 1)^2: what comes
-    /// due on an edge of the window counts twice.
+    /// With N allowed in a window, the host is overloaded above N + 2 sqrt(N) + 2 attempts. The result stays
+    /// one below that, at (sqrt(N) + 1)^2, because an attempt that is due on the edge of a window counts
+    /// twice.
     pub fn max_rate(&self, allowed: f64) -> f64 {
         let window = self.window.seconds().max(1e-3);
         ((allowed * window).sqrt() + 1.0).powi(2) / window
     }
 }
 
-/// Retries that a node may send in any span of this length: so many, and a part of the calls that it admitted in it.
+/// Limit on the retries of a node in any window of a given length: a fixed number, plus a share of the calls
+/// that it admitted in the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed without any call.
+    /// Retries allowed regardless of the number of calls.
     pub min_retries: f64,
     /// Retries allowed for each call.
     pub ratio: f64,
-    /// Length of the span.
+    /// Length of the window.
     pub window: Span,
 }
 
 impl Settings {
-    /// Part of the traffic that other nodes place: 0 for a node alone, towards 1 for many.
+    /// Share of the traffic that other nodes place: 0 for a single node, close to 1 for many.
     pub fn remote_share(&self) -> f64 {
         1.0 - 1.0 / f64::from(self.node_count.max(1))
     }
 
-    /// Near 0 for a few nodes, near 1 for hundreds.
+    /// A factor that is near 0 for a few nodes and near 1 for hundreds.
     pub fn large_fleet_factor(&self) -> f64 {
         self.remote_share().powi(LARGE_FLEET_POWER)
     }
 
-    /// Near 1 for a few nodes, 0 from a dozen on.
+    /// A factor that is near 1 for a few nodes and 0 from a dozen on.
     pub fn small_fleet_factor(&self) -> f64 {
         (1.0 - 2.0 * self.large_fleet_factor()).max(0.0)
     }
 
-    /// How far all nodes together are bound strictly in what they send a cold host: near 0 for a few nodes, whose budgets
-    /// stay far below the limit; 1 for 12 to 30; 0 from 120 on, where a node sees a call in so few windows that it hardly
-    /// uses what it may.
+    /// How strictly the fleet-wide limit on attempts to a cold host applies: near 0 for a few nodes, whose
+    /// budgets stay far below the limit; 1 for 12 to 30 nodes; 0 from 120 on, where a node sees a call in so
+    /// few windows that it hardly uses its budget.
     pub fn shared_limit_factor(&self) -> f64 {
         let beyond = f64::from(self.node_count) - SHARED_LIMIT_FULL_NODES;
         (1.0 - self.small_fleet_factor()) * (1.0 - beyond / SHARED_LIMIT_FADE_NODES).clamp(0.0, 1.0)
     }
 
-    /// Cost of crossing zones, as a part of what a host of the node's own zone carries.
+    /// Cost of crossing zones, as a share of the load that a host of the node's own zone carries.
     pub fn crossing_cost(&self) -> f64 {
         CROSSING_COST_FACTOR * self.cross_zone_price
     }
 
-    /// These settings with the classes' revenue raised to the power of the whole run's weight. Choosing by revenue alone
+    /// Raises each class's revenue to the power of `overall_service_weight`. Choosing by revenue alone
     /// starves the class that earns least: the more the worst-served class weighs, the less revenue counts.
     pub(crate) fn with_effective_revenue(mut self) -> Settings {
         for class in &mut self.classes {
--- a/src/domain/snapshot.rs
+++ b/src/domain/snapshot.rs
@@ -1,62 +1,62 @@
-//! What a node leaves to its next process, and to other nodes should it be lost.
+//! State that a process of a node hands to its successor, and to other nodes if the node is lost.
 
 use super::{GroupId, HostId, Size, SubjectId};
 
-/// What one process of a node leaves to the next, of one host.
+/// State of one host, as a process of a node hands it to its successor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostSnapshot {
     /// Id of the host.
     pub host: HostId,
-    /// Connections that are still open there.
+    /// Connections that are still open at the host.
     pub connections: f64,
-    /// Smoothed load, in seconds of work a second.
+    /// Smoothed load, in seconds of work per second.
     pub smoothed_load: f64,
-    /// Load limit in connections of the mean load; `None` where none has shown.
+    /// Load limit, in connections of the mean load; `None` if none is known yet.
     pub load_limit: Option<f64>,
     /// Overload penalty.
     pub overload_penalty: f64,
-    /// It is ejected until it answers probes.
+    /// Whether it is ejected until it answers probes.
     pub is_ejected: bool,
     /// Slow-start budget, in attempts.
     pub slow_start_budget: f64,
-    /// Estimate of other nodes' connections; 1 is what a unit of size usually carries.
+    /// Estimate of other nodes' connections, in units of what one unit of size usually carries.
     pub remote_load: f64,
-    /// What its answers to probes usually take, in seconds.
+    /// Usual time that it takes to answer a probe, in seconds.
     pub usual_probe_time: f64,
-    /// Nominal size; `None` where a process before told none.
+    /// Nominal size; `None` if the predecessor did not report one.
     pub size: Option<Size>,
 }
 
-/// What one process of a node leaves to the next.
+/// State that a process of a node hands to its successor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeSnapshot {
-    /// The hosts that it knows.
+    /// The hosts that the process knows.
     pub hosts: Vec<HostSnapshot>,
-    /// Loads by client, in seconds of work a second.
+    /// Loads by client, in seconds of work per second.
     pub loads: Vec<(SubjectId, f64)>,
-    /// Mean load of a connection.
+    /// Mean load of a connection, in seconds of work per second.
     pub mean_load: f64,
-    /// Mean load by traffic class.
+    /// Mean load by traffic class, in seconds of work per second.
     pub mean_load_by_class: Vec<f64>,
-    /// New clients a second.
+    /// New clients per second.
     pub new_client_rate: f64,
-    /// Connections for each unit of the ready hosts' size.
+    /// Connections per unit of size of the ready hosts.
     pub connections_per_size: f64,
-    /// Connections that the node usually has.
+    /// Usual number of connections of the node.
     pub usual_connections: f64,
-    /// Size of all ready hosts.
+    /// Total size of the ready hosts.
     pub ready_size: f64,
-    /// Size of all ready hosts as a rule.
+    /// Usual total size of the ready hosts.
     pub usual_ready_size: f64,
-    /// What a setup usually takes, in seconds.
+    /// Usual setup time, in seconds.
     pub setup_time: f64,
 }
 
-/// What a node that was lost knew, for those to whom its clients come: hints, never promises.
+/// State of a lost node for the nodes that its clients connect to. The entries are hints and may be wrong.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WarmState {
-    /// Hosts that had some of each group.
+    /// Hosts that had connections of each group.
     pub homes: Vec<(GroupId, HostId)>,
-    /// What clients' connections asked for, in seconds of work a second.
+    /// Loads by client, in seconds of work per second.
     pub loads: Vec<(SubjectId, f64)>,
 }
--- a/src/domain/time.rs
+++ b/src/domain/time.rs
@@ -1,4 +1,4 @@
-//! Times and lengths of time. Wall-clock types are not used: the host of a node brings the time.
+//! Times and lengths of time. Wall-clock types are not used: the program that runs a node supplies the time.
 
 use std::ops::{Add, AddAssign, Sub};
 
@@ -9,12 +9,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
-/// A point on the instance's clock, in whole nanoseconds.
+/// A point on the node's clock, in whole nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
 impl Span {
-    /// No time.
+    /// A span of zero length.
     pub const ZERO: Span = Span(0);
 
     /// A span of whole milliseconds.
@@ -27,19 +27,19 @@
         self.0 as f64 / NANOSECONDS_PER_SECOND
     }
 
-    /// A span of so many seconds. Negative and non-finite values give zero; what is too long is cut to the longest span.
+    /// A span of `seconds` seconds; negative values and NaN give zero, too large ones the longest span.
     pub fn from_seconds(seconds: f64) -> Span {
         Span((seconds * NANOSECONDS_PER_SECOND).round() as u64)
     }
 
-    /// The span times a factor, with the same cuts as [`Span::from_seconds`].
+    /// The span times a factor, with the same bounds as [`Span::from_seconds`].
     pub fn times(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor).round() as u64)
     }
 }
 
 impl Time {
-    /// The time from `earlier` to this one, zero if it lies ahead.
+    /// The time from `earlier` to this one; zero if `earlier` is the later one.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! glendeck: a balancer for long-lived connections.
 //!
-//! [`Node`] makes every decision. [`domain`] holds the values it speaks in, [`port`] the interface between the decisions
-//! and whatever carries them out.
+//! [`Node`] makes every decision. [`domain`] holds the types it works with, [`port`] the interface between
+//! the decisions and the program that carries them out.
 
 pub mod domain;
 mod node;
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,29 +1,29 @@
-//! The interface between the decisions and what carries them out.
+//! The interface between the decisions and the program that carries them out.
 //!
-//! Whoever hosts a node calls the methods of [`crate::Node`] with what has happened; each gets the time and a [`Port`] on
-//! which the node says what to do, in order. One call gets one [`Port::reject`], one [`Port::fail`], or the completion
-//! that the host's own answer brings.
+//! The program that runs a node reports events through the methods of [`crate::Node`]. Each takes the time
+//! and a [`Port`], on which the node requests actions, in order. Each call gets one final answer: a
+//! [`Port::reject`], a [`Port::fail`], or the host's own answer when the attempt completes.
 
 use crate::domain::{AttemptNumber, CallId, HostId, Span, Time, TimerToken};
 
-/// Carries out what a node decides.
+/// Carries out the actions that a node decides on.
 pub trait Port {
-    /// Send an attempt; it times out after `within`.
-    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span);
-    /// Final answer: a new try does no harm, after `retry_after` if that is given.
+    /// Sends an attempt, which times out after `timeout`.
+    fn send_attempt(&mut self, call: CallId, host: HostId, timeout: Span);
+    /// Gives the final answer that the client may safely retry, after `retry_after` if that is given.
     fn reject(&mut self, call: CallId, retry_after: Option<Span>);
-    /// Final answer without any assurance.
+    /// Gives the final answer that the call failed; it says nothing of whether a retry is safe.
     fn fail(&mut self, call: CallId);
-    /// Stop waiting for an attempt.
+    /// Stops waiting for an attempt.
     fn cancel(&mut self, call: CallId, attempt: AttemptNumber);
-    /// End an open connection politely; its client connects anew.
+    /// Ends an open connection gracefully; its client connects again.
     fn migrate(&mut self, call: CallId);
-    /// Ask a host whether it works, in a way that costs it little.
+    /// Sends a host a health check that costs it little.
     fn probe(&mut self, host: HostId);
-    /// Ask for the whole endpoint list once.
+    /// Requests the whole endpoint list once.
     fn fetch_endpoints(&mut self);
-    /// Ask to be sent the changes of the endpoint list from now on.
+    /// Requests to be sent the changes of the endpoint list from now on.
     fn watch_endpoints(&mut self);
-    /// Call [`crate::Node::timer_fired`] with the token at that time.
+    /// Calls [`crate::Node::timer_fired`] with the token at `time`.
     fn set_timer(&mut self, time: Time, token: TimerToken);
 }
