--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What a node knows: calls, hosts, and estimates of traffic, load and sizes. Each module owns one kind of state and
-//! its arithmetic; what follows from it for a call is decided in [`crate::node`].
+//! State of a node: calls, hosts, and estimates of traffic, load and sizes. Each module owns one kind of
+//! state and its arithmetic; [`crate::node`] makes the decisions.
 
 pub(crate) mod call;
 pub(crate) mod concurrency_limit;
--- a/src/state/call.rs
+++ b/src/state/call.rs
@@ -6,7 +6,7 @@
 /// Index of a call in the node's table of in-flight calls.
 pub(crate) type CallIndex = usize;
 
-/// Where the outstanding attempt of a call is booked.
+/// Where a host's list of calls holds the outstanding attempt of a call.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptSlot {
     pub host: HostIndex,
@@ -29,28 +29,28 @@
     pub outstanding: Option<AttemptSlot>,
     /// The host that placement chose last.
     pub chosen_host: HostIndex,
-    /// The outstanding attempt has set up its connection.
+    /// Whether the outstanding attempt has set up its connection.
     pub is_established: bool,
     pub is_answered: bool,
-    /// It is in the waiting queue.
+    /// Whether the call is in the waiting queue.
     pub is_waiting: bool,
-    /// The client returns, but its previous connection was at another node.
+    /// Whether the client returns from a previous connection at another node.
     pub is_displaced: bool,
-    /// The client was asked to connect anew.
+    /// Whether the client was asked to connect again.
     pub is_migrating: bool,
-    /// Load in seconds of work a second, where it is known.
+    /// Load, in seconds of work per second, if it is known.
     pub load: Option<f64>,
     /// The first attempt that may have run.
     pub first_run: Option<PossibleRun>,
     /// When the last attempt was sent.
     pub sent_at: Time,
-    /// How many attempts were setting up at the host when the last one was sent.
+    /// Number of setups in progress at the host when the last attempt was sent.
     pub setups_ahead: u32,
     pub failed_hosts: Vec<HostIndex>,
 }
 
 impl InFlightCall {
-    /// A call without any attempt of this node.
+    /// A call that this node has not sent an attempt for.
     pub(crate) fn new(call: Call, load: Option<f64>, now: Time) -> InFlightCall {
         InFlightCall {
             call,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the connection is established and its client was not asked to leave.
+    /// Whether the connection is established and not being migrated.
     pub(crate) fn is_open(&self) -> bool {
         self.is_established && !self.is_migrating
     }
@@ -81,13 +81,13 @@
     }
 }
 
-/// The end of an attempt, as the stages see it.
+/// The end of an attempt, as passed to the stages.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
     pub outcome: AttemptOutcome,
-    /// The call has its final answer, by this end or before it.
+    /// Whether the call has its final answer, by this end or before it.
     pub is_final: bool,
     pub host: HostIndex,
-    /// The attempt had set up its connection.
+    /// Whether the attempt had set up its connection.
     pub was_established: bool,
 }
--- a/src/state/concurrency_limit.rs
+++ b/src/state/concurrency_limit.rs
@@ -1,15 +1,15 @@
-//! Adaptive limit on attempts that set up at the same time, over all hosts.
+//! Adaptive limit on concurrent setups over all hosts.
 
-/// The limit while nothing has shown that more setups do well.
+/// Number of concurrent setups allowed until fast setups show that more are possible.
 const MIN_LIMIT: f64 = 2.0;
-/// Share of the setup target beyond which a setup was too slow.
+/// Share of the setup target above which a setup counts as slow.
 const SLOW_SHARE: f64 = 0.67;
-/// Share of the setup target below which more setups are tried.
+/// Share of the setup target below which a setup counts as fast and the limit may grow.
 const FAST_SHARE: f64 = 0.33;
-/// What remains of the limit after a slow setup, and after a second without any.
-const DECREASE: f64 = 0.8;
+/// Factor applied to the limit after a slow setup, and every second.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// Setups in progress and how many are allowed: additive increase, multiplicative decrease.
+/// Setups in progress and their limit, with additive increase and multiplicative decrease.
 pub(crate) struct ConcurrencyLimit {
     pub in_progress: u32,
     pub limit: f64,
@@ -26,19 +26,19 @@
         f64::from(self.in_progress) >= self.limit
     }
 
-    /// Adapts the limit to a setup that took this share of its target; infinite if it failed. Without this, clients that
-    /// return together fill the queue of a store that all setups share: attempts given up there are worked on all the
-    /// same, and nothing completes in time any more.
+    /// Adapts the limit to a setup that took `share_of_target`, which is infinite if the setup failed.
+    /// Without the limit, clients that return together fill the queue of a store that all setups share:
+    /// abandoned attempts are still processed there, and nothing completes in time any more.
     pub(crate) fn record(&mut self, share_of_target: f64) {
         if share_of_target > SLOW_SHARE {
-            self.limit = (DECREASE * self.limit).max(1.0);
+            self.limit = (DECREASE_FACTOR * self.limit).max(1.0);
         } else if share_of_target < FAST_SHARE && f64::from(self.in_progress) >= 0.5 * self.limit {
             self.limit += 1.0;
         }
     }
 
-    /// Lowers the limit towards its minimum; called once a second.
+    /// Lowers the limit towards its minimum; called once per second.
     pub(crate) fn decay(&mut self) {
-        self.limit = (DECREASE * self.limit).max(MIN_LIMIT.min(self.limit));
+        self.limit = (DECREASE_FACTOR * self.limit).max(MIN_LIMIT.min(self.limit));
     }
 }
--- a/src/state/endpoint_watch.rs
+++ b/src/state/endpoint_watch.rs
@@ -4,13 +4,13 @@
 use crate::port::Port;
 use crate::state::timers::WATCH_TIMER;
 
-/// The first wait between fetches of the whole list; it doubles.
+/// Initial backoff between fetches of the whole list; it doubles with each fetch.
 pub(crate) const FIRST_FETCH_BACKOFF: Span = Span::ms(1000);
-/// Part of the poll interval over which a large fleet spreads its requests.
+/// Share of the poll interval over which a large fleet spreads its requests.
 const SPREAD_SHARE: f64 = 0.4;
 
-/// Over how long requests for the list are spread: nodes that start or lose their watch together would ask together, and
-/// the list's service would never catch up.
+/// Time over which the nodes' requests for the list are spread. Nodes that start or lose their watch together
+/// would otherwise send their requests together, and the discovery service would never catch up.
 pub(crate) fn request_spread(settings: &Settings) -> Span {
     let large_fleet = settings.large_fleet_factor();
     settings.poll_interval.map_or(Span::ZERO, |interval| interval.times(SPREAD_SHARE * large_fleet))
@@ -18,15 +18,15 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchState {
-    /// The next request waits for its time.
+    /// The next request is scheduled.
     Due,
     /// A request is pending.
     Requested,
-    /// The list comes by itself.
+    /// Changes of the list are pushed.
     Watching,
 }
 
-/// Whether changes of the list are being watched, and when to ask next.
+/// Whether changes of the list are being watched, and when the next request is due.
 pub(crate) struct EndpointWatch {
     state: WatchState,
     /// Failed requests since the last answer.
@@ -49,17 +49,17 @@
         }
     }
 
-    /// A list that need not be asked for.
+    /// The state for a list that is pushed without a request.
     pub(crate) fn unneeded(now: Time) -> EndpointWatch {
         EndpointWatch::new(WatchState::Watching, now)
     }
 
-    /// A list whose first request is due at `request_at`; the timer is the caller's.
+    /// The state for a list whose first request is due at `request_at`; the caller sets the timer.
     pub(crate) fn due(request_at: Time) -> EndpointWatch {
         EndpointWatch::new(WatchState::Due, request_at)
     }
 
-    /// Sends the first request for the list after the offset, if the list must be asked for.
+    /// Sends the first request for the list, or schedules it after the offset, unless the list is pushed.
     pub(crate) fn start(settings: &Settings, now: Time, offset: Span, port: &mut dyn Port) -> EndpointWatch {
         if settings.poll_interval.is_none() {
             return EndpointWatch::unneeded(now + offset);
@@ -72,12 +72,12 @@
         EndpointWatch::due(now + offset)
     }
 
-    /// Whether no request was ever sent.
+    /// Whether the first request is still to be sent.
     pub(crate) fn is_new(&self) -> bool {
         self.state == WatchState::Due && self.failures == 0
     }
 
-    /// Whether the next request is to be sent now.
+    /// Whether the next request is due.
     pub(crate) fn is_due(&self, now: Time) -> bool {
         self.state == WatchState::Due && now >= self.request_at
     }
@@ -87,18 +87,18 @@
         self.state == WatchState::Requested
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub(crate) fn record_request(&mut self) {
         self.state = WatchState::Requested;
     }
 
-    /// The list answered.
+    /// Records an answer with the list.
     pub(crate) fn record_answer(&mut self) {
         self.state = WatchState::Watching;
         self.failures = 0;
     }
 
-    /// The request failed, or the watch was lost.
+    /// Records that the request failed or the watch was lost.
     pub(crate) fn record_failure(&mut self) {
         self.state = WatchState::Due;
         self.failures += 1;
--- a/src/state/fleet_estimate.rs
+++ b/src/state/fleet_estimate.rs
@@ -1,12 +1,12 @@
-//! Sums over the ready hosts, refreshed once a second.
+//! Aggregates over the ready hosts, updated once per second.
 
-/// What the ready hosts come to.
+/// Aggregates over the ready hosts.
 pub(crate) struct FleetEstimate {
-    /// Share of their size that takes new attempts.
+    /// Share of their total size that belongs to hosts that accept new attempts.
     pub open_share: f64,
     /// Their mean size.
     pub mean_size: f64,
-    /// This node's load on usable hosts of its own zone, in connections for each unit of size.
+    /// This node's load on usable hosts of its own zone, in connections of the mean load per unit of size.
     pub local_load_per_size: f64,
 }
 
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -1,4 +1,5 @@
-//! Connections by group, and each group's order of hosts.
+//! Connections by group, and each group's order of preference among the hosts. The preferred hosts of a
+//! group, and those that have connections of it, are its homes.
 
 use rustc_hash::FxHashMap;
 
@@ -12,7 +13,7 @@
     by_host: Vec<u32>,
 }
 
-/// A host that a lost node had connections of the group on; it counts as one connection for a while.
+/// A host on which a lost node had connections of the group; it counts as one connection for some seconds.
 struct InheritedHome {
     seconds_left: u32,
     group: GroupId,
@@ -23,27 +24,27 @@
 #[derive(Default)]
 pub(crate) struct GroupTable {
     groups: FxHashMap<GroupId, GroupConnections>,
-    /// Pairs of connections of the same group.
+    /// Number of pairs of connections that belong to the same group.
     pairs: i64,
-    /// Connections that belong to any group.
+    /// Number of connections that belong to any group.
     pub total: i64,
-    /// Smoothed probability that two connections are of the same group.
+    /// Smoothed probability that two connections belong to the same group.
     pub similarity: f64,
     inherited: Vec<InheritedHome>,
 }
 
 impl GroupTable {
-    /// How many connections the group has.
+    /// Number of connections of the group.
     pub(crate) fn connections(&self, group: GroupId) -> u32 {
         self.groups.get(&group).map_or(0, |connections| connections.total)
     }
 
-    /// The group's connections by host; hosts at the end are missing where there are none.
+    /// The group's connections by host index; trailing hosts without any may be missing.
     pub(crate) fn connections_by_host(&self, group: GroupId) -> &[u32] {
         self.groups.get(&group).map_or(&[], |connections| &connections.by_host)
     }
 
-    /// Counts one connection more or less (`change` is 1 or -1).
+    /// Adds or removes one connection (`change` is 1 or -1).
     pub(crate) fn count(&mut self, group: Option<GroupId>, host: HostIndex, change: i32) {
         let Some(group) = group else { return };
         let connections = self.groups.entry(group).or_default();
@@ -57,7 +58,7 @@
         self.total += i64::from(change);
     }
 
-    /// Updates the similarity by the smoothing factor and ages inherited homes; called once a second.
+    /// Updates the similarity by the smoothing factor and expires inherited homes; called once per second.
     pub(crate) fn tick(&mut self, smoothing: f64) {
         let total = self.total as f64;
         let similarity_now = 2.0 * self.pairs as f64 / (total * (total - 1.0)).max(1.0);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Groups with the hosts of their connections, in no order; inherited homes are left out.
+    /// Groups with the hosts of their connections, in arbitrary order, without inherited homes.
     pub(crate) fn homes(&self) -> impl Iterator<Item = (GroupId, HostIndex)> {
         let occupied = self.groups.iter().flat_map(|(group, connections)| {
             let by_host = connections.by_host.iter().enumerate();
@@ -84,18 +85,18 @@
         })
     }
 
-    /// Lets the host be a home of the group for some seconds, as it was for a node that was lost.
+    /// Makes the host a home of the group for `seconds`, as it was at a lost node.
     pub(crate) fn inherit_home(&mut self, group: GroupId, host: HostIndex, seconds: u32) {
         self.inherited.push(InheritedHome { seconds_left: seconds, group, host });
         self.count(Some(group), host, 1);
     }
 }
 
-/// Order of all hosts for the group of the call that is being placed, by weighted rendezvous hashing. The buffers are
-/// reused from call to call.
+/// Order of all hosts for the group of the call that is being placed, by weighted rendezvous hashing. The
+/// buffers are reused from call to call.
 #[derive(Default)]
 pub(crate) struct HomeOrder {
-    /// Key of each host, by index; low keys come first, infinite ones are unusable.
+    /// Key of each host, by index; low keys come first, hosts with infinite keys cannot be homes.
     pub keys: Vec<f64>,
     scratch: Vec<f64>,
     /// Key of the last host that counts as a home.
@@ -103,13 +104,13 @@
 }
 
 impl HomeOrder {
-    /// Forgets the homes of the call before.
+    /// Discards the order of the previous call.
     pub(crate) fn clear(&mut self) {
         self.keys.clear();
         self.last_home_key = f64::MAX;
     }
 
-    /// Makes the first hosts in order homes.
+    /// Makes the first `home_count` hosts in the order homes.
     pub(crate) fn set_home_count(&mut self, home_count: usize) {
         self.scratch.clear();
         self.scratch.extend_from_slice(&self.keys);
@@ -119,8 +120,8 @@
         }
     }
 
-    /// A host's distance from its group: 0 if it has connections of the group or the call has no group, up to 1 for a
-    /// home, above 1 for others.
+    /// A host's distance from the group: 0 if it has connections of the group or the call has no group, up to
+    /// 1 for other homes, above 1 for the rest.
     pub(crate) fn distance(&self, host: HostIndex) -> f64 {
         self.keys.get(host).map_or(0.0, |key| (key / self.last_home_key).min(1e9))
     }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one host.
+//! State that a node keeps about one host.
 
 mod outlier;
 mod overload;
@@ -20,46 +20,46 @@
 /// Index of a host in the node's table of hosts. Hosts are never removed.
 pub(crate) type HostIndex = usize;
 
-/// A host with this node's connections on it.
+/// A host and this node's connections to it.
 pub(crate) struct Host {
     pub id: HostId,
     pub zone: Zone,
     pub cell: Cell,
     pub condition: Condition,
-    /// How much it can do when warm and empty.
+    /// Its capacity when warm and empty, relative to other hosts.
     pub size: Size,
     pub kind: Option<Kind>,
-    /// When it last started, at the latest.
+    /// Latest possible time of its last start.
     started_at: Option<Time>,
-    /// When it last started, as listed.
+    /// When it last started, according to the list.
     listed_start: Option<Time>,
-    /// Connections a core that all nodes have here, as far as the list tells.
+    /// Connections per core that all nodes have here, if the list tells.
     pub reported_connections: Option<f64>,
-    /// Attempts sent here since the last list, and between that list and the one before.
+    /// Attempts sent here since the last list, and between that list and the previous one.
     pub attempts_since_list: [f64; 2],
     /// Calls with an attempt here, in arbitrary order.
     pub calls: Vec<CallIndex>,
-    /// Attempts here that are setting up.
+    /// Setups in progress here.
     pub pending_setups: u32,
-    /// Connections that the process of this node before this one still has here.
+    /// Connections that the previous process of this node still has here.
     pub predecessor_connections: f64,
-    /// Sum of the loads that were reported for connections here, in seconds of work a second.
+    /// Sum of the loads reported for connections here, in seconds of work per second.
     pub reported_load: f64,
-    /// How many connections here reported a load.
+    /// Number of connections here with a reported load.
     pub reported_count: u32,
     pub work: WorkMeter,
     pub outlier: OutlierState,
     pub overload: OverloadState,
     pub probe_times: ProbeTimes,
     pub slow_start_budget: SlowStartBudget,
-    /// Part of a connection that this node's score of the host starts at, so that nodes begin at different hosts.
+    /// Part of a connection added to this node's score of the host, so that nodes begin at different hosts.
     pub score_offset: f64,
-    /// Estimate of other nodes' connections here; 1 is what a unit of size usually carries.
+    /// Estimate of other nodes' connections here, in units of what one unit of size usually carries.
     pub remote_load: f64,
 }
 
 impl Host {
-    /// A host that the list has just named, with the smoothed load to start from.
+    /// A host that is new in the list, with the smoothed load to start from.
     pub(crate) fn new(endpoint: &Endpoint, smoothed_load: f64, now: Time) -> Host {
         Host {
             id: endpoint.host,
@@ -87,12 +87,12 @@
         }
     }
 
-    /// This node's connections here, with those of the process before it.
+    /// This node's connections here, including those of its previous process.
     pub(crate) fn connections(&self) -> f64 {
         self.calls.len() as f64 + self.predecessor_connections
     }
 
-    /// What the host carries for this node now, in connections of the mean load.
+    /// This node's current load on the host, in connections of the mean load.
     pub(crate) fn load(&self, mean_load: f64) -> f64 {
         if mean_load <= 0.0 {
             return self.connections();
@@ -100,14 +100,15 @@
         self.reported_load / mean_load + self.connections() - f64::from(self.reported_count)
     }
 
-    /// Brings the sum of work up to now. A connection that reported no load counts as the mean.
+    /// Updates the sum of work up to `now`. A connection without a reported load counts with the mean.
     pub(crate) fn update_work(&mut self, now: Time, mean_load: f64) {
         let unreported = self.connections() - f64::from(self.reported_count);
         self.work.update(self.reported_load + unreported * mean_load, now);
     }
 
-    /// Records the listed start; returns whether it differs from the one before. With clocks that differ, a host that
-    /// has just started would look warm: it started no later than now, nor than the listed start and its uncertainty.
+    /// Records the listed start time; returns whether it differs from the previous one. Where clocks differ,
+    /// a host that has just started could look warm, so the latest possible start is assumed: the listed one
+    /// plus the uncertainty, but not later than now.
     pub(crate) fn record_start(&mut self, listed: Option<Time>, uncertainty: Span, now: Time) -> bool {
         if self.listed_start == listed {
             return false;
@@ -118,14 +119,14 @@
         true
     }
 
-    /// Share of its capacity that the host has for certain by now: it grows linearly to 1.
+    /// Share of its capacity that the host certainly has by now; it grows linearly to 1.
     pub(crate) fn slow_start_share(&self, slow_start: &SlowStart, now: Time) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let done = now.since(started_at).seconds() / slow_start.duration.seconds().max(1e-9);
-        slow_start.initial_share + (1.0 - slow_start.initial_share) * done.min(1.0)
+        let progress = now.since(started_at).seconds() / slow_start.duration.seconds().max(1e-9);
+        slow_start.initial_share + (1.0 - slow_start.initial_share) * progress.min(1.0)
     }
 
-    /// What the next process of the node has to know of this host.
+    /// State of this host for the node's next process.
     pub(crate) fn snapshot(&self) -> HostSnapshot {
         HostSnapshot {
             host: self.id,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Adopts what the process before knew. An ejected host stays ejected until it answers probes.
+    /// Restores the state that the previous process handed over. An ejected host stays ejected until it
+    /// answers probes.
     pub(crate) fn restore(&mut self, snapshot: &HostSnapshot, now: Time) {
         self.predecessor_connections = snapshot.connections;
         self.work.smoothed_rate = snapshot.smoothed_load;
--- a/src/state/host/outlier.rs
+++ b/src/state/host/outlier.rs
@@ -1,32 +1,32 @@
-//! What a node knows of a host's failures.
+//! Failures, ejection and trial of one host.
 
 use crate::domain::{Span, Time};
 
-/// The failure rate follows each result by this share. With the threshold, two failures in a row eject a host that was
-/// well before, and one a host on trial.
+/// Weight of each result in the failure rate. With the ejection threshold, two failures in a row eject a
+/// previously healthy host, and one failure ejects a host on trial.
 const FAILURE_SMOOTHING: f64 = 0.3;
 /// Failure rate above which a failing host is ejected.
 const EJECTION_THRESHOLD: f64 = 0.5;
-/// Failure rate of a host that returns from an ejection.
+/// Failure rate of a host that is readmitted after an ejection.
 const TRIAL_FAILURE_RATE: f64 = 0.3;
-/// Calls that a returning host gets one at a time.
+/// Number of calls that a readmitted host receives one at a time.
 const TRIAL_CALLS: u32 = 3;
 /// Successful probes in a row that end an ejection.
 const PROBES_TO_READMIT: u32 = 2;
 const MIN_EJECTION: Span = Span::ms(1000);
 const MAX_EJECTION: Span = Span::ms(8000);
-/// Wait after a probe that succeeded.
+/// Wait until the next probe after a successful one.
 const NEXT_PROBE_AFTER_SUCCESS: Span = Span::ms(500);
-/// Fewer breaks within a second may be coincidence.
+/// Least number of broken connections between two ticks that ejects a host; fewer may be coincidence.
 const MIN_BREAKS: u32 = 3;
-/// Breaks that are at least one in so many of the connections are no coincidence.
+/// A host is ejected only if at least one in this many of its connections broke.
 const BREAK_DIVISOR: usize = 3;
 const MIN_REJECT_BACKOFF: Span = Span::ms(200);
 const MAX_REJECT_BACKOFF: Span = Span::ms(8000);
-/// How long a host that a process before had ejected stays out at least.
+/// Ejection time to start from for a host that the previous process had ejected.
 const RESTORED_EJECTION: Span = Span::ms(1000);
 
-/// A host that gets no attempts until probes succeed.
+/// State of a host that receives no attempts until probes succeed.
 struct Ejection {
     next_probe: Time,
     /// Successful probes in a row.
@@ -38,13 +38,13 @@
     /// Smoothed share of failed attempts and probes.
     failure_rate: f64,
     ejection: Option<Ejection>,
-    /// How long the last ejection lasted; doubles from one to the next.
+    /// Wait before the first probe and after failed ones; doubles with each ejection and each failed probe.
     ejection_time: Span,
-    /// Calls that must succeed one at a time after an ejection.
+    /// Number of calls that must still succeed, one at a time, after an ejection.
     pub trial_calls_left: u32,
     /// Connections that broke since the last tick.
     broken_connections: u32,
-    /// The host gets nothing new until then, since it rejected an attempt.
+    /// The host receives no new attempts before this time, since it rejected one.
     pub rejecting_until: Time,
     pub reject_backoff: Span,
 }
@@ -63,24 +63,24 @@
         }
     }
 
-    /// Whether the host gets no attempts until probes succeed.
+    /// Whether the host is ejected, and receives no attempts until probes succeed.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Ejects the host again, as the process before had.
+    /// Restores an ejection by the previous process.
     pub(crate) fn restore_ejection(&mut self, now: Time) {
         self.ejection_time = RESTORED_EJECTION;
         self.ejection = Some(Ejection { next_probe: now, probe_successes: 0 });
     }
 
-    /// Records a failed attempt or probe; returns whether the host is to be ejected.
+    /// Records a failed attempt or probe; returns whether the host should be ejected.
     pub(crate) fn record_failure(&mut self) -> bool {
         self.failure_rate += FAILURE_SMOOTHING * (1.0 - self.failure_rate);
         self.failure_rate > EJECTION_THRESHOLD
     }
 
-    /// Records an attempt that was set up. The last one of a trial forgets how long the host was ejected.
+    /// Records a successful setup. The last one of a trial resets the ejection time.
     pub(crate) fn record_success(&mut self) {
         self.reject_backoff = Span::ZERO;
         self.failure_rate += FAILURE_SMOOTHING * (0.0 - self.failure_rate);
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Records a connection that broke, with so many left; returns whether the host is to be ejected: several broke
-    /// within a second and are a large part of what it had.
+    /// Records a broken connection, with `connections_left` remaining; returns whether the host should be
+    /// ejected, since several connections broke within a second and they are a large part of those it had.
     pub(crate) fn record_broken_connection(&mut self, connections_left: usize) -> bool {
         self.broken_connections += 1;
         let broken = self.broken_connections as usize;
@@ -101,13 +101,13 @@
         self.broken_connections >= MIN_BREAKS && is_large_part
     }
 
-    /// Forgets the connections that broke; called once a second.
+    /// Resets the count of broken connections; called once per second.
     pub(crate) fn tick(&mut self) {
         self.broken_connections = 0;
     }
 
-    /// Lets the host rest after it rejected an attempt, longer each time. One that rejects at once empties, scores low and
-    /// would draw every call.
+    /// Starts a backoff after the host rejected an attempt, longer each time. A host that rejects immediately
+    /// loses its connections, gets a low score and would attract every call.
     pub(crate) fn back_off_after_reject(&mut self, now: Time, jitter: f64) {
         if self.rejecting_until <= now {
             self.reject_backoff =
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Ejects the host; returns whether it was in service.
+    /// Ejects the host; returns false if it was ejected already.
     pub(crate) fn eject(&mut self, now: Time, jitter: f64) -> bool {
         if self.is_ejected() {
             return false;
@@ -127,7 +127,7 @@
         true
     }
 
-    /// If a probe of the ejected host is due, sets the time of the next one and returns true.
+    /// If a probe of the ejected host is due, schedules the next one and returns true.
     pub(crate) fn schedule_probe(&mut self, now: Time, jitter: f64) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         if ejection.next_probe > now {
@@ -137,7 +137,7 @@
         true
     }
 
-    /// Records a probe of the ejected host; returns whether it is to be readmitted.
+    /// Records a probe of the ejected host; returns whether the host should be readmitted.
     pub(crate) fn record_probe(&mut self, is_success: bool, now: Time) -> bool {
         let Some(ejection) = &mut self.ejection else { return false };
         if !is_success {
@@ -150,7 +150,7 @@
         ejection.probe_successes >= PROBES_TO_READMIT
     }
 
-    /// Ends the ejection; the host is on trial.
+    /// Ends the ejection and puts the host on trial.
     pub(crate) fn readmit(&mut self) {
         self.ejection = None;
         self.trial_calls_left = TRIAL_CALLS;
--- a/src/state/host/overload.rs
+++ b/src/state/host/overload.rs
@@ -1,36 +1,36 @@
-//! What a node knows of a host's load limit.
+//! Load limit and overload penalty of one host.
 
 use crate::domain::{Span, Time};
 
 /// Highest overload penalty.
 const MAX_PENALTY: f64 = 4.0;
-/// What remains at least of the load at the last tick when the limit is cut.
+/// Lower bound of a limit after a cut, as a share of the load at the last tick.
 const MIN_LIMIT_SHARE: f64 = 0.7;
-/// How long an overloaded host gets nothing new: a little longer than the second between reports.
+/// How long an overloaded host receives no new attempts: slightly longer than the second between reports.
 const CLOSED_AFTER_REPORT: Span = Span::ms(1200);
-/// Growth of the limit a second.
+/// Growth of the limit per second, as a share of the load that it grows from.
 const LIMIT_GROWTH: f64 = 0.02;
-/// Load from which the limit grows at least, in connections: where all broke, limit and mean are nothing, and nothing
-/// grows from that.
+/// Smallest load that the limit grows from, in connections. After all connections broke, limit and mean load
+/// are zero, and a share of those is no growth.
 const MIN_GROWTH_BASE: f64 = 0.1;
-/// Reports older than this, in seconds, say nothing of the growth since.
-const MAX_REPORT_AGE: f64 = 1.5;
+/// Age above which the previous report is not used to measure growth.
+const MAX_REPORT_AGE_SECONDS: f64 = 1.5;
 
 /// Message times and load limit of one host.
 pub(crate) struct OverloadState {
-    /// By how much the host's score is raised while messages take long there.
+    /// Relative increase of the host's score while messages take long there.
     pub penalty: f64,
-    /// It was found overloaded since the last tick.
+    /// Whether the host was found overloaded since the last tick.
     is_overloaded: bool,
-    /// It gets nothing new until then, since it was found overloaded.
+    /// The host receives no new attempts before this time, since it was found overloaded.
     pub closed_until: Time,
-    /// The most load it has coped with, in connections; infinite until that has shown.
+    /// Highest load that the host has sustained, in connections of the mean load; infinite if unknown.
     pub load_limit: f64,
     load_at_last_tick: f64,
-    /// What a message took when last reported, in seconds.
+    /// Last reported message time, in seconds.
     message_time: f64,
     reported_at: Time,
-    /// By how many seconds the last setup took too long.
+    /// Seconds by which the last setup exceeded its allowed time.
     last_setup_excess: f64,
 }
 
@@ -50,38 +50,39 @@
 }
 
 impl OverloadState {
-    /// Records a message time in seconds; returns by how many seconds a second it has grown since the report before.
+    /// Records a message time in seconds; returns its growth since the last report, in seconds per second.
     pub(crate) fn record_message_time(&mut self, took: f64, now: Time) -> f64 {
         let age = now.since(self.reported_at).seconds();
-        let previous = if age < MAX_REPORT_AGE { self.message_time } else { 0.0 };
+        let previous = if age < MAX_REPORT_AGE_SECONDS { self.message_time } else { 0.0 };
         self.message_time = took;
         self.reported_at = now;
         (took - previous) / age.clamp(0.5, 1.0)
     }
 
-    /// Records by how many seconds a setup took too long; returns the mean of the last two, as a single one may have
-    /// met a pause.
+    /// Records by how many seconds a setup exceeded its allowed time; returns the mean of the last two, as a
+    /// single one may have coincided with a pause.
     pub(crate) fn record_setup_excess(&mut self, seconds: f64) -> Span {
         let previous = self.last_setup_excess;
         self.last_setup_excess = seconds.max(0.0);
         Span::from_seconds(0.5 * (previous + self.last_setup_excess))
     }
 
-    /// Raises the penalty to the message time over its target, if it is lower.
-    pub(crate) fn raise_penalty(&mut self, message_time_share: f64) {
-        self.penalty = self.penalty.max(message_time_share.min(MAX_PENALTY));
+    /// Raises the penalty to the ratio of the message time to its target, if it is lower.
+    pub(crate) fn raise_penalty(&mut self, message_time_ratio: f64) {
+        self.penalty = self.penalty.max(message_time_ratio.min(MAX_PENALTY));
     }
 
-    /// Lowers the limit and closes the host for a moment. While a host empties, its load of the moment says nothing of
-    /// what it can do, and a limit taken from that would keep it idle: so a second cuts it by three tenths at most.
+    /// Lowers the limit and briefly closes the host to new attempts. While a host empties, its current load
+    /// does not show what it can sustain, and a limit taken from that load would keep the host idle; so no
+    /// cut goes below seven tenths of the load at the last tick.
     pub(crate) fn cut_limit(&mut self, load: f64, now: Time) {
         self.load_limit = self.load_limit.min(load.max(MIN_LIMIT_SHARE * self.load_at_last_tick));
         self.is_overloaded = true;
         self.closed_until = now + CLOSED_AFTER_REPORT;
     }
 
-    /// Lets the limit grow if the host was not overloaded since the last tick; called once a second with the host's load
-    /// and the load that others of its size have.
+    /// Raises the limit if the host was not overloaded since the last tick; called once per second with the
+    /// host's load and a load derived from the mean of hosts of its size.
     pub(crate) fn grow_limit(&mut self, load: f64, mean_load: f64) {
         let was_overloaded = std::mem::take(&mut self.is_overloaded);
         if !was_overloaded && self.load_limit.is_finite() {
@@ -90,7 +91,7 @@
         self.load_at_last_tick = load;
     }
 
-    /// Adopts what the process before knew.
+    /// Restores the state that the previous process handed over.
     pub(crate) fn restore(&mut self, penalty: f64, load_limit: Option<f64>, load: f64) {
         self.penalty = penalty;
         self.load_limit = load_limit.unwrap_or(f64::INFINITY);
--- a/src/state/host/probe_times.rs
+++ b/src/state/host/probe_times.rs
@@ -1,13 +1,13 @@
-//! What a host's answers to probes take.
+//! Response times of a host's probes.
 
 use crate::domain::Span;
 
-/// The usual time follows each probe by this share.
+/// Weight of each probe in the usual time.
 const SMOOTHING: f64 = 0.1;
-/// A probe counts as at most this many times the usual, so that the usual does not follow a slow spell.
+/// Cap on a probe's time, as a multiple of the usual time, which so does not follow a slow period.
 const MAX_RATIO: f64 = 1.33;
 
-/// Usual and last time of probes, in seconds; 0 before the first.
+/// Usual and last response time of probes, in seconds; 0 before the first probe.
 #[derive(Default)]
 pub(crate) struct ProbeTimes {
     usual: f64,
@@ -15,17 +15,17 @@
 }
 
 impl ProbeTimes {
-    /// Times that start from a usual one.
+    /// Probe times that start from a known usual time.
     pub(crate) fn from_usual(usual: f64) -> ProbeTimes {
         ProbeTimes { usual, last: usual }
     }
 
-    /// What probes usually take, in seconds.
+    /// Usual response time of probes, in seconds.
     pub(crate) fn usual(&self) -> f64 {
         self.usual
     }
 
-    /// Records what a probe took; returns the mean of the last two as a multiple of the usual.
+    /// Records a probe's response time; returns the mean of the last two as a multiple of the usual time.
     pub(crate) fn record(&mut self, took: Span) -> f64 {
         let took = took.seconds().max(1e-6);
         let is_first = self.usual <= 0.0;
--- a/src/state/host_size.rs
+++ b/src/state/host_size.rs
@@ -1,30 +1,31 @@
-//! Turns the weights of the endpoint list into sizes of hosts and into what all nodes have on them.
+//! Derives hosts' sizes, and the connections that all nodes have on them, from listed weights.
 
 use rustc_hash::FxHashMap;
 
 use crate::domain::{Condition, Kind, Size, Weight, WeightKind};
 use crate::state::host::Host;
 
-/// Learns nominal sizes where listed weights fall with load.
+/// Learns nominal sizes where listed weights decrease with load.
 #[derive(Default)]
 pub(crate) struct SizeEstimator {
-    /// The highest weight that any host of a kind has shown: that of an empty one.
+    /// Highest weight seen on any host of a kind, which is that of an empty host.
     size_by_kind: FxHashMap<Kind, f64>,
-    /// The fleet's connections for each one that its hosts report a core; 0 before it is known.
+    /// Connections of the fleet per reported connection per core; 0 before it is known.
     connections_per_report: f64,
 }
 
 impl SizeEstimator {
-    /// Reads a listed weight. Where weights fall with load they are not taken for sizes: loaded hosts would look small
-    /// and cold ones large, and budgets, homes and all sums would wander with each list, alike at all nodes.
-    pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weights: WeightKind) {
-        if weights == WeightKind::Sizes {
+    /// Applies a listed weight to the host. Weights that decrease with load are not used as sizes: loaded
+    /// hosts would look small and cold ones large, and budgets, homes and all sums would shift with each
+    /// list, at all nodes alike.
+    pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weight_kind: WeightKind) {
+        if weight_kind == WeightKind::Sizes {
             host.size = Size(weight.0);
             host.reported_connections = None;
             return;
         }
-        let shown = host.kind.map_or(host.size.0, |kind| *self.size_by_kind.entry(kind).or_default());
-        host.size = Size(shown.max(weight.0));
+        let known_size = host.kind.map_or(host.size.0, |kind| *self.size_by_kind.entry(kind).or_default());
+        host.size = Size(known_size.max(weight.0));
         if let Some(kind) = host.kind {
             self.size_by_kind.insert(kind, host.size.0);
         }
@@ -32,17 +33,17 @@
         host.attempts_since_list = [0.0, host.attempts_since_list[0]];
     }
 
-    /// Adopts the known sizes of the hosts, from before a change of settings or from another process.
+    /// Adopts the hosts' sizes as known before a change of settings or from another process.
     pub(crate) fn learn_sizes(&mut self, hosts: &[Host]) {
         for host in hosts {
             let Some(kind) = host.kind else { continue };
-            let shown = self.size_by_kind.entry(kind).or_default();
-            *shown = shown.max(host.size.0);
+            let known_size = self.size_by_kind.entry(kind).or_default();
+            *known_size = known_size.max(host.size.0);
         }
     }
 
-    /// Updates what one reported connection a core stands for: this node's own connections times the nodes, over all
-    /// that is reported.
+    /// Updates the number of connections that one reported connection per core stands for: this node's
+    /// connections times the number of nodes, divided by the sum of all reports.
     pub(crate) fn tick(&mut self, hosts: &[Host], node_count: f64, connections: f64, smoothing: f64) {
         let listed = hosts.iter().filter(|host| host.condition != Condition::Gone);
         let reported: f64 = listed.filter_map(|host| host.reported_connections).sum();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Connections of the other nodes on a host, where the list tells.
+    /// Connections of the other nodes on a host, if the list tells.
     pub(crate) fn remote_connections(&self, host: &Host) -> Option<f64> {
         let reported = host.reported_connections?;
         Some((reported * self.connections_per_report - host.connections()).max(0.0))
--- a/src/state/load_cache.rs
+++ b/src/state/load_cache.rs
@@ -1,4 +1,4 @@
-//! Loads that clients' connections had when they ended, for the clients' return.
+//! Loads of ended connections, kept for when their clients return.
 
 use rustc_hash::FxHashMap;
 
@@ -23,10 +23,10 @@
     }
 }
 
-/// Loads of connections that ended recently, at this node and at nodes that were lost.
+/// Loads of connections that ended recently, at this node and at lost nodes.
 ///
-/// The two are kept apart since a client whose load is known here left here, and load limits are not raised for it.
-/// What a lost node told says nothing of that.
+/// The two are kept apart: a returning client whose load is known from this node is not displaced, and load
+/// limits are not raised for it. A load from a lost node does not show that.
 #[derive(Default)]
 pub(crate) struct LoadCache {
     local: Generations,
@@ -39,22 +39,22 @@
         self.local.load(subject)
     }
 
-    /// Load of the client's last connection at a node that was lost.
+    /// Load of the client's last connection at a lost node.
     pub(crate) fn lost_node_load(&self, subject: SubjectId) -> Option<f64> {
         self.from_lost_nodes.load(subject)
     }
 
-    /// Records a connection of this node that ended.
+    /// Records the load of an ended connection of this node.
     pub(crate) fn insert_local(&mut self, subject: SubjectId, load: f64) {
         self.local.insert(subject, load);
     }
 
-    /// Records what a lost node told.
+    /// Records a load from the warm state of a lost node.
     pub(crate) fn insert_from_lost_node(&mut self, subject: SubjectId, load: f64) {
         self.from_lost_nodes.insert(subject, load);
     }
 
-    /// All loads of this node's connections.
+    /// All recorded loads of this node's ended connections.
     pub(crate) fn local_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
         self.local.0.iter().flatten().map(|(subject, load)| (*subject, *load))
     }
--- a/src/state/load_stats.rs
+++ b/src/state/load_stats.rs
@@ -1,22 +1,22 @@
-//! Mean load of connections, in all and by traffic class.
+//! Mean load of connections, overall and by traffic class.
 
 use crate::state::host::Host;
 
-/// The mean of a class is taken over about twenty connections.
+/// Smoothing factor of a class's mean load; averages over about twenty connections.
 const CLASS_SMOOTHING: f64 = 0.05;
 
-/// Loads that were reported for in-flight connections, in seconds of work a second.
+/// Loads reported for in-flight connections, in seconds of work per second.
 pub(crate) struct LoadStats {
     reported_load: f64,
     reported_count: u32,
     /// Mean reported load; 0 before the first report.
     pub mean: f64,
-    /// Mean load by traffic class; 0 before the first.
+    /// Mean load by traffic class; 0 before the first connection with a known load ended.
     pub mean_by_class: Vec<f64>,
 }
 
 impl LoadStats {
-    /// Nothing is reported yet.
+    /// Statistics without any report yet.
     pub(crate) fn new(classes: usize) -> LoadStats {
         LoadStats { reported_load: 0.0, reported_count: 0, mean: 0.0, mean_by_class: vec![0.0; classes] }
     }
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Updates a class's mean by a connection that ended. The first one starts from the mean of all.
+    /// Updates a class's mean with the load of an ended connection. The mean starts at that of all classes.
     pub(crate) fn record_class(&mut self, class_index: usize, load: f64) {
         let mean = &mut self.mean_by_class[class_index];
         if *mean <= 0.0 {
--- a/src/state/remote_connections.rs
+++ b/src/state/remote_connections.rs
@@ -3,15 +3,15 @@
 use crate::domain::Condition;
 use crate::state::host::Host;
 
-/// A host's part in the redistribution of a time step.
+/// How far a host can be filled in one step of the redistribution.
 pub(crate) struct FillLimit {
-    /// Share of its capacity that the host has by now.
+    /// Share of its capacity that the host has at present.
     pub slow_start_share: f64,
-    /// The most that a cold host is filled by in this step.
+    /// Largest increase of a cold host's remote load in this step.
     pub max_fill: f64,
 }
 
-/// Other nodes' estimated connections for each unit of size, over the hosts that have any; 1 if none has.
+/// Estimated remote load per unit of size, over the hosts that have any; 1 if none has.
 pub(crate) fn remote_load_per_size(hosts: &[Host]) -> f64 {
     let occupied_size =
         hosts.iter().filter(|host| host.remote_load > 0.0).map(|host| host.size.0).sum::<f64>();
@@ -19,8 +19,9 @@
     if remote_load > 0.0 { remote_load / occupied_size.max(1e-9) } else { 1.0 }
 }
 
-/// Advances the estimate by one step: the share `ending_share` of each host's connections ends and returns elsewhere,
-/// all of them where the host is not ready. Cold hosts are filled first; the rest goes to warm hosts by size.
+/// Advances the estimate by one step: the share `ending_share` of each host's connections ends and is placed
+/// anew, and all connections of hosts that are not ready. Cold hosts are filled first; the rest goes to warm
+/// hosts in proportion to their size.
 pub(crate) fn redistribute(hosts: &mut [Host], ending_share: f64, fill_limits: &[FillLimit]) {
     let mut unplaced = 0.0;
     let mut warm_size = 0.0;
--- a/src/state/retry_counter.rs
+++ b/src/state/retry_counter.rs
@@ -1,10 +1,11 @@
 //! Counts calls and retries against the deployment's retry budget.
 //!
-//! The budget holds for any span of its length. Counts are kept in slots of it, so memory does not grow with traffic.
+//! The budget applies to any window of its length. Counts are kept for slots of the window, so memory use
+//! does not grow with traffic.
 
 use crate::domain::{RetryBudget, Settings, Time};
 
-/// Slots that the budget's span is divided into.
+/// Number of slots that the budget's window is divided into.
 const SLOTS: u64 = 20;
 
 #[derive(Clone, Copy, Default)]
@@ -14,17 +15,17 @@
     retries: u32,
 }
 
-/// Calls admitted and retries sent during the last span of the budget.
+/// Calls admitted and retries sent during the last window of the budget.
 #[derive(Default)]
 pub(crate) struct RetryCounter {
     counts: [SlotCount; SLOTS as usize + 1],
-    /// No retry is sent before.
+    /// No retry is sent before this time.
     blocked_until: Time,
 }
 
 impl RetryCounter {
-    /// A counter for a budget that has changed. What was sent under the old budget counts against the new one for a
-    /// span, and is not known slot by slot; so no retry is sent meanwhile.
+    /// A counter for a budget that has changed. Retries sent under the old budget count against the new one
+    /// for one window, and their slots are not known; so no retry is sent during that window.
     pub(crate) fn after_budget_change(settings: &Settings, now: Time) -> RetryCounter {
         let blocked_until = settings.retry_budget.map_or(Time(0), |budget| now + budget.window);
         RetryCounter { blocked_until, ..RetryCounter::default() }
@@ -50,15 +51,15 @@
         }
     }
 
-    /// Counts an attempt that is about to be sent, if the call has had others before.
+    /// Counts an attempt that is about to be sent as a retry, if the call had earlier attempts.
     pub(crate) fn record_attempt(&mut self, settings: &Settings, now: Time, attempts_before: u16) {
         if let Some(budget) = settings.retry_budget.as_ref().filter(|_| attempts_before > 0) {
             self.current_count(budget, now).retries += 1;
         }
     }
 
-    /// Whether another retry keeps within the budget in every span that includes now: retries count over all slots that
-    /// such a span touches, calls only over those that lie in it completely.
+    /// Whether another retry stays within the budget in every window that includes now: retries count in all
+    /// slots that such a window touches, calls only in those that lie completely within it.
     pub(crate) fn allows_retry(&self, settings: &Settings, now: Time) -> bool {
         let Some(budget) = &settings.retry_budget else { return true };
         let slot = RetryCounter::slot(budget, now);
--- a/src/state/traffic_stats.rs
+++ b/src/state/traffic_stats.rs
@@ -1,55 +1,64 @@
-//! Rates of arrivals, attempts and breaks, and what is usual for this node.
+//! Rates of arrivals, attempts and broken connections, and long-term averages of this node's traffic.
 
 use crate::domain::{NodeSnapshot, Span};
 use crate::state::load_stats::LoadStats;
 
-/// Lowest smoothing of connections for each unit of size: about the time that slow start takes.
+/// Lowest smoothing factor of connections per unit of size; averages over about the duration of slow start.
 const CONNECTIONS_PER_SIZE_SMOOTHING: f64 = 0.06;
-/// Lowest smoothing of what is usual: about the time that connections last.
+/// Lowest smoothing factor of the usual values; averages over about the lifetime of connections.
 const USUAL_SMOOTHING: f64 = 0.02;
-/// The usual setup time follows each setup by this share.
+/// Weight of each setup in the usual setup time.
 const SETUP_TIME_SMOOTHING: f64 = 0.2;
 
-/// Traffic of this node of late.
+/// Recent and usual traffic of this node.
 #[derive(Default)]
 pub(crate) struct TrafficStats {
-    /// Attempts sent of late; fades by the second.
+    /// Recently sent attempts; decays every second.
     pub recent_attempts: f64,
-    /// Open connections that broke of late; fades by the second.
+    /// Open connections that broke recently; decays every second.
     pub recent_breaks: f64,
     /// New clients since the last tick.
     pub new_clients: u32,
-    /// New clients a second.
+    /// New clients per second.
     pub new_client_rate: f64,
-    /// Connections for each unit of the ready hosts' size, smoothed.
+    /// Connections per unit of size of the ready hosts, smoothed.
     pub connections_per_size: f64,
-    /// Connections that this node usually has.
+    /// Usual number of connections of this node.
     pub usual_connections: f64,
-    /// Size of all ready hosts now.
+    /// Current total size of the ready hosts.
     pub ready_size: f64,
-    /// Size of all ready hosts as a rule.
+    /// Usual total size of the ready hosts.
     pub usual_ready_size: f64,
-    /// In-flight calls of clients that returned but had left another node.
+    /// In-flight calls of displaced clients.
     pub displaced_calls: f64,
-    /// What a setup usually takes, in seconds; 0 before the first.
+    /// Usual setup time, in seconds; 0 before the first setup.
     pub setup_time: f64,
 }
 
 impl TrafficStats {
-    /// Updates what is usual: connections, and the ready hosts' nominal and present size. `first` is one over the
-    /// seconds so far. The usual size follows growth at once and loss slowly.
-    pub(crate) fn update_usual(&mut self, connections: f64, nominal_size: f64, ready_size: f64, first: f64) {
+    /// Updates the usual values from the node's connections and the nominal and present size of the ready
+    /// hosts. `startup_smoothing` is one over the ticks so far. The usual size follows growth at once and
+    /// loss slowly.
+    pub(crate) fn update_usual(
+        &mut self,
+        connections: f64,
+        nominal_size: f64,
+        ready_size: f64,
+        startup_smoothing: f64,
+    ) {
         let per_size = connections.max(1.0) / nominal_size.max(1e-6);
-        let smoothing = first.max(CONNECTIONS_PER_SIZE_SMOOTHING);
+        let smoothing = startup_smoothing.max(CONNECTIONS_PER_SIZE_SMOOTHING);
         self.connections_per_size += (per_size - self.connections_per_size) * smoothing;
-        self.usual_connections += (connections - self.usual_connections) * first.max(USUAL_SMOOTHING);
+        self.usual_connections +=
+            (connections - self.usual_connections) * startup_smoothing.max(USUAL_SMOOTHING);
         self.ready_size = ready_size;
         let usual = self.usual_ready_size.max(ready_size);
         self.usual_ready_size = usual + (ready_size - usual) * USUAL_SMOOTHING;
     }
 
-    /// Updates the rate of new clients. Clients that return together would swell it, and slow-start budgets with it:
-    /// those that say they return are not counted, and a rise is cut to three times a second, which catches the rest.
+    /// Updates the rate of new clients. Clients that return together would inflate it, and slow-start budgets
+    /// with it: clients marked as returning are not counted, and the rate seen in a second counts as at most
+    /// about three times the previous rate, which limits the effect of unmarked ones.
     pub(crate) fn update_rate(&mut self, elapsed: f64, smoothing: f64) {
         let max_rate = 3.0 * self.new_client_rate + 1.0;
         let seen = (f64::from(self.new_clients) / elapsed).min(max_rate);
@@ -57,23 +66,25 @@
         self.new_client_rate += (seen - self.new_client_rate) * smoothing;
     }
 
-    /// Fades recent attempts and breaks to the given share.
+    /// Reduces the counts of recent attempts and broken connections to the given share.
     pub(crate) fn fade(&mut self, remaining_share: f64) {
         self.recent_attempts *= remaining_share;
         self.recent_breaks *= remaining_share;
     }
 
-    /// Clients that other nodes sent away and that are here now. Where clients come and go between nodes all nodes have
-    /// displaced clients, and none has more than usual; a node that knows no usual count knows nothing of them.
+    /// Number of displaced clients, at most the number of in-flight calls beyond the usual connections. Where
+    /// clients routinely move between nodes, every node has displaced clients without more connections than
+    /// usual. 0 while the usual number of connections is unknown.
     pub(crate) fn displaced_beyond_usual(&self, in_flight: usize) -> f64 {
         let beyond_usual = in_flight as f64 - self.usual_connections;
         if self.usual_connections > 0.0 { self.displaced_calls.min(beyond_usual).max(0.0) } else { 0.0 }
     }
 
-    /// Records a setup and returns what it may take at any host, in seconds: half as much again as the usual, and a
-    /// third for each that was ahead of it there, as a burst makes its own queue. One slow setup raises the usual by a
-    /// fifth at most, so that a host going under does not hide itself; where all are slow, as with a slow session
-    /// store, a handful are enough to make that usual.
+    /// Records a setup time and returns the time that the setup may take at any host, in seconds: 1.5 times
+    /// the usual, and a third of the usual for each setup ahead of it there, since a burst queues
+    /// behind itself. One slow setup raises the usual time by a fifth at most, so that an overloaded host
+    /// does not hide its own slowness; where all setups are slow, as with a slow session store, a handful are
+    /// enough to make that the usual time.
     pub(crate) fn record_setup(&mut self, took: Span, setups_ahead: u32) -> f64 {
         let took = took.seconds();
         let usual = if self.setup_time > 0.0 { self.setup_time } else { took };
@@ -81,7 +92,7 @@
         usual * (1.5 + f64::from(setups_ahead) / 3.0)
     }
 
-    /// What the next process of the node has to know of traffic and loads; hosts and clients' loads are left empty.
+    /// Traffic and mean loads for the node's next process; hosts and clients' loads are left empty.
     pub(crate) fn snapshot(&self, loads: &LoadStats) -> NodeSnapshot {
         NodeSnapshot {
             mean_load: loads.mean,
@@ -96,11 +107,11 @@
         }
     }
 
-    /// Adopts what the process before knew. Classes that it did not know begin anew.
+    /// Restores the state that the previous process handed over. Classes unknown to it start without a mean.
     pub(crate) fn restore(&mut self, loads: &mut LoadStats, snapshot: &NodeSnapshot) {
         loads.mean = snapshot.mean_load;
-        for (mean, before) in loads.mean_by_class.iter_mut().zip(&snapshot.mean_load_by_class) {
-            *mean = *before;
+        for (mean, restored) in loads.mean_by_class.iter_mut().zip(&snapshot.mean_load_by_class) {
+            *mean = *restored;
         }
         self.new_client_rate = snapshot.new_client_rate;
         self.connections_per_size = snapshot.connections_per_size;
--- a/src/state/waiting_queue.rs
+++ b/src/state/waiting_queue.rs
@@ -3,23 +3,23 @@
 use crate::domain::Time;
 use crate::state::call::CallIndex;
 
-/// Calls for which no host is open, and those of them that are being retried now.
+/// Calls that wait until a host accepts them, and the calls of the current retry round.
 #[derive(Default)]
 pub(crate) struct WaitingQueue {
     pub calls: Vec<CallIndex>,
-    /// Calls of the retry round under way, the next one last.
+    /// Calls of the current retry round; the last one is tried next.
     pub retrying: Vec<CallIndex>,
-    /// When the earliest timer for this queue fires.
+    /// When the earliest timer of this queue fires.
     pub wakeup_at: Option<Time>,
 }
 
 impl WaitingQueue {
-    /// All calls that wait.
+    /// Number of waiting calls, including those of the retry round.
     pub(crate) fn len(&self) -> usize {
         self.calls.len() + self.retrying.len()
     }
 
-    /// Makes the calls that wait the retry round; the two buffers change places.
+    /// Starts a retry round with the given calls; the previous round's buffer is reused for waiting calls.
     pub(crate) fn start_round(&mut self, round: Vec<CallIndex>) {
         self.calls = std::mem::replace(&mut self.retrying, round);
     }
