--- a/tests/decision_digests/main.rs
+++ b/tests/decision_digests/main.rs
@@ -1,16 +1,17 @@
-//! The decisions are deterministic for a seed. Drawn days drive a node through its port, and a digest of every
-//! action, in order, has to equal the digest recorded in `tests/fixtures/decision-digests.txt`.
+//! Guards against unintended changes of decisions, which are deterministic for a seed. Random simulations
+//! drive a node through its port, and the digest of all its actions, in order, must equal the one recorded in
+//! `tests/fixtures/decision-digests.txt`.
 //!
-//! A recorded digest may change only in a commit that changes a decision, and that says why.
+//! A recorded digest may change only in a commit that changes a decision and explains why.
 
-mod day;
 mod recorder;
+mod simulation;
 
-use day::Day;
+use simulation::Simulation;
 
 const RECORDED: &str = include_str!("../fixtures/decision-digests.txt");
 
-/// `seed digest actions`, a line each.
+/// Parses the fixture's lines, each `seed digest actions`.
 fn recorded() -> Vec<(u64, u64, u64)> {
     let parse = |line: &str| {
         let mut words = line.split_whitespace();
@@ -23,20 +24,20 @@
 }
 
 #[test]
-fn drawn_days_give_the_recorded_actions() {
+fn random_simulations_produce_the_recorded_actions() {
     let recorded = recorded();
-    assert_eq!(recorded.len(), 64, "a day is missing from the fixture");
+    assert_eq!(recorded.len(), 64, "number of simulations in the fixture");
     let mut differing = Vec::new();
-    let mut kinds = [0; 10];
+    let mut counts_by_kind = [0; 10];
     for (seed, digest, actions) in recorded {
-        let (played, by_kind) = Day::new(seed).play();
+        let (actual, by_kind) = Simulation::new(seed).run();
         let count: u64 = by_kind.iter().sum();
-        if (played, count) != (digest, actions) {
-            differing.push(format!("{seed} {played:016x} {count}"));
+        if (actual, count) != (digest, actions) {
+            differing.push(format!("{seed} {actual:016x} {count}"));
         }
-        kinds.iter_mut().zip(by_kind).for_each(|(sum, count)| *sum += count);
+        counts_by_kind.iter_mut().zip(by_kind).for_each(|(sum, count)| *sum += count);
     }
-    assert!(differing.is_empty(), "days that went otherwise, as played now:\n{}", differing.join("\n"));
-    // A day that never rejects or moves anything would show nothing of rejects or moves.
-    assert!(kinds[1..].iter().all(|count| *count >= 50), "actions by kind: {kinds:?}");
+    assert!(differing.is_empty(), "actual values of differing simulations:\n{}", differing.join("\n"));
+    // Without enough actions of a kind, the digests would not cover the decisions behind them.
+    assert!(counts_by_kind[1..].iter().all(|count| *count >= 50), "actions by kind: {counts_by_kind:?}");
 }
--- a/tests/decision_digests/recorder.rs
+++ b/tests/decision_digests/recorder.rs
@@ -1,11 +1,11 @@
-//! A port that digests every action with its time.
+//! A port that adds every action and its time to a digest.
 
 use std::collections::BTreeSet;
 
 use glendeck::domain::{AttemptNumber, CallId, HostId, Span, Time, TimerToken};
 use glendeck::port::Port;
 
-/// FNV-1a, 64 bits.
+/// 64-bit FNV-1a hash.
 pub(crate) struct Digest(u64);
 
 impl Digest {
@@ -28,18 +28,19 @@
     }
 }
 
-/// What the recording port saw, and what follows from it.
+/// The digest of all actions, and the actions that the simulation has yet to carry out.
 pub(crate) struct Recorder {
     pub digest: Digest,
     pub now: Time,
-    /// How often each kind of action was seen.
-    pub kinds: [u64; 10],
+    /// Number of actions of each kind.
+    pub counts_by_kind: [u64; 10],
     pub sent: Vec<(CallId, HostId, Span)>,
     pub ended: BTreeSet<CallId>,
     pub canceled: Vec<(CallId, u16)>,
     pub migrated: Vec<CallId>,
     pub probed: Vec<HostId>,
-    pub asked: Vec<bool>,
+    /// Requests for the endpoint list; true for a watch, false for a single fetch.
+    pub list_requests: Vec<bool>,
     pub timers: Vec<(Time, TimerToken)>,
 }
 
@@ -48,19 +49,19 @@
         Recorder {
             digest: Digest::new(),
             now,
-            kinds: [0; 10],
+            counts_by_kind: [0; 10],
             sent: Vec::new(),
             ended: BTreeSet::new(),
             canceled: Vec::new(),
             migrated: Vec::new(),
             probed: Vec::new(),
-            asked: Vec::new(),
+            list_requests: Vec::new(),
             timers: Vec::new(),
         }
     }
 
     fn record(&mut self, kind: u64, numbers: &[u64]) {
-        self.kinds[kind as usize] += 1;
+        self.counts_by_kind[kind as usize] += 1;
         self.digest.add(kind);
         self.digest.add(self.now.0);
         for number in numbers {
@@ -70,9 +71,9 @@
 }
 
 impl Port for Recorder {
-    fn send_attempt(&mut self, call: CallId, host: HostId, within: Span) {
-        self.record(1, &[call.0, host.0, within.0]);
-        self.sent.push((call, host, within));
+    fn send_attempt(&mut self, call: CallId, host: HostId, timeout: Span) {
+        self.record(1, &[call.0, host.0, timeout.0]);
+        self.sent.push((call, host, timeout));
     }
     fn reject(&mut self, call: CallId, retry_after: Option<Span>) {
         self.record(2, &[call.0, retry_after.map_or(u64::MAX, |wait| wait.0)]);
@@ -96,11 +97,11 @@
     }
     fn fetch_endpoints(&mut self) {
         self.record(7, &[]);
-        self.asked.push(false);
+        self.list_requests.push(false);
     }
     fn watch_endpoints(&mut self) {
         self.record(8, &[]);
-        self.asked.push(true);
+        self.list_requests.push(true);
     }
     fn set_timer(&mut self, time: Time, token: TimerToken) {
         self.record(9, &[time.0, u64::from(token.0)]);
--- a/tests/decision_digests/day.rs
+++ b/tests/decision_digests/simulation.rs
@@ -1,4 +1,4 @@
-//! A drawn day: hosts, clients and list around one node, in simulated time.
+//! A random simulation of one node, with its hosts, clients and endpoint list, in simulated time.
 
 mod calls;
 mod hosts;
@@ -16,15 +16,15 @@
 use nanorand::{Rng, WyRand};
 
 use crate::recorder::Recorder;
-use settings::draw_settings;
+use settings::random_settings;
 
-/// Length of a drawn day.
-const DAY: Span = Span::ms(60_000);
+/// Length of a simulation.
+const DURATION: Span = Span::ms(60_000);
 
-/// When a drawn day begins.
+/// When a simulation begins.
 const START: Time = Time(1_000_000_000_000);
 
-/// What happens in the world around the node; attempts go by call and number.
+/// An event outside the node. Attempts are identified by their call and number.
 #[derive(Clone, Copy)]
 enum Event {
     Timer(TimerToken),
@@ -36,15 +36,15 @@
     AttemptEnds(CallId, u16, AttemptOutcome),
     ClientLeaves(CallId),
     ProbeEnds(HostId),
-    ListAnswered { pushes: bool },
-    ListChanges,
-    BehavioursChange,
-    SettingsChange,
+    ListAnswered { is_watch: bool },
+    ListChanged,
+    BehavioursChanged,
+    SettingsChanged,
     ProcessReplaced,
     NodeLost,
 }
 
-/// What a host does with attempts and probes.
+/// How a host responds to attempts and probes.
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
     Healthy,
@@ -64,91 +64,91 @@
     is_open: bool,
 }
 
-/// The world around one node.
-pub(crate) struct Day {
+/// One node and its simulated environment.
+pub(crate) struct Simulation {
     rng: WyRand,
     node: Node,
     recorder: Recorder,
     settings: Settings,
     queue: BTreeMap<(Time, u64), Event>,
-    queued: u64,
+    events_queued: u64,
     hosts: Vec<(Endpoint, Behaviour)>,
     clients: BTreeMap<CallId, Client>,
     next_call: u64,
     calls_per_second: f64,
 }
 
-impl Day {
-    /// Draws the settings and hosts of a day.
-    pub(crate) fn new(seed: u64) -> Day {
+impl Simulation {
+    /// Chooses random settings and hosts.
+    pub(crate) fn new(seed: u64) -> Simulation {
         let mut rng = WyRand::new_seed(seed);
         let nodes = [1, 1, 3, 8, 20, 60, 120, 300][(seed % 8) as usize];
-        let mut settings = draw_settings(&mut rng, nodes);
+        let mut settings = random_settings(&mut rng, nodes);
         settings.node_index = rng.generate_range(0..nodes);
         let mut recorder = Recorder::new(START);
         let node = Node::start(settings.clone(), seed, START, &mut recorder);
         let calls_per_second = 2.0 + 40.0 / f64::from(nodes).sqrt();
-        let mut day = Day {
+        let mut simulation = Simulation {
             rng,
             node,
             recorder,
             settings,
             queue: BTreeMap::new(),
-            queued: 0,
+            events_queued: 0,
             hosts: Vec::new(),
             clients: BTreeMap::new(),
             next_call: 1,
             calls_per_second,
         };
-        let hosts = day.rng.generate_range(3..24usize);
+        let hosts = simulation.rng.generate_range(3..24usize);
         for _ in 0..hosts {
-            day.add_host(START);
+            simulation.add_host(START);
         }
-        day
+        simulation
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        f64::from(self.rng.generate::<f32>()) < part
+    fn chance(&mut self, probability: f64) -> bool {
+        f64::from(self.rng.generate::<f32>()) < probability
     }
 
-    fn span(&mut self, least_ms: u64, most_ms: u64) -> Span {
-        Span(self.rng.generate_range(least_ms * 1_000_000..=most_ms * 1_000_000))
+    fn random_span(&mut self, min_ms: u64, max_ms: u64) -> Span {
+        Span(self.rng.generate_range(min_ms * 1_000_000..=max_ms * 1_000_000))
     }
 
     fn schedule_after(&mut self, span: Span, event: Event) {
-        self.queued += 1;
-        self.queue.insert((self.recorder.now + span, self.queued), event);
+        self.events_queued += 1;
+        self.queue.insert((self.recorder.now + span, self.events_queued), event);
     }
 
-    /// Plays the day; returns the digest, and how often each kind of action was seen.
-    pub(crate) fn play(mut self) -> (u64, [u64; 10]) {
+    /// Runs the simulation; returns the digest, and the number of actions of each kind.
+    pub(crate) fn run(mut self) -> (u64, [u64; 10]) {
         let endpoints = self.endpoints();
         self.publish_list(ListUpdate::Cached, &endpoints);
         self.schedule_after(Span::ZERO, Event::NewCall);
-        self.schedule_after(Span::ms(1_500), Event::ListChanges);
-        self.schedule_after(Span::ms(4_000), Event::BehavioursChange);
-        self.schedule_after(Span::ms(25_000), Event::SettingsChange);
+        self.schedule_after(Span::ms(1_500), Event::ListChanged);
+        self.schedule_after(Span::ms(4_000), Event::BehavioursChanged);
+        self.schedule_after(Span::ms(25_000), Event::SettingsChanged);
         self.schedule_after(Span::ms(33_000), Event::NodeLost);
         self.schedule_after(Span::ms(40_000), Event::ProcessReplaced);
-        let end = START + DAY;
+        let end = START + DURATION;
         while let Some(((time, _), event)) = self.queue.pop_first() {
             if time > end {
                 break;
             }
             self.recorder.now = time;
             self.handle(time, event);
-            self.answer_actions();
+            self.simulate_actions();
         }
         self.digest_state();
-        (self.recorder.digest.value(), self.recorder.kinds)
+        (self.recorder.digest.value(), self.recorder.counts_by_kind)
     }
 
     fn handle(&mut self, now: Time, event: Event) {
         match event {
             Event::Timer(token) => self.node.timer_fired(now, token, &mut self.recorder),
             Event::NewCall => self.new_call(now),
-            Event::ClientReturns(subject, traffic, group) => {
-                let call = self.draw_call(now, subject, traffic, group, true);
+            Event::ClientReturns(subject, class_index, group) => {
+                let call = self.random_call(now, subject, class_index, group, true);
                 self.admit_call(now, call);
             }
             Event::Established(call, attempt, took) => self.established(now, call, attempt, took),
@@ -157,23 +157,23 @@
             Event::AttemptEnds(call, attempt, outcome) => self.attempt_ends(now, call, attempt, outcome),
             Event::ClientLeaves(call) => self.client_leaves(now, call),
             Event::ProbeEnds(host) => self.probe_ends(now, host),
-            Event::ListAnswered { pushes } => self.list_answered(now, pushes),
-            Event::ListChanges => self.list_changes(now),
-            Event::BehavioursChange => self.change_behaviours(),
-            Event::SettingsChange => self.change_settings(now),
+            Event::ListAnswered { is_watch } => self.list_answered(now, is_watch),
+            Event::ListChanged => self.list_changes(now),
+            Event::BehavioursChanged => self.change_behaviours(),
+            Event::SettingsChanged => self.change_settings(now),
             Event::ProcessReplaced => self.replace_process(now),
             Event::NodeLost => self.lose_node(now),
         }
     }
 
-    /// What the world does with what the node asked for.
-    fn answer_actions(&mut self) {
+    /// Schedules the effects of the actions that the node requested.
+    fn simulate_actions(&mut self) {
         for (time, token) in std::mem::take(&mut self.recorder.timers) {
-            self.queued += 1;
-            self.queue.insert((time, self.queued), Event::Timer(token));
+            self.events_queued += 1;
+            self.queue.insert((time, self.events_queued), Event::Timer(token));
         }
-        for (call, host, within) in std::mem::take(&mut self.recorder.sent) {
-            self.attempt_sent(call, host, within);
+        for (call, host, timeout) in std::mem::take(&mut self.recorder.sent) {
+            self.attempt_sent(call, host, timeout);
         }
         for call in std::mem::take(&mut self.recorder.ended) {
             self.clients.remove(&call);
@@ -193,8 +193,8 @@
         for host in std::mem::take(&mut self.recorder.probed) {
             self.schedule_after(Span::ms(5), Event::ProbeEnds(host));
         }
-        for pushes in std::mem::take(&mut self.recorder.asked) {
-            self.schedule_after(Span::ms(60), Event::ListAnswered { pushes });
+        for is_watch in std::mem::take(&mut self.recorder.list_requests) {
+            self.schedule_after(Span::ms(60), Event::ListAnswered { is_watch });
         }
     }
 }
--- a/tests/decision_digests/day/calls.rs
+++ b/tests/decision_digests/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Calls, and what becomes of their attempts.
+//! Simulated calls and the outcomes of their attempts.
 
 use glendeck::domain::{
     AttemptNumber, AttemptOutcome, AttemptReport, Call, CallId, ClassId, GroupId, HostId, Span, SubjectId,
@@ -6,45 +6,45 @@
 };
 use nanorand::Rng;
 
-use super::{Behaviour, Client, Day, Event, START};
+use super::{Behaviour, Client, Event, START, Simulation};
 
-impl Day {
+impl Simulation {
     pub(super) fn new_call(&mut self, now: Time) {
         let subject = SubjectId(self.rng.generate_range(1..400u64));
-        let traffic = self.rng.generate_range(0..3u8);
+        let class_index = self.rng.generate_range(0..3u8);
         let group = self.chance(0.5).then_some(GroupId(subject.0 % 17));
-        let call = self.draw_call(now, subject, traffic, group, false);
+        let call = self.random_call(now, subject, class_index, group, false);
         self.admit_call(now, call);
-        let burst = if now.since(START).seconds() % 20.0 > 15.0 { 4.0 } else { 1.0 };
-        let mean = 1.0 / (self.calls_per_second * burst);
-        let wait = Span::from_seconds(2.0 * mean * f64::from(self.rng.generate::<f32>()));
+        let burst_factor = if now.since(START).seconds() % 20.0 > 15.0 { 4.0 } else { 1.0 };
+        let mean_gap = 1.0 / (self.calls_per_second * burst_factor);
+        let wait = Span::from_seconds(2.0 * mean_gap * f64::from(self.rng.generate::<f32>()));
         self.schedule_after(wait, Event::NewCall);
     }
 
-    pub(super) fn draw_call(
+    pub(super) fn random_call(
         &mut self,
         now: Time,
         subject: SubjectId,
-        traffic: u8,
+        class_index: u8,
         group: Option<GroupId>,
         returning: bool,
     ) -> Call {
         let id = CallId(self.next_call);
         self.next_call += 1;
-        let guard = now + self.span(400, 3_000);
-        let known = self.chance(0.3);
-        let before = (returning && self.chance(0.1)).then(|| (self.hosts[0].0.host, now - Span::ms(300)));
+        let due_at = now + self.random_span(400, 3_000);
+        let has_known_load = self.chance(0.3);
+        let prior = (returning && self.chance(0.1)).then(|| (self.hosts[0].0.host, now - Span::ms(300)));
         Call {
             id,
-            class: ClassId(traffic),
+            class: ClassId(class_index),
             tenant: TenantId(0),
             subject: Some(subject),
             group,
-            deadline: guard,
-            load: known.then(|| 0.02 + 0.1 * f64::from(self.rng.generate::<f32>())),
+            deadline: due_at,
+            load: has_known_load.then(|| 0.02 + 0.1 * f64::from(self.rng.generate::<f32>())),
             is_returning: returning,
             is_mid_flow: false,
-            prior_attempt: before,
+            prior_attempt: prior,
         }
     }
 
@@ -52,7 +52,7 @@
         self.clients.insert(call.id, Client { call, attempts: 0, host: None, is_open: false });
         self.node.call_arrived(now, call, &mut self.recorder);
         if self.chance(0.05) {
-            let after = self.span(1, 500);
+            let after = self.random_span(1, 500);
             self.schedule_after(after, Event::ClientLeaves(call.id));
         }
     }
@@ -70,15 +70,15 @@
         if self.behaviour(host) == Behaviour::Slow {
             self.schedule_after(Span::ms(300), Event::MessageTime(call, attempt, host));
         }
-        let lasts = self.span(500, 12_000);
-        self.schedule_after(lasts, Event::AttemptEnds(call, attempt, AttemptOutcome::Completed));
+        let lifetime = self.random_span(500, 12_000);
+        self.schedule_after(lifetime, Event::AttemptEnds(call, attempt, AttemptOutcome::Completed));
     }
 
     pub(super) fn message_time(&mut self, now: Time, call: CallId, attempt: u16, host: HostId) {
         if self.behaviour(host) != Behaviour::Slow || !self.clients.contains_key(&call) {
             return;
         }
-        let took = self.span(20, 400);
+        let took = self.random_span(20, 400);
         self.node.attempt_report(
             now,
             call,
@@ -97,35 +97,35 @@
             return;
         }
         let was_open = std::mem::take(&mut client.is_open);
-        let last = outcome == AttemptOutcome::Completed || was_open;
-        self.node.attempt_ended(now, call, AttemptNumber(attempt), outcome, last, &mut self.recorder);
-        if last {
-            let client = self.clients.remove(&call).expect("the client was just there");
+        let is_final = outcome == AttemptOutcome::Completed || was_open;
+        self.node.attempt_ended(now, call, AttemptNumber(attempt), outcome, is_final, &mut self.recorder);
+        if is_final {
+            let client = self.clients.remove(&call).expect("the client was looked up above");
             if self.chance(0.4) {
                 let ended = client.call;
-                let after = self.span(50, 800);
+                let after = self.random_span(50, 800);
                 let subject = ended.subject.expect("each call here has a subject");
                 self.schedule_after(after, Event::ClientReturns(subject, ended.class.0, ended.group));
             }
         }
     }
 
-    pub(super) fn attempt_sent(&mut self, call: CallId, host: HostId, within: Span) {
+    pub(super) fn attempt_sent(&mut self, call: CallId, host: HostId, timeout: Span) {
         let behaviour = self.behaviour(host);
         let took = match behaviour {
-            Behaviour::Slow => self.span(50, 500),
-            _ => self.span(5, 50),
+            Behaviour::Slow => self.random_span(50, 500),
+            _ => self.random_span(5, 50),
         };
         let client = self.clients.get_mut(&call).expect("attempts are sent for known calls");
         let attempt = client.attempts;
         client.attempts += 1;
         client.host = Some(host);
         match behaviour {
-            Behaviour::Healthy | Behaviour::Slow if took < within => {
+            Behaviour::Healthy | Behaviour::Slow if took < timeout => {
                 self.schedule_after(took, Event::Established(call, attempt, took));
             }
             Behaviour::Healthy | Behaviour::Slow | Behaviour::Silent => {
-                self.schedule_after(within, Event::AttemptEnds(call, attempt, AttemptOutcome::TimedOut));
+                self.schedule_after(timeout, Event::AttemptEnds(call, attempt, AttemptOutcome::TimedOut));
             }
             Behaviour::Breaks => {
                 self.schedule_after(took, Event::Established(call, attempt, took));
--- a/tests/decision_digests/day/hosts.rs
+++ b/tests/decision_digests/simulation/hosts.rs
@@ -1,17 +1,17 @@
-//! Hosts, their behaviour, and the endpoint list.
+//! Simulated hosts, their behaviour, and the endpoint list.
 
 use glendeck::domain::{
     AttemptOutcome, Cell, Condition, Endpoint, HostId, Kind, ListUpdate, Span, Time, Weight, Zone,
 };
 use nanorand::Rng;
 
-use super::{Behaviour, Day, Event};
+use super::{Behaviour, Event, Simulation};
 
-impl Day {
+impl Simulation {
     pub(super) fn add_host(&mut self, now: Time) {
         let number = self.hosts.len() as u64;
-        let cold = self.chance(0.2);
-        let started = now - self.span(0, 5_000);
+        let is_cold = self.chance(0.2);
+        let started = now - self.random_span(0, 5_000);
         let endpoint = Endpoint {
             host: HostId(number * 7 + 11),
             zone: Zone(self.rng.generate_range(0..3u16)),
@@ -19,13 +19,13 @@
             condition: Condition::Ready,
             weight: Weight(f64::from(self.rng.generate_range(1..5u32)) * 0.5),
             kind: self.chance(0.5).then_some(Kind(number % 3)),
-            started_at: cold.then_some(started),
+            started_at: is_cold.then_some(started),
         };
-        let behaviour = self.draw_behaviour();
+        let behaviour = self.random_behaviour();
         self.hosts.push((endpoint, behaviour));
     }
 
-    pub(super) fn draw_behaviour(&mut self) -> Behaviour {
+    pub(super) fn random_behaviour(&mut self) -> Behaviour {
         match self.rng.generate_range(0..20u32) {
             0 => Behaviour::Fails,
             1 => Behaviour::Rejects,
@@ -48,9 +48,9 @@
     pub(super) fn probe_ends(&mut self, now: Time, host: HostId) {
         let (outcome, took) = match self.behaviour(host) {
             Behaviour::Healthy | Behaviour::Rejects | Behaviour::Breaks => {
-                (AttemptOutcome::Completed, self.span(1, 4))
+                (AttemptOutcome::Completed, self.random_span(1, 4))
             }
-            Behaviour::Slow => (AttemptOutcome::Completed, self.span(5, 60)),
+            Behaviour::Slow => (AttemptOutcome::Completed, self.random_span(5, 60)),
             Behaviour::Fails => (AttemptOutcome::Error, Span::ms(3)),
             Behaviour::Silent => (AttemptOutcome::TimedOut, Span::ms(400)),
             Behaviour::Unreachable => (AttemptOutcome::Unreachable, Span::ms(1)),
@@ -67,9 +67,9 @@
         self.node.endpoints_changed(now, update, endpoints, &mut self.recorder);
     }
 
-    pub(super) fn list_answered(&mut self, now: Time, pushes: bool) {
+    pub(super) fn list_answered(&mut self, now: Time, is_watch: bool) {
         if self.chance(0.3) {
-            if pushes {
+            if is_watch {
                 self.node.watch_failed(now, &mut self.recorder);
             }
             return;
@@ -85,18 +85,18 @@
             if !self.chance(0.06) {
                 continue;
             }
-            let started = now - self.span(0, 1_000);
-            let cold = self.chance(0.5);
+            let started = now - self.random_span(0, 1_000);
+            let is_cold = self.chance(0.5);
             let endpoint = &mut self.hosts[index].0;
             endpoint.condition = match endpoint.condition {
                 Condition::Ready => Condition::Draining,
                 Condition::Draining => Condition::Gone,
                 Condition::Gone => Condition::Ready,
             };
-            if endpoint.condition == Condition::Ready && cold {
+            if endpoint.condition == Condition::Ready && is_cold {
                 endpoint.started_at = Some(started);
             }
-            endpoint.weight = Weight(endpoint.weight.0 * if cold { 0.9 } else { 1.1 });
+            endpoint.weight = Weight(endpoint.weight.0 * if is_cold { 0.9 } else { 1.1 });
             changed.push(*endpoint);
         }
         if self.hosts.len() < 40 && self.chance(0.5) {
@@ -104,18 +104,19 @@
             changed.push(self.hosts.last().expect("a host was just added").0);
         }
         self.publish_list(ListUpdate::Delta, &changed);
-        self.schedule_after(Span::ms(1_500), Event::ListChanges);
+        self.schedule_after(Span::ms(1_500), Event::ListChanged);
     }
 
-    /// Now and then nearly all hosts are down at once, as where the node's own network has failed.
+    /// Changes some hosts' behaviour. Sometimes all hosts become unreachable, as if the node's own network
+    /// had failed.
     pub(super) fn change_behaviours(&mut self) {
         let is_outage = self.chance(0.2);
         for index in 0..self.hosts.len() {
             if is_outage || self.chance(0.2) {
-                let drawn = self.draw_behaviour();
-                self.hosts[index].1 = if is_outage { Behaviour::Unreachable } else { drawn };
+                let new_behaviour = self.random_behaviour();
+                self.hosts[index].1 = if is_outage { Behaviour::Unreachable } else { new_behaviour };
             }
         }
-        self.schedule_after(Span::ms(6_000), Event::BehavioursChange);
+        self.schedule_after(Span::ms(6_000), Event::BehavioursChanged);
     }
 }
--- a/tests/decision_digests/day/process.rs
+++ b/tests/decision_digests/simulation/process.rs
@@ -1,14 +1,15 @@
-//! The node's settings change, its process is replaced, and another node is lost.
+//! Changes of settings, a handover to the next process of the node, and the loss of another node.
 
 use glendeck::Node;
 use glendeck::domain::{AttemptOutcome, Call, CallId, GroupId, ListUpdate, SubjectId, Time};
 use nanorand::Rng;
 
-use super::settings::draw_settings;
-use super::{Client, Day, Event};
+use super::settings::random_settings;
+use super::{Client, Event, Simulation};
 
-impl Day {
-    /// The next process of the node takes over: what was open stays where it is, what waited is gone.
+impl Simulation {
+    /// Hands over to the next process of the node: open connections stay at their hosts, waiting calls are
+    /// lost.
     pub(super) fn replace_process(&mut self, now: Time) {
         let snapshot = self.node.snapshot();
         self.digest_snapshot(&snapshot);
@@ -27,8 +28,8 @@
             self.next_call += 1;
             self.node.existing_connection(now, call, host);
             self.clients.insert(call.id, Client { call, attempts: 1, host: Some(host), is_open: true });
-            let lasts = self.span(500, 8_000);
-            self.schedule_after(lasts, Event::AttemptEnds(call.id, 0, AttemptOutcome::Completed));
+            let lifetime = self.random_span(500, 8_000);
+            self.schedule_after(lifetime, Event::AttemptEnds(call.id, 0, AttemptOutcome::Completed));
         }
     }
 
@@ -43,7 +44,7 @@
     pub(super) fn change_settings(&mut self, now: Time) {
         let node_index = self.settings.node_index;
         let node_count = self.settings.node_count;
-        self.settings = draw_settings(&mut self.rng, node_count);
+        self.settings = random_settings(&mut self.rng, node_count);
         self.settings.node_index = node_index;
         self.node.update_settings(now, self.settings.clone(), &mut self.recorder);
     }
--- a/tests/decision_digests/day/settings.rs
+++ b/tests/decision_digests/simulation/settings.rs
@@ -1,31 +1,31 @@
-//! Settings as drawn for a day.
+//! Random settings for a simulation.
 
 use glendeck::domain::{
     Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, WeightKind, Zone,
 };
 use nanorand::{Rng, WyRand};
 
-pub(super) fn draw_settings(rng: &mut WyRand, nodes: u32) -> Settings {
-    let mut chance = |part: f64| f64::from(rng.generate::<f32>()) < part;
+pub(super) fn random_settings(rng: &mut WyRand, nodes: u32) -> Settings {
+    let mut chance = |probability: f64| f64::from(rng.generate::<f32>()) < probability;
     let scope = match (chance(0.4), chance(0.5)) {
         (true, _) => Scope::All,
         (false, true) => Scope::Zone,
         (false, false) => Scope::Cell,
     };
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::Keyed { scope, window: Span::ms(if chance(0.5) { 2_000 } else { 8_000 }) },
         Idempotency::NonIdempotent,
     ];
-    let traffic = effects.iter().enumerate().map(|(at, idempotency)| TrafficClass {
+    let traffic_classes = idempotencies.iter().enumerate().map(|(index, idempotency)| TrafficClass {
         idempotency: *idempotency,
-        setup_target: Span::ms(300 + 200 * at as u64),
-        message_target: Some(Span::ms(50 + 50 * at as u64)),
-        revenue: 1.0 + at as f64,
+        setup_target: Span::ms(300 + 200 * index as u64),
+        message_target: Some(Span::ms(50 + 50 * index as u64)),
+        revenue: 1.0 + index as f64,
     });
-    let traffic: Vec<TrafficClass> = traffic.collect();
+    let traffic_classes: Vec<TrafficClass> = traffic_classes.collect();
     Settings {
-        classes: traffic,
+        classes: traffic_classes,
         zone: Zone(u16::from(chance(0.5))),
         node_index: 0,
         node_count: nodes,
--- a/tests/decision_digests/day/state_digest.rs
+++ b/tests/decision_digests/simulation/state_digest.rs
@@ -1,21 +1,21 @@
-//! Digests of what a node tells of its state.
+//! Digests of the state that a node exposes.
 
 use glendeck::domain::{NodeSnapshot, WarmState};
 
-use super::Day;
+use super::Simulation;
 
-impl Day {
+impl Simulation {
     pub(super) fn digest_state(&mut self) {
         let snapshot = self.node.snapshot();
         self.digest_snapshot(&snapshot);
-        let avoided: Vec<u64> = self
+        let ejected: Vec<u64> = self
             .hosts
             .iter()
             .map(|(endpoint, _)| endpoint.host)
             .filter(|host| self.node.is_ejected(*host))
             .map(|host| host.0)
             .collect();
-        avoided.iter().for_each(|host| self.recorder.digest.add(*host));
+        ejected.iter().for_each(|host| self.recorder.digest.add(*host));
     }
 
     pub(super) fn digest_snapshot(&mut self, snapshot: &NodeSnapshot) {
