--- a/tests/lost_node/world.rs
+++ b/tests/lost_node/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulated hosts and clients around real nodes. Node 0 is lost.
+//! Simulation of hosts and clients around real nodes, of which node 0 is lost.
 
 mod clients;
 mod hosts;
@@ -12,16 +12,16 @@
 };
 use nanorand::{Rng, WyRand};
 
-use crate::shape::Shape;
+use crate::parameters::FleetParameters;
 use crate::support::{Action, EventQueue, RecordingPort, default_endpoint, default_settings};
 
 const START: Time = Time(100_000_000_000_000);
-const DAY: Span = Span::ms(65_000);
-const LOSS_AT: Span = Span::ms(50_000);
+const DURATION: Span = Span::ms(65_000);
+const LOSS_AFTER: Span = Span::ms(50_000);
 const LOST_NODE: usize = 0;
-/// Most homes and loads that a node's warm state has.
+/// Maximum number of homes, and of loads, in a node's warm state.
 const WARM_STATE_LIMIT: usize = 2_048;
-/// Clients that come first arrive within so long.
+/// Time within which the initial clients arrive.
 const RAMP_MS: u64 = 15_000;
 
 type NodeIndex = usize;
@@ -42,11 +42,11 @@
     Established(AttemptKey),
     ReportLoad(AttemptKey),
     AttemptTimesOut(AttemptKey),
-    /// The client leaves, if it is still on the visit with this number.
+    /// The client leaves, unless its number of reconnects has changed.
     ClientLeaves(ClientIndex, u32),
     HostsStep,
     NodeLost,
-    TellWarmState,
+    SendWarmState,
 }
 
 #[derive(Clone, Copy)]
@@ -58,8 +58,8 @@
     host: Option<HostIndex>,
     is_open: bool,
     wants_service: bool,
-    /// Visits before this one.
-    visits: u32,
+    /// How often the client has connected again.
+    reconnects: u32,
 }
 
 impl Client {
@@ -79,21 +79,21 @@
 #[derive(Clone, Copy, Default)]
 struct HostState {
     load: f64,
-    /// Work that has piled up, in seconds.
+    /// Work that waits to be done, in seconds.
     backlog: f64,
     pending_setups: u32,
 }
 
-/// Client seconds after the loss.
+/// Client seconds in the measurement period after the loss.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Service {
     pub wanted: f64,
     pub served: f64,
 }
 
-/// One day of a fleet.
-pub(crate) struct World {
-    shape: Shape,
+/// One simulated run of a fleet.
+pub(crate) struct Simulation {
+    parameters: FleetParameters,
     now: Time,
     events: EventQueue<Event>,
     rng: WyRand,
@@ -102,55 +102,56 @@
     hosts: Vec<HostState>,
     clients: Vec<Client>,
     last_call: u64,
-    /// When the others are told the warm state, after the loss; `None` for never.
-    told_after_ms: Option<u64>,
+    /// Time from the loss until the others get the warm state; `None` for never.
+    sent_after_ms: Option<u64>,
     warm_state: WarmState,
     service: Service,
     lost_at: Option<Time>,
 }
 
-fn settings(shape: &Shape, node: NodeIndex) -> Settings {
-    Settings { cross_zone_price: 0.03, ..default_settings(node, shape.nodes) }
+fn settings(parameters: &FleetParameters, node: NodeIndex) -> Settings {
+    Settings { cross_zone_price: 0.03, ..default_settings(node, parameters.nodes) }
 }
 
-impl World {
-    /// A fleet with as many clients as fill the hosts as the shape says, without what groups cost beside them.
-    pub(crate) fn new(seed: u64, shape: Shape, told_after_ms: Option<u64>) -> World {
-        let mut world = World {
-            shape,
+impl Simulation {
+    /// A fleet with clients that fill the hosts as the parameters say, not counting the load of groups.
+    pub(crate) fn new(seed: u64, parameters: FleetParameters, sent_after_ms: Option<u64>) -> Simulation {
+        let mut simulation = Simulation {
+            parameters,
             now: START,
             events: EventQueue::default(),
             rng: WyRand::new_seed(seed),
             nodes: Vec::new(),
             calls: Vec::new(),
-            hosts: vec![HostState::default(); shape.hosts],
+            hosts: vec![HostState::default(); parameters.hosts],
             clients: Vec::new(),
             last_call: 0,
-            told_after_ms,
+            sent_after_ms,
             warm_state: WarmState::default(),
             service: Service::default(),
             lost_at: None,
         };
-        for node in 0..shape.nodes {
+        for node in 0..parameters.nodes {
             let mut port = RecordingPort::default();
-            let started = Node::start(settings(&shape, node), seed * 100 + node as u64, START, &mut port);
-            world.nodes.push(Some(started));
-            world.calls.push(BTreeMap::new());
-            world.carry_out(node, port);
+            let started =
+                Node::start(settings(&parameters, node), seed * 100 + node as u64, START, &mut port);
+            simulation.nodes.push(Some(started));
+            simulation.calls.push(BTreeMap::new());
+            simulation.carry_out(node, port);
         }
-        world.publish_list();
-        let clients = shape.hosts as f64 * shape.capacity * shape.fill;
+        simulation.publish_list();
+        let clients = parameters.hosts as f64 * parameters.capacity * parameters.fill;
         for _ in 0..clients as usize {
-            world.add_client(RAMP_MS);
+            simulation.add_client(RAMP_MS);
         }
-        world.schedule(500, Event::HostsStep);
-        world.events.push(START + LOSS_AT, Event::NodeLost);
-        world
+        simulation.schedule(500, Event::HostsStep);
+        simulation.events.push(START + LOSS_AFTER, Event::NodeLost);
+        simulation
     }
 
-    /// Plays the day.
+    /// Runs the simulation; returns how the clients were served.
     pub(crate) fn run(mut self) -> Service {
-        let end = self.now + DAY;
+        let end = self.now + DURATION;
         while let Some((time, event)) = self.events.pop_until(end) {
             self.now = time;
             self.handle(event);
@@ -160,7 +161,7 @@
 
     fn publish_list(&mut self) {
         let endpoints: Vec<Endpoint> =
-            (0..self.shape.hosts).map(|index| default_endpoint(HostId(index as u64 + 1))).collect();
+            (0..self.parameters.hosts).map(|index| default_endpoint(HostId(index as u64 + 1))).collect();
         for node in 0..self.nodes.len() {
             self.notify(node, |node, now, port| {
                 node.endpoints_changed(now, ListUpdate::Complete, &endpoints, port);
@@ -176,7 +177,7 @@
         self.events.push(self.now + Span::ms(delay_ms), event);
     }
 
-    /// Tells a node of an event and carries out what it decides; a lost node hears nothing.
+    /// Reports an event to a node and carries out the actions it requests; a lost node is skipped.
     fn notify(&mut self, node_index: NodeIndex, event: impl FnOnce(&mut Node, Time, &mut RecordingPort)) {
         let Some(node) = &mut self.nodes[node_index] else { return };
         let mut port = RecordingPort::default();
@@ -236,14 +237,16 @@
             Event::Established(key) => self.established(key),
             Event::ReportLoad(key) => self.report_load(key),
             Event::AttemptTimesOut(key) => self.attempt_times_out(key),
-            Event::ClientLeaves(client, visit) => self.client_leaves(client, visit),
+            Event::ClientLeaves(client, expected_reconnects) => {
+                self.client_leaves(client, expected_reconnects)
+            }
             Event::HostsStep => self.hosts_step(),
             Event::NodeLost => self.node_lost(),
-            Event::TellWarmState => self.tell_warm_state(),
+            Event::SendWarmState => self.send_warm_state(),
         }
     }
 
-    /// The client and host of an attempt, if that is the call's last one.
+    /// The client and host of an attempt, if the attempt is the call's last one.
     fn client_and_host(&self, key: AttemptKey) -> Option<(ClientIndex, HostIndex)> {
         let state = self.calls[key.node].get(&key.call)?;
         (state.attempts == key.attempt.0 + 1).then_some((state.client, state.host))
@@ -259,11 +262,11 @@
             node.attempt_established(now, key.call, key.attempt, Span::ms(30), port);
         });
         self.schedule(150, Event::ReportLoad(key));
-        if self.clients[client].visits == 0 || self.random_below(2) == 0 {
+        if self.clients[client].reconnects == 0 || self.random_below(2) == 0 {
             let exponential = -(1.0 - f64::from(self.rng.generate::<f32>())).ln();
-            let stay_ms = exponential * self.shape.mean_stay_seconds * 1_000.0;
-            let visit = self.clients[client].visits;
-            self.schedule(stay_ms as u64 + 200, Event::ClientLeaves(client, visit));
+            let lifetime_ms = exponential * self.parameters.mean_lifetime_seconds * 1_000.0;
+            let expected_reconnects = self.clients[client].reconnects;
+            self.schedule(lifetime_ms as u64 + 200, Event::ClientLeaves(client, expected_reconnects));
         }
     }
 
@@ -285,12 +288,12 @@
 
     fn node_lost(&mut self) {
         self.lost_at = Some(self.now);
-        let node = self.nodes[LOST_NODE].as_ref().expect("the node was there until now");
+        let node = self.nodes[LOST_NODE].as_ref().expect("the node is lost only once");
         self.warm_state = node.warm_state(WARM_STATE_LIMIT);
-        if let Some(delay_ms) = self.told_after_ms {
-            self.schedule(delay_ms, Event::TellWarmState);
+        if let Some(delay_ms) = self.sent_after_ms {
+            self.schedule(delay_ms, Event::SendWarmState);
         }
-        if self.shape.is_false_alarm {
+        if self.parameters.is_false_alarm {
             return;
         }
         self.nodes[LOST_NODE] = None;
@@ -302,7 +305,7 @@
         }
     }
 
-    fn tell_warm_state(&mut self) {
+    fn send_warm_state(&mut self) {
         let warm_state = self.warm_state.clone();
         for node in 0..self.nodes.len() {
             if node != LOST_NODE {
--- a/tests/lost_node/world/clients.rs
+++ b/tests/lost_node/simulation/clients.rs
@@ -4,16 +4,16 @@
     AttemptNumber, AttemptOutcome, Call, CallId, ClassId, GroupId, Span, SubjectId, TenantId,
 };
 
-use super::{CallState, Client, ClientIndex, Event, LOST_NODE, World};
+use super::{CallState, Client, ClientIndex, Event, LOST_NODE, Simulation};
 
-impl World {
-    /// A new client arrives within so long.
+impl Simulation {
+    /// Adds a client that arrives within the given time.
     pub(super) fn add_client(&mut self, within_ms: u64) {
-        let heavy = self.shape.heavy_clients;
+        let heavy = self.parameters.heavy_clients;
         let mean = 1.0 + heavy.percent as f64 / 100.0 * (heavy.factor - 1.0);
         let is_heavy = self.random_below(100) < heavy.percent;
         let load = if is_heavy { heavy.factor / mean } else { 1.0 / mean };
-        let groups = self.shape.groups.count;
+        let groups = self.parameters.groups.count;
         let group = (groups > 0).then(|| GroupId(1 + self.random_below(groups)));
         let index = self.clients.len();
         self.clients.push(Client {
@@ -23,13 +23,13 @@
             host: None,
             is_open: false,
             wants_service: true,
-            visits: 0,
+            reconnects: 0,
         });
         let delay = self.random_below(within_ms);
         self.schedule(delay, Event::ClientArrives(index));
     }
 
-    /// A client's connection ends at its node and host.
+    /// Ends a client's connection at its node and host.
     pub(super) fn end_connection(&mut self, client: ClientIndex, outcome: AttemptOutcome) {
         let Some((node, call)) = self.clients[client].request else { return };
         self.clients[client].disconnect();
@@ -43,7 +43,7 @@
 
     pub(super) fn client_returns(&mut self, client: ClientIndex) {
         self.clients[client].disconnect();
-        self.clients[client].visits += 1;
+        self.clients[client].reconnects += 1;
         let delay = 60 + self.random_below(540);
         self.schedule(delay, Event::ClientArrives(client));
     }
@@ -62,7 +62,7 @@
             group: self.clients[client].group,
             deadline: self.now + Span::ms(3_000),
             load: None,
-            is_returning: self.clients[client].visits > 0,
+            is_returning: self.clients[client].reconnects > 0,
             is_mid_flow: false,
             prior_attempt: None,
         };
@@ -71,9 +71,9 @@
         self.notify(node, |node, now, port| node.call_arrived(now, call, port));
     }
 
-    /// Another client takes its place, somewhere else, soon.
-    pub(super) fn client_leaves(&mut self, client: ClientIndex, visit: u32) {
-        if self.clients[client].visits == visit && self.clients[client].is_open {
+    /// Ends the client's connection; a new client soon arrives at a random node instead.
+    pub(super) fn client_leaves(&mut self, client: ClientIndex, expected_reconnects: u32) {
+        if self.clients[client].reconnects == expected_reconnects && self.clients[client].is_open {
             self.end_connection(client, AttemptOutcome::Completed);
             self.clients[client].wants_service = false;
             self.add_client(500);
--- a/tests/lost_node/world/hosts.rs
+++ b/tests/lost_node/simulation/hosts.rs
@@ -4,41 +4,41 @@
 
 use glendeck::domain::{AttemptNumber, AttemptReport, GroupId, Span};
 
-use super::{CallState, Event, HostIndex, NodeIndex, World};
+use super::{CallState, Event, HostIndex, NodeIndex, Simulation};
 
-/// For how long after the loss service is measured.
-const MEASURED: Span = Span::ms(10_000);
+/// Time after the loss during which service is measured.
+const MEASUREMENT_PERIOD: Span = Span::ms(10_000);
 /// A host's state advances in steps of this length.
 const STEP_MS: u64 = 100;
 const STEP_SECONDS: f64 = 0.1;
-/// Hosts report message times once in so many steps.
+/// Number of steps between a host's reports of message times.
 const STEPS_PER_REPORT: u64 = 10;
-/// Backlog in seconds from which a host reports message times.
-const REPORTED_BACKLOG: f64 = 0.03;
-/// Backlog in seconds up to which clients are served well.
-const GOOD_BACKLOG: f64 = 0.1;
-const MAX_BACKLOG: f64 = 2.0;
-/// What a setup in progress costs a host, in connections.
+/// Backlog above which a host reports message times.
+const REPORTED_BACKLOG_SECONDS: f64 = 0.03;
+/// Backlog up to which clients count as served well.
+const GOOD_BACKLOG_SECONDS: f64 = 0.1;
+const MAX_BACKLOG_SECONDS: f64 = 2.0;
+/// Load of a setup in progress, in connections of the mean load.
 const SETUP_LOAD: f64 = 0.2;
 
-impl World {
-    /// What a setup takes at a host: longer the more it is used, and far longer once it is overloaded.
+impl Simulation {
+    /// Setup time at a host, which grows with its utilisation, and much faster once it is overloaded.
     pub(super) fn setup_time_ms(&self, host: HostIndex) -> u64 {
         let utilisation = self.utilisation(host);
-        let by_use = if utilisation < 0.9 {
+        let by_utilisation_ms = if utilisation < 0.9 {
             20.0 / (1.0 - utilisation)
         } else {
             200.0 + 2_000.0 * (utilisation - 0.9)
         };
-        (by_use + 1_000.0 * self.hosts[host].backlog) as u64
+        (by_utilisation_ms + 1_000.0 * self.hosts[host].backlog) as u64
     }
 
     pub(super) fn utilisation(&self, host: HostIndex) -> f64 {
         let host = &self.hosts[host];
-        (host.load + SETUP_LOAD * f64::from(host.pending_setups)) / self.shape.capacity
+        (host.load + SETUP_LOAD * f64::from(host.pending_setups)) / self.parameters.capacity
     }
 
-    /// Sums the loads of connections and of the groups that have any there.
+    /// Updates each host's load: that of its open connections and of the groups among them.
     pub(super) fn update_loads(&mut self) {
         for host in &mut self.hosts {
             host.load = 0.0;
@@ -50,7 +50,7 @@
             groups.extend(client.group.map(|group| (host, group)));
         }
         for (host, _) in groups {
-            self.hosts[host].load += self.shape.groups.cost;
+            self.hosts[host].load += self.parameters.groups.cost;
         }
     }
 
@@ -66,9 +66,9 @@
         for host in 0..self.hosts.len() {
             let utilisation = self.utilisation(host);
             let backlog = self.hosts[host].backlog + STEP_SECONDS * (utilisation - 1.0);
-            let backlog = backlog.clamp(0.0, MAX_BACKLOG);
+            let backlog = backlog.clamp(0.0, MAX_BACKLOG_SECONDS);
             self.hosts[host].backlog = backlog;
-            if backlog > REPORTED_BACKLOG && steps.is_multiple_of(STEPS_PER_REPORT) {
+            if backlog > REPORTED_BACKLOG_SECONDS && steps.is_multiple_of(STEPS_PER_REPORT) {
                 reports.push((host, backlog));
             }
         }
@@ -81,10 +81,10 @@
         self.schedule(STEP_MS, Event::HostsStep);
     }
 
-    /// A host tells a node what a message takes, on one of the node's connections there.
+    /// Reports a host's message time to a node, on one of the node's connections there.
     pub(super) fn report_message_time(&mut self, node: NodeIndex, host: HostIndex, backlog: f64) {
-        let is_open_there = |state: &CallState| state.host == host && self.clients[state.client].is_open;
-        let Some((call, state)) = self.calls[node].iter().find(|(_, state)| is_open_there(state)) else {
+        let is_open_at_host = |state: &CallState| state.host == host && self.clients[state.client].is_open;
+        let Some((call, state)) = self.calls[node].iter().find(|(_, state)| is_open_at_host(state)) else {
             return;
         };
         let call = *call;
@@ -94,12 +94,12 @@
     }
 
     pub(super) fn measure_service(&mut self) {
-        if self.lost_at.is_none_or(|lost_at| self.now >= lost_at + MEASURED) {
+        if self.lost_at.is_none_or(|lost_at| self.now >= lost_at + MEASUREMENT_PERIOD) {
             return;
         }
         for client in self.clients.iter().filter(|client| client.wants_service) {
-            let is_well = |host: HostIndex| self.hosts[host].backlog <= GOOD_BACKLOG;
-            let is_served = client.is_open && client.host.is_some_and(is_well);
+            let serves_well = |host: HostIndex| self.hosts[host].backlog <= GOOD_BACKLOG_SECONDS;
+            let is_served = client.is_open && client.host.is_some_and(serves_well);
             self.service.wanted += STEP_SECONDS;
             self.service.served += if is_served { STEP_SECONDS } else { 0.0 };
         }
