--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,6 +1,6 @@
-//! What all processes of a fleet together send a cold host, in simulated time: the nodes are the real ones, each alone;
-//! clients and hosts are simulated. The bound on a cold host is checked in every window of the length that the settings
-//! name.
+//! Guards against a cold host that is overloaded by all nodes of a fleet together, none of which sees what
+//! the others send it. Real nodes run in simulated time with simulated clients and hosts, and the limit on
+//! attempts to a cold host is checked in every window of the configured length.
 
 mod support;
 
@@ -17,11 +17,11 @@
 
 const START: Time = Time(100_000_000_000_000);
 const HOSTS: usize = 10;
-/// Connections that fill a host.
-const FULL: f64 = 40.0;
-/// How long a connection lasts in the mean.
-const MEAN_LIFE_MS: u64 = 40_000;
-/// How full the hosts are as a rule.
+/// Connections of a full host.
+const HOST_CAPACITY: f64 = 40.0;
+/// Mean lifetime of a connection.
+const MEAN_LIFETIME_MS: u64 = 40_000;
+/// Share of the hosts' capacity that connections fill before the burst.
 const USUAL_FILL: f64 = 0.5;
 const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.2,
@@ -29,12 +29,12 @@
     capacity_multiple: 3.0,
     window: Span::ms(1_000),
 };
-/// Days that are drawn for each number of nodes.
-const DAYS: u64 = 100;
-const DAY_MS: u64 = 90_000;
-/// Clients that come first arrive within so long.
+/// Simulation runs for each number of nodes, each with its own seed.
+const RUNS: u64 = 100;
+const RUN_MS: u64 = 90_000;
+/// Time within which the initial clients arrive.
 const RAMP_MS: u64 = 20_000;
-/// When four times as many clients come.
+/// Time during which clients arrive at four times the usual rate.
 const BURST_MS: std::ops::Range<u64> = 61_000..75_000;
 
 type NodeIndex = usize;
@@ -57,9 +57,9 @@
         sent_at: Time,
     },
     AttemptEnds(AttemptKey, AttemptOutcome),
-    /// A host is lost, with all its connections.
+    /// A host fails, with all its connections.
     HostLost(usize),
-    /// A host comes back cold.
+    /// A failed host starts again, cold.
     HostStarts(usize),
 }
 
@@ -73,14 +73,14 @@
 struct HostState {
     is_listed: bool,
     started_at: Option<Time>,
-    /// When attempts were sent there.
+    /// Times at which attempts were sent to the host.
     sent_at: Vec<Time>,
 }
 
-/// The fullest window of any cold host.
+/// The window with the most attempts relative to the limit, over all cold hosts.
 #[derive(Default)]
 struct WorstWindow {
-    /// Attempts over what the host stands; the bound is broken above 1.
+    /// Attempts divided by the limit; the host is overloaded above 1.
     ratio: f64,
     description: String,
 }
@@ -133,7 +133,7 @@
         self.rng.generate_range(0..bound)
     }
 
-    /// Tells a node of an event and carries out what it decides.
+    /// Reports an event to a node and carries out the actions it requests.
     fn notify(&mut self, node: NodeIndex, event: impl FnOnce(&mut Node, Time, &mut RecordingPort)) {
         let mut port = RecordingPort::default();
         event(&mut self.nodes[node], self.now, &mut port);
@@ -234,7 +234,7 @@
         self.notify(node, |node, now, port| node.call_arrived(now, call, port));
     }
 
-    /// Host of an attempt, if that is the call's outstanding one.
+    /// Host of an attempt, if the attempt is the call's outstanding one.
     fn host_of(&self, key: AttemptKey) -> Option<usize> {
         let state = self.calls.get(&(key.node, key.call))?;
         if state.attempts == key.attempt.0 + 1 { state.host } else { None }
@@ -246,8 +246,8 @@
             return self.schedule(0, Event::AttemptEnds(key, AttemptOutcome::Broken));
         }
         let exponential = -self.rng.generate::<f64>().max(1e-9).ln();
-        let life_ms = 1 + (MEAN_LIFE_MS as f64 * exponential) as u64;
-        self.schedule(life_ms, Event::AttemptEnds(key, AttemptOutcome::Completed));
+        let lifetime_ms = 1 + (MEAN_LIFETIME_MS as f64 * exponential) as u64;
+        self.schedule(lifetime_ms, Event::AttemptEnds(key, AttemptOutcome::Completed));
         self.notify(key.node, |node, now, port| {
             node.attempt_established(now, key.call, key.attempt, now.since(sent_at), port);
         });
@@ -314,7 +314,8 @@
                 let limit = overload_limit(age);
                 if sent / limit > worst.ratio {
                     let age = age.seconds();
-                    let description = format!("host {index}: {sent} at {age:.2} s, stands {limit:.1}");
+                    let description =
+                        format!("host {index}: {sent} attempts at {age:.2} s, limit {limit:.1}");
                     worst = WorstWindow { ratio: sent / limit, description };
                 }
             }
@@ -323,27 +324,29 @@
     }
 }
 
-/// Attempts in a window that a host of this age stands: N + 2 sqrt(N) + 2, N being what is allowed.
+/// Attempts in a window that a host withstands this long after its start: N + 2 sqrt(N) + 2, where N are
+/// allowed.
 fn overload_limit(age: Span) -> f64 {
     let from = SLOW_START.initial_share;
     let share = from + (1.0 - from) * age.seconds() / SLOW_START.duration.seconds();
     let window = SLOW_START.window.seconds();
-    let allowed = SLOW_START.capacity_multiple * window * share * FULL / SLOW_START.duration.seconds();
+    let allowed =
+        SLOW_START.capacity_multiple * window * share * HOST_CAPACITY / SLOW_START.duration.seconds();
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// A day with a burst, two hosts lost whose clients return, and both back cold.
-fn worst_window_of_a_day(seed: u64, node_count: usize) -> WorstWindow {
+/// Simulates a burst of clients and the loss of two hosts, whose clients return and which start again cold.
+fn worst_window_of_a_run(seed: u64, node_count: usize) -> WorstWindow {
     let mut fleet = Fleet::new(seed, node_count);
-    let usual_connections = HOSTS as f64 * FULL * USUAL_FILL;
+    let usual_connections = HOSTS as f64 * HOST_CAPACITY * USUAL_FILL;
     for _ in 0..usual_connections as u64 {
         let delay = fleet.random_below(RAMP_MS);
         fleet.schedule(delay, Event::ClientArrives { is_returning: false });
     }
-    // From then on as many clients come as leave.
-    let usual_gap_ms = (MEAN_LIFE_MS as f64 / usual_connections) as u64;
+    // From then on, clients arrive at the rate at which they leave.
+    let usual_gap_ms = (MEAN_LIFETIME_MS as f64 / usual_connections) as u64;
     let mut arrival_ms = RAMP_MS;
-    while arrival_ms < DAY_MS {
+    while arrival_ms < RUN_MS {
         fleet.schedule(arrival_ms, Event::ClientArrives { is_returning: false });
         arrival_ms += if BURST_MS.contains(&arrival_ms) { usual_gap_ms.div_ceil(4) } else { usual_gap_ms };
     }
@@ -351,7 +354,7 @@
     fleet.schedule(60_200, Event::HostLost(7));
     fleet.schedule(62_000, Event::HostStarts(3));
     fleet.schedule(63_500, Event::HostStarts(7));
-    fleet.run(DAY_MS);
+    fleet.run(RUN_MS);
     fleet.worst_window()
 }
 
@@ -359,11 +362,11 @@
 #[test_case(24; "twenty-four nodes")]
 #[test_case(30; "thirty nodes")]
 fn all_nodes_together_do_not_overload_a_cold_host(node_count: usize) {
-    let mut broken_days = 0;
-    for seed in 1..=DAYS {
-        let worst = worst_window_of_a_day(seed, node_count);
+    let mut violations = 0;
+    for seed in 1..=RUNS {
+        let worst = worst_window_of_a_run(seed, node_count);
         println!("{node_count} nodes, seed {seed}: {:.2}, {}", worst.ratio, worst.description);
-        broken_days += u32::from(worst.ratio > 1.0);
+        violations += u32::from(worst.ratio > 1.0);
     }
-    assert_eq!(broken_days, 0, "{node_count} nodes: of {DAYS} days so many broke the bound");
+    assert_eq!(violations, 0, "{node_count} nodes: runs of {RUNS} in which a cold host was overloaded");
 }
--- a/tests/deploy_manifest.rs
+++ b/tests/deploy_manifest.rs
@@ -1,9 +1,9 @@
-//! `deploy/balancer.toml` names every file that holds decision logic.
+//! Checks that `deploy/balancer.toml` lists every file that holds decision logic.
 
 use std::path::Path;
 
 const MANIFEST: &str = include_str!("../deploy/balancer.toml");
-/// Folders whose files all belong to the decisions.
+/// Folders in which every file holds decision logic.
 const DECISION_FOLDERS: [&str; 2] = ["src/node", "src/state"];
 
 /// Adds the paths of all files below a folder, relative to the repository's root.
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn manifest_names_every_file_of_the_decisions() {
+fn manifest_lists_every_file_with_decision_logic() {
     let mut files = vec!["src/node.rs".to_owned()];
     for folder in DECISION_FOLDERS {
         collect_files(folder, &mut files);
--- a/tests/support/event_queue.rs
+++ b/tests/support/event_queue.rs
@@ -1,10 +1,10 @@
-//! Events in the order of simulated time.
+//! Queue of events in simulated time.
 
 use std::collections::BTreeMap;
 
 use glendeck::domain::Time;
 
-/// A queue from which events come by time, and at one time in the order in which they were added.
+/// A queue that returns events by time; events of the same time in the order in which they were added.
 pub(crate) struct EventQueue<E> {
     events: BTreeMap<(Time, u64), E>,
     added: u64,
@@ -23,7 +23,7 @@
         self.events.insert((time, self.added), event);
     }
 
-    /// Takes out the next event that is due at `until` or before.
+    /// Removes and returns the next event that is due at `until` or before.
     pub(crate) fn pop_until(&mut self, until: Time) -> Option<(Time, E)> {
         let (&(time, _), _) = self.events.first_key_value()?;
         if time > until {
@@ -32,7 +32,7 @@
         self.events.pop_first().map(|((time, _), event)| (time, event))
     }
 
-    /// Drops all events.
+    /// Removes all events.
     pub(crate) fn clear(&mut self) {
         self.events.clear();
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the decisions share: a port that records, usual settings, and a queue of events in simulated time.
+//! Shared test support: a recording port, default settings, and a queue of events in simulated time.
 
-// Each test program uses its own part of this module.
+// Each test program uses only part of this module.
 #![allow(dead_code)]
 
 mod event_queue;
@@ -13,7 +13,7 @@
 };
 use glendeck::port::Port;
 
-/// What a node asked for on its port.
+/// An action that a node requested on its port.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
     SendAttempt { call: CallId, host: HostId, timeout: Span },
@@ -63,7 +63,7 @@
     }
 }
 
-/// Settings of one node of several, with one idempotent class and an endpoint list that comes by itself.
+/// Settings of a node in a fleet, with one idempotent class and an endpoint list that is pushed.
 pub(crate) fn default_settings(node_index: usize, node_count: usize) -> Settings {
     Settings {
         classes: vec![TrafficClass {
