--- a/src/port.rs
+++ b/src/port.rs
@@ -12,7 +12,7 @@
     fn send_attempt(&mut self, call: CallId, host: HostId, timeout: Span);
     /// Gives the final answer that the client may safely retry, after `retry_after` if that is given.
     fn reject(&mut self, call: CallId, retry_after: Option<Span>);
-    /// Gives the final answer that the call failed; it says nothing of whether a retry is safe.
+    /// Gives the final answer that the call failed, without saying whether a retry is safe.
     fn fail(&mut self, call: CallId);
     /// Stops waiting for an attempt.
     fn cancel(&mut self, call: CallId, attempt: AttemptNumber);
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -324,11 +324,10 @@
     }
 }
 
-/// Attempts in a window that a host withstands this long after its start: N + 2 sqrt(N) + 2, where N are
-/// allowed.
+/// Attempts that a host of this age withstands in a window: N + 2 sqrt(N) + 2, where N are allowed.
 fn overload_limit(age: Span) -> f64 {
-    let from = SLOW_START.initial_share;
-    let share = from + (1.0 - from) * age.seconds() / SLOW_START.duration.seconds();
+    let initial = SLOW_START.initial_share;
+    let share = initial + (1.0 - initial) * age.seconds() / SLOW_START.duration.seconds();
     let window = SLOW_START.window.seconds();
     let allowed =
         SLOW_START.capacity_multiple * window * share * HOST_CAPACITY / SLOW_START.duration.seconds();
@@ -368,5 +367,5 @@
         println!("{node_count} nodes, seed {seed}: {:.2}, {}", worst.ratio, worst.description);
         violations += u32::from(worst.ratio > 1.0);
     }
-    assert_eq!(violations, 0, "{node_count} nodes: runs of {RUNS} in which a cold host was overloaded");
+    assert_eq!(violations, 0, "{node_count} nodes: number of {RUNS} runs that overload a cold host");
 }
--- a/tests/decision_digests/main.rs
+++ b/tests/decision_digests/main.rs
@@ -14,8 +14,8 @@
 /// Parses the fixture's lines, each `seed digest actions`.
 fn recorded() -> Vec<(u64, u64, u64)> {
     let parse = |line: &str| {
-        let mut words = line.split_whitespace();
-        let mut next = || words.next().expect("each line has three words");
+        let mut fields = line.split_whitespace();
+        let mut next = || fields.next().expect("each line has three fields");
         let seed = next().parse().expect("a seed is a number");
         let digest = u64::from_str_radix(next(), 16).expect("a digest is hexadecimal");
         (seed, digest, next().parse().expect("a count is a number"))
--- a/tests/decision_digests/recorder.rs
+++ b/tests/decision_digests/recorder.rs
@@ -32,7 +32,7 @@
 pub(crate) struct Recorder {
     pub digest: Digest,
     pub now: Time,
-    /// Number of actions of each kind.
+    /// Number of actions of each kind; index 0 is unused.
     pub counts_by_kind: [u64; 10],
     pub sent: Vec<(CallId, HostId, Span)>,
     pub ended: BTreeSet<CallId>,
--- a/tests/decision_digests/simulation.rs
+++ b/tests/decision_digests/simulation.rs
@@ -137,7 +137,7 @@
             }
             self.recorder.now = time;
             self.handle(time, event);
-            self.simulate_actions();
+            self.schedule_effects();
         }
         self.digest_state();
         (self.recorder.digest.value(), self.recorder.counts_by_kind)
@@ -167,7 +167,7 @@
     }
 
     /// Schedules the effects of the actions that the node requested.
-    fn simulate_actions(&mut self) {
+    fn schedule_effects(&mut self) {
         for (time, token) in std::mem::take(&mut self.recorder.timers) {
             self.events_queued += 1;
             self.queue.insert((time, self.events_queued), Event::Timer(token));
--- a/tests/deploy_manifest.rs
+++ b/tests/deploy_manifest.rs
@@ -28,6 +28,6 @@
         collect_files(folder, &mut files);
     }
     for file in files {
-        assert!(MANIFEST.contains(&format!("\"{file}\"")), "{file} is missing from the manifest");
+        assert!(MANIFEST.contains(&format!("\"{file}\"")), "{file} is missing from deploy/balancer.toml");
     }
 }
--- a/tests/lost_node/parameters.rs
+++ b/tests/lost_node/parameters.rs
@@ -28,6 +28,7 @@
     pub fill: f64,
     pub heavy_clients: HeavyClients,
     pub groups: Groups,
+    /// Mean time that a client stays connected before it leaves.
     pub mean_lifetime_seconds: f64,
     /// Whether the node keeps running although its warm state is sent to the others.
     pub is_false_alarm: bool,
