--- a/src/domain/call.rs
+++ b/src/domain/call.rs
@@ -11,7 +11,7 @@
     pub class: ClassId,
     /// The tenant it belongs to.
     pub tenant: TenantId,
-    /// What it concerns; its load is remembered under this id for the client's return.
+    /// What it concerns, the same when the client returns; loads are remembered by subject.
     pub subject: Option<SubjectId>,
     /// The group of connections that it shares work with.
     pub group: Option<GroupId>,
--- a/src/domain/endpoint.rs
+++ b/src/domain/endpoint.rs
@@ -13,7 +13,7 @@
     pub cell: Cell,
     /// Whether it may receive new connections.
     pub condition: Condition,
-    /// Its weight in the list.
+    /// Its weight in the list, by which hosts are compared.
     pub weight: Weight,
     /// Its kind of machine, which determines its nominal size; `None` if the list does not name it.
     pub kind: Option<Kind>,
@@ -32,7 +32,7 @@
     Gone,
 }
 
-/// A host's weight in the endpoint list; [`WeightKind`] defines its meaning.
+/// Number in the endpoint list by which hosts are compared; [`WeightKind`] defines its meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Weight(pub f64);
 
--- a/src/domain/settings.rs
+++ b/src/domain/settings.rs
@@ -8,8 +8,9 @@
 const SHARED_LIMIT_FADE_NODES: f64 = 90.0;
 /// Exponent of the remote share; it separates large fleets from small ones.
 const LARGE_FLEET_POWER: i32 = 8;
-/// Multiplier of the cross-zone price. At a price of 0.1, hosts of another zone count as carrying as much as
-/// those of the node's own zone, which keeps calls in their zone until hosts there are overloaded.
+/// Multiplier of the cross-zone price. At a price of 0.1, hosts of another zone are assumed to carry, unseen
+/// by this node, as much load as those of its own zone, which keeps calls in their zone until hosts there are
+/// overloaded.
 const CROSSING_COST_FACTOR: f64 = 10.0;
 /// The message target if no class has one.
 const DEFAULT_MESSAGE_TARGET: Span = Span::ms(1000);
@@ -47,9 +48,10 @@
     pub retry_budget: Option<RetryBudget>,
     /// Maximum error of a listed start time, in either direction.
     pub start_uncertainty: Span,
-    /// Cost of an attempt that crosses zones, as a fraction of a first attempt.
+    /// Cost of an attempt that crosses zones, as a fraction of the value of a first attempt.
     pub cross_zone_price: f64,
-    /// Weight of the service as a whole in the service score, 0 to 1; the worst-served class has the rest.
+    /// Weight of the service to all classes in the deployment's objective, 0 to 1; the worst-served class has
+    /// the rest.
     pub overall_service_weight: f64,
 }
 
@@ -80,7 +82,8 @@
 }
 
 impl SlowStart {
-    /// Attempts per second that a cold host withstands if `allowed` attempts per second are allowed.
+    /// Highest rate that does not overload a cold host whose nominal allowance is `allowed`, both in attempts
+    /// per second.
     ///
     /// With N allowed in a window, the host is overloaded above N + 2 sqrt(N) + 2 attempts. The result stays
     /// one below that, at (sqrt(N) + 1)^2, because an attempt that is due on the edge of a window counts
@@ -92,12 +95,12 @@
 }
 
 /// Limit on the retries of a node in any window of a given length: a fixed number, plus a share of the calls
-/// that it admitted in the window.
+/// that reached it in the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed regardless of the number of calls.
+    /// Retries allowed in each window without any call.
     pub min_retries: f64,
-    /// Retries allowed for each call.
+    /// Retries allowed per call.
     pub ratio: f64,
     /// Length of the window.
     pub window: Span,
--- a/src/domain/snapshot.rs
+++ b/src/domain/snapshot.rs
@@ -7,23 +7,23 @@
 pub struct HostSnapshot {
     /// Id of the host.
     pub host: HostId,
-    /// Connections that are still open at the host.
+    /// Connections and setups in progress at the host, of the process and its predecessor.
     pub connections: f64,
     /// Smoothed load, in seconds of work per second.
     pub smoothed_load: f64,
     /// Load limit, in connections of the mean load; `None` if none is known yet.
     pub load_limit: Option<f64>,
-    /// Overload penalty.
+    /// Relative increase of the host's score for overload; 0 for none.
     pub overload_penalty: f64,
     /// Whether it is ejected until it answers probes.
     pub is_ejected: bool,
     /// Slow-start budget, in attempts.
     pub slow_start_budget: f64,
-    /// Estimate of other nodes' connections, in units of what one unit of size usually carries.
+    /// Estimate of other nodes' connections, as a multiple of the usual connections per unit of size.
     pub remote_load: f64,
     /// Usual time that it takes to answer a probe, in seconds.
     pub usual_probe_time: f64,
-    /// Nominal size; `None` if the predecessor did not report one.
+    /// Nominal size; `None` in a snapshot by an early version, which has none.
     pub size: Option<Size>,
 }
 
@@ -40,13 +40,13 @@
     pub mean_load_by_class: Vec<f64>,
     /// New clients per second.
     pub new_client_rate: f64,
-    /// Connections per unit of size of the ready hosts.
+    /// Connections per unit of nominal size of the ready hosts.
     pub connections_per_size: f64,
     /// Usual number of connections of the node.
     pub usual_connections: f64,
-    /// Total size of the ready hosts.
+    /// Total present capacity of the ready hosts: their sizes, reduced during slow start.
     pub ready_size: f64,
-    /// Usual total size of the ready hosts.
+    /// Usual total capacity of the ready hosts.
     pub usual_ready_size: f64,
     /// Usual setup time, in seconds.
     pub setup_time: f64,
--- a/src/domain/time.rs
+++ b/src/domain/time.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
-/// A point on the node's clock, in whole nanoseconds.
+/// A point on the node's clock, in whole nanoseconds since an origin that the program chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,8 +1,9 @@
 //! The interface between the decisions and the program that carries them out.
 //!
-//! The program that runs a node reports events through the methods of [`crate::Node`]. Each takes the time
-//! and a [`Port`], on which the node requests actions, in order. Each call gets one final answer: a
-//! [`Port::reject`], a [`Port::fail`], or the host's own answer when the attempt completes.
+//! The program that runs a node reports events through the methods of [`crate::Node`]. Those that can lead to
+//! actions take the time and a [`Port`], on which the node requests the actions, in order. Unless its client
+//! leaves first, each call gets one final answer: a [`Port::reject`], a [`Port::fail`], or the host's own
+//! answer when the attempt completes.
 
 use crate::domain::{AttemptNumber, CallId, HostId, Span, Time, TimerToken};
 
@@ -10,9 +11,9 @@
 pub trait Port {
     /// Sends an attempt, which times out after `timeout`.
     fn send_attempt(&mut self, call: CallId, host: HostId, timeout: Span);
-    /// Gives the final answer that the client may safely retry, after `retry_after` if that is given.
+    /// Gives the call its final answer: the client may safely retry, after `retry_after` if that is given.
     fn reject(&mut self, call: CallId, retry_after: Option<Span>);
-    /// Gives the final answer that the call failed, without saying whether a retry is safe.
+    /// Gives the call its final answer: it failed, and a retry may not be safe.
     fn fail(&mut self, call: CallId);
     /// Stops waiting for an attempt.
     fn cancel(&mut self, call: CallId, attempt: AttemptNumber);
@@ -24,6 +25,6 @@
     fn fetch_endpoints(&mut self);
     /// Requests to be sent the changes of the endpoint list from now on.
     fn watch_endpoints(&mut self);
-    /// Calls [`crate::Node::timer_fired`] with the token at `time`.
+    /// Arranges a call of [`crate::Node::timer_fired`] with the token at `time`.
     fn set_timer(&mut self, time: Time, token: TimerToken);
 }
--- a/src/state/call.rs
+++ b/src/state/call.rs
@@ -34,7 +34,8 @@
     pub is_answered: bool,
     /// Whether the call is in the waiting queue.
     pub is_waiting: bool,
-    /// Whether the client returns from a previous connection at another node.
+    /// Whether the client is assumed to come from another node: it is returning, and this node knows no load
+    /// of it.
     pub is_displaced: bool,
     /// Whether the client was asked to connect again.
     pub is_migrating: bool,
@@ -81,7 +82,7 @@
     }
 }
 
-/// The end of an attempt, as passed to the stages.
+/// The end of an attempt, as passed through the stages of [`crate::node`].
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
     pub outcome: AttemptOutcome,
--- a/src/state/concurrency_limit.rs
+++ b/src/state/concurrency_limit.rs
@@ -1,7 +1,8 @@
 //! Adaptive limit on concurrent setups over all hosts.
 
-/// Number of concurrent setups allowed until fast setups show that more are possible.
-const MIN_LIMIT: f64 = 2.0;
+/// Number of concurrent setups allowed until fast setups show that more are possible. The limit decays to it;
+/// slow setups lower it further, down to 1.
+const INITIAL_LIMIT: f64 = 2.0;
 /// Share of the setup target above which a setup counts as slow.
 const SLOW_SHARE: f64 = 0.67;
 /// Share of the setup target below which a setup counts as fast and the limit may grow.
@@ -18,7 +19,7 @@
 impl ConcurrencyLimit {
     /// The limit of a node that has just started.
     pub(crate) fn new() -> ConcurrencyLimit {
-        ConcurrencyLimit { in_progress: 0, limit: MIN_LIMIT }
+        ConcurrencyLimit { in_progress: 0, limit: INITIAL_LIMIT }
     }
 
     /// Whether no further setup may start.
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Lowers the limit towards its minimum; called once per second.
+    /// Lowers the limit towards its initial value; called once per second.
     pub(crate) fn decay(&mut self) {
-        self.limit = (DECREASE_FACTOR * self.limit).max(MIN_LIMIT.min(self.limit));
+        self.limit = (DECREASE_FACTOR * self.limit).max(INITIAL_LIMIT.min(self.limit));
     }
 }
--- a/src/state/endpoint_watch.rs
+++ b/src/state/endpoint_watch.rs
@@ -4,7 +4,8 @@
 use crate::port::Port;
 use crate::state::timers::WATCH_TIMER;
 
-/// Initial backoff between fetches of the whole list; it doubles with each fetch.
+/// Value that the backoff between fetches of the whole list starts from. It is doubled before each wait, so
+/// the first wait is twice this, unless half the poll interval is shorter.
 pub(crate) const FIRST_FETCH_BACKOFF: Span = Span::ms(1000);
 /// Share of the poll interval over which a large fleet spreads its requests.
 const SPREAD_SHARE: f64 = 0.4;
@@ -19,7 +20,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WatchState {
     /// The next request is scheduled.
-    Due,
+    Scheduled,
     /// A request is pending.
     Requested,
     /// Changes of the list are pushed.
@@ -56,7 +57,7 @@
 
     /// The state for a list whose first request is due at `request_at`; the caller sets the timer.
     pub(crate) fn due(request_at: Time) -> EndpointWatch {
-        EndpointWatch::new(WatchState::Due, request_at)
+        EndpointWatch::new(WatchState::Scheduled, request_at)
     }
 
     /// Sends the first request for the list, or schedules it after the offset, unless the list is pushed.
@@ -74,12 +75,12 @@
 
     /// Whether the first request is still to be sent.
     pub(crate) fn is_new(&self) -> bool {
-        self.state == WatchState::Due && self.failures == 0
+        self.state == WatchState::Scheduled && self.failures == 0
     }
 
     /// Whether the next request is due.
     pub(crate) fn is_due(&self, now: Time) -> bool {
-        self.state == WatchState::Due && now >= self.request_at
+        self.state == WatchState::Scheduled && now >= self.request_at
     }
 
     /// Whether a request is pending.
@@ -100,7 +101,7 @@
 
     /// Records that the request failed or the watch was lost.
     pub(crate) fn record_failure(&mut self) {
-        self.state = WatchState::Due;
+        self.state = WatchState::Scheduled;
         self.failures += 1;
     }
 }
--- a/src/state/fleet_estimate.rs
+++ b/src/state/fleet_estimate.rs
@@ -2,11 +2,12 @@
 
 /// Aggregates over the ready hosts.
 pub(crate) struct FleetEstimate {
-    /// Share of their total size that belongs to hosts that accept new attempts.
+    /// Share of their total present capacity that belongs to hosts that accept new attempts.
     pub open_share: f64,
-    /// Their mean size.
+    /// Their mean present capacity: size, reduced during slow start.
     pub mean_size: f64,
-    /// This node's load on usable hosts of its own zone, in connections of the mean load per unit of size.
+    /// This node's load on usable hosts of its own zone, in connections of the mean load per unit of
+    /// capacity.
     pub local_load_per_size: f64,
 }
 
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -54,7 +54,7 @@
     pub slow_start_budget: SlowStartBudget,
     /// Part of a connection added to this node's score of the host, so that nodes begin at different hosts.
     pub score_offset: f64,
-    /// Estimate of other nodes' connections here, in units of what one unit of size usually carries.
+    /// Estimate of other nodes' connections here, as a multiple of the usual connections per unit of size.
     pub remote_load: f64,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// This node's connections here, including those of its previous process.
+    /// This node's connections and setups in progress here, including its previous process's connections.
     pub(crate) fn connections(&self) -> f64 {
         self.calls.len() as f64 + self.predecessor_connections
     }
@@ -108,7 +108,7 @@
 
     /// Records the listed start time; returns whether it differs from the previous one. Where clocks differ,
     /// a host that has just started could look warm, so the latest possible start is assumed: the listed one
-    /// plus the uncertainty, but not later than now.
+    /// plus the uncertainty, but not later than now. Without uncertainty, it is the listed one.
     pub(crate) fn record_start(&mut self, listed: Option<Time>, uncertainty: Span, now: Time) -> bool {
         if self.listed_start == listed {
             return false;
--- a/src/state/host/outlier.rs
+++ b/src/state/host/outlier.rs
@@ -17,16 +17,18 @@
 const MAX_EJECTION: Span = Span::ms(8000);
 /// Wait until the next probe after a successful one.
 const NEXT_PROBE_AFTER_SUCCESS: Span = Span::ms(500);
-/// Least number of broken connections between two ticks that ejects a host; fewer may be coincidence.
+/// Broken connections eject a host only if at least this many broke since the last tick; fewer may be
+/// coincidence.
 const MIN_BREAKS: u32 = 3;
-/// A host is ejected only if at least one in this many of its connections broke.
+/// Broken connections eject a host only if they are at least one in this many of its connections; a smaller
+/// part may be coincidence.
 const BREAK_DIVISOR: usize = 3;
 const MIN_REJECT_BACKOFF: Span = Span::ms(200);
 const MAX_REJECT_BACKOFF: Span = Span::ms(8000);
 /// Ejection time to start from for a host that the previous process had ejected.
 const RESTORED_EJECTION: Span = Span::ms(1000);
 
-/// State of a host that receives no attempts until probes succeed.
+/// State of an ejected host.
 struct Ejection {
     next_probe: Time,
     /// Successful probes in a row.
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Whether the host is ejected, and receives no attempts until probes succeed.
+    /// Whether the host is ejected: except in panic mode, it receives no attempts until it is readmitted.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
--- a/src/state/host/overload.rs
+++ b/src/state/host/overload.rs
@@ -8,23 +8,24 @@
 const MIN_LIMIT_SHARE: f64 = 0.7;
 /// How long an overloaded host receives no new attempts: slightly longer than the second between reports.
 const CLOSED_AFTER_REPORT: Span = Span::ms(1200);
-/// Growth of the limit per second, as a share of the load that it grows from.
+/// Growth of the limit per second, as a share of the limit, the base load or the least base, whichever is most.
 const LIMIT_GROWTH: f64 = 0.02;
-/// Smallest load that the limit grows from, in connections. After all connections broke, limit and mean load
-/// are zero, and a share of those is no growth.
+/// Least base of that growth, in connections. Without it, the limit could not grow after all connections
+/// broke, when the limit and the base load are zero.
 const MIN_GROWTH_BASE: f64 = 0.1;
-/// Age above which the previous report is not used to measure growth.
+/// Age from which the previous report says nothing about recent growth, which is then measured from zero.
 const MAX_REPORT_AGE_SECONDS: f64 = 1.5;
 
 /// Message times and load limit of one host.
 pub(crate) struct OverloadState {
     /// Relative increase of the host's score while messages take long there.
     pub penalty: f64,
-    /// Whether the host was found overloaded since the last tick.
+    /// Whether the limit was cut since the last tick, for overload or a broken connection.
     is_overloaded: bool,
-    /// The host receives no new attempts before this time, since it was found overloaded.
+    /// The host receives no new attempts before this time, since its limit was cut.
     pub closed_until: Time,
-    /// Highest load that the host has sustained, in connections of the mean load; infinite if unknown.
+    /// Load at which the host receives no new attempts, in connections of the mean load: about what it has
+    /// coped with so far; infinite until the first cut.
     pub load_limit: f64,
     load_at_last_tick: f64,
     /// Last reported message time, in seconds.
@@ -50,7 +51,8 @@
 }
 
 impl OverloadState {
-    /// Records a message time in seconds; returns its growth since the last report, in seconds per second.
+    /// Records a message time in seconds; returns its growth since the last report, in seconds per second. It
+    /// is measured from zero if that report is too old, and the interval counts as 0.5 to 1 s.
     pub(crate) fn record_message_time(&mut self, took: f64, now: Time) -> f64 {
         let age = now.since(self.reported_at).seconds();
         let previous = if age < MAX_REPORT_AGE_SECONDS { self.message_time } else { 0.0 };
@@ -73,20 +75,20 @@
     }
 
     /// Lowers the limit and briefly closes the host to new attempts. While a host empties, its current load
-    /// does not show what it can sustain, and a limit taken from that load would keep the host idle; so no
-    /// cut goes below seven tenths of the load at the last tick.
+    /// does not show what it can sustain, and a limit taken from that load would keep the host idle; so the
+    /// cuts of one second take the limit to no less than seven tenths of the load at the last tick.
     pub(crate) fn cut_limit(&mut self, load: f64, now: Time) {
         self.load_limit = self.load_limit.min(load.max(MIN_LIMIT_SHARE * self.load_at_last_tick));
         self.is_overloaded = true;
         self.closed_until = now + CLOSED_AFTER_REPORT;
     }
 
-    /// Raises the limit if the host was not overloaded since the last tick; called once per second with the
-    /// host's load and a load derived from the mean of hosts of its size.
-    pub(crate) fn grow_limit(&mut self, load: f64, mean_load: f64) {
+    /// Raises the limit if it was not cut since the last tick; called once per second with the host's load
+    /// and with a base load that follows from the local mean for the host's size.
+    pub(crate) fn grow_limit(&mut self, load: f64, base_load: f64) {
         let was_overloaded = std::mem::take(&mut self.is_overloaded);
         if !was_overloaded && self.load_limit.is_finite() {
-            self.load_limit += LIMIT_GROWTH * self.load_limit.max(mean_load).max(MIN_GROWTH_BASE);
+            self.load_limit += LIMIT_GROWTH * self.load_limit.max(base_load).max(MIN_GROWTH_BASE);
         }
         self.load_at_last_tick = load;
     }
--- a/src/state/host/probe_times.rs
+++ b/src/state/host/probe_times.rs
@@ -4,7 +4,8 @@
 
 /// Weight of each probe in the usual time.
 const SMOOTHING: f64 = 0.1;
-/// Cap on a probe's time, as a multiple of the usual time, which so does not follow a slow period.
+/// Cap on a probe's time when it enters the usual time, as a multiple of the usual time, so that a slow
+/// period does not become usual.
 const MAX_RATIO: f64 = 1.33;
 
 /// Usual and last response time of probes, in seconds; 0 before the first probe.
--- a/src/state/host/work.rs
+++ b/src/state/host/work.rs
@@ -2,7 +2,7 @@
 
 use crate::domain::Time;
 
-/// Sum of work and its smoothed rate, in seconds of work per second.
+/// Sum of work, in seconds, and its smoothed rate, in seconds of work per second.
 pub(crate) struct WorkMeter {
     /// Work requested so far, in seconds.
     total: f64,
--- a/src/state/host_size.rs
+++ b/src/state/host_size.rs
@@ -8,16 +8,16 @@
 /// Learns nominal sizes where listed weights decrease with load.
 #[derive(Default)]
 pub(crate) struct SizeEstimator {
-    /// Highest weight seen on any host of a kind, which is that of an empty host.
+    /// Highest weight seen on any host of a kind, taken as that of an empty host.
     size_by_kind: FxHashMap<Kind, f64>,
-    /// Connections of the fleet per reported connection per core; 0 before it is known.
+    /// Number of fleet connections that one reported connection per core stands for; 0 until known.
     connections_per_report: f64,
 }
 
 impl SizeEstimator {
     /// Applies a listed weight to the host. Weights that decrease with load are not used as sizes: loaded
-    /// hosts would look small and cold ones large, and budgets, homes and all sums would shift with each
-    /// list, at all nodes alike.
+    /// hosts would look small and cold ones large, and budgets, homes and all totals over the fleet would
+    /// shift with each list, at all nodes alike.
     pub(crate) fn read_weight(&mut self, host: &mut Host, weight: Weight, weight_kind: WeightKind) {
         if weight_kind == WeightKind::Sizes {
             host.size = Size(weight.0);
--- a/src/state/load_cache.rs
+++ b/src/state/load_cache.rs
@@ -1,4 +1,4 @@
-//! Loads of ended connections, kept for when their clients return.
+//! Loads of calls that are over, kept for when their clients return.
 
 use rustc_hash::FxHashMap;
 
@@ -23,10 +23,10 @@
     }
 }
 
-/// Loads of connections that ended recently, at this node and at lost nodes.
+/// Loads of recent calls that are over, at this node and at lost nodes.
 ///
-/// The two are kept apart: a returning client whose load is known from this node is not displaced, and load
-/// limits are not raised for it. A load from a lost node does not show that.
+/// The two are kept apart: a load known from this node shows that the returning client's last call was here,
+/// so it is not displaced and load limits are not raised for it. A load from a lost node does not show that.
 #[derive(Default)]
 pub(crate) struct LoadCache {
     local: Generations,
@@ -34,7 +34,7 @@
 }
 
 impl LoadCache {
-    /// Load of the client's last connection at this node.
+    /// Load of the client's last call at this node.
     pub(crate) fn local_load(&self, subject: SubjectId) -> Option<f64> {
         self.local.load(subject)
     }
@@ -44,7 +44,7 @@
         self.from_lost_nodes.load(subject)
     }
 
-    /// Records the load of an ended connection of this node.
+    /// Records the load of a call of this node that is over.
     pub(crate) fn insert_local(&mut self, subject: SubjectId, load: f64) {
         self.local.insert(subject, load);
     }
@@ -54,7 +54,7 @@
         self.from_lost_nodes.insert(subject, load);
     }
 
-    /// All recorded loads of this node's ended connections.
+    /// All recorded loads of this node's calls that are over.
     pub(crate) fn local_loads(&self) -> impl Iterator<Item = (SubjectId, f64)> {
         self.local.0.iter().flatten().map(|(subject, load)| (*subject, *load))
     }
--- a/src/state/load_stats.rs
+++ b/src/state/load_stats.rs
@@ -5,13 +5,13 @@
 /// Smoothing factor of a class's mean load; averages over about twenty connections.
 const CLASS_SMOOTHING: f64 = 0.05;
 
-/// Loads reported for in-flight connections, in seconds of work per second.
+/// Sum and means of connections' loads, in seconds of work per second.
 pub(crate) struct LoadStats {
     reported_load: f64,
     reported_count: u32,
     /// Mean reported load; 0 before the first report.
     pub mean: f64,
-    /// Mean load by traffic class; 0 before the first connection with a known load ended.
+    /// Mean load by traffic class; 0 until the first call with a known load is over.
     pub mean_by_class: Vec<f64>,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Updates a class's mean with the load of an ended connection. The mean starts at that of all classes.
+    /// Updates a class's mean with the load of a call that is over. It starts from the mean of all classes.
     pub(crate) fn record_class(&mut self, class_index: usize, load: f64) {
         let mean = &mut self.mean_by_class[class_index];
         if *mean <= 0.0 {
--- a/src/state/remote_connections.rs
+++ b/src/state/remote_connections.rs
@@ -19,9 +19,9 @@
     if remote_load > 0.0 { remote_load / occupied_size.max(1e-9) } else { 1.0 }
 }
 
-/// Advances the estimate by one step: the share `ending_share` of each host's connections ends and is placed
-/// anew, and all connections of hosts that are not ready. Cold hosts are filled first; the rest goes to warm
-/// hosts in proportion to their size.
+/// Advances the estimate by one step: the share `ending_share` of the connections of ready hosts ends, and
+/// all connections of the others; all are placed anew. Cold hosts are filled first; the rest goes to warm
+/// hosts in proportion to their size, or to all ready hosts if none is warm.
 pub(crate) fn redistribute(hosts: &mut [Host], ending_share: f64, fill_limits: &[FillLimit]) {
     let mut unplaced = 0.0;
     let mut warm_size = 0.0;
--- a/src/state/retry_counter.rs
+++ b/src/state/retry_counter.rs
@@ -15,7 +15,7 @@
     retries: u32,
 }
 
-/// Calls admitted and retries sent during the last window of the budget.
+/// Calls that arrived and retries sent during the last window of the budget.
 #[derive(Default)]
 pub(crate) struct RetryCounter {
     counts: [SlotCount; SLOTS as usize + 1],
--- a/src/state/traffic_stats.rs
+++ b/src/state/traffic_stats.rs
@@ -21,13 +21,13 @@
     pub new_clients: u32,
     /// New clients per second.
     pub new_client_rate: f64,
-    /// Connections per unit of size of the ready hosts, smoothed.
+    /// Connections per unit of nominal size of the ready hosts, smoothed.
     pub connections_per_size: f64,
     /// Usual number of connections of this node.
     pub usual_connections: f64,
-    /// Current total size of the ready hosts.
+    /// Total present capacity of the ready hosts: their sizes, reduced during slow start.
     pub ready_size: f64,
-    /// Usual total size of the ready hosts.
+    /// Usual total capacity of the ready hosts.
     pub usual_ready_size: f64,
     /// In-flight calls of displaced clients.
     pub displaced_calls: f64,
@@ -81,10 +81,10 @@
     }
 
     /// Records a setup time and returns the time that the setup may take at any host, in seconds: 1.5 times
-    /// the usual, and a third of the usual for each setup ahead of it there, since a burst queues
-    /// behind itself. One slow setup raises the usual time by a fifth at most, so that an overloaded host
-    /// does not hide its own slowness; where all setups are slow, as with a slow session store, a handful are
-    /// enough to make that the usual time.
+    /// the usual, plus a third of the usual for each setup that was ahead of it there, since the setups of a
+    /// burst wait for each other. One slow setup raises the usual time by a fifth at most, so that an
+    /// overloaded host does not hide its own slowness; where all setups are slow, as with a slow session
+    /// store, a handful are enough to make that the usual time.
     pub(crate) fn record_setup(&mut self, took: Span, setups_ahead: u32) -> f64 {
         let took = took.seconds();
         let usual = if self.setup_time > 0.0 { self.setup_time } else { took };
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Restores the state that the previous process handed over. Classes unknown to it start without a mean.
+    /// Restores what the previous process handed over. Classes that it did not have start without a mean.
     pub(crate) fn restore(&mut self, loads: &mut LoadStats, snapshot: &NodeSnapshot) {
         loads.mean = snapshot.mean_load;
         for (mean, restored) in loads.mean_by_class.iter_mut().zip(&snapshot.mean_load_by_class) {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -334,7 +334,8 @@
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-/// Simulates a burst of clients and the loss of two hosts, whose clients return and which start again cold.
+/// Simulates a burst of clients and the loss of two hosts. Their clients return, and the hosts start again
+/// cold.
 fn worst_window_of_a_run(seed: u64, node_count: usize) -> WorstWindow {
     let mut fleet = Fleet::new(seed, node_count);
     let usual_connections = HOSTS as f64 * HOST_CAPACITY * USUAL_FILL;
@@ -361,11 +362,11 @@
 #[test_case(24; "twenty-four nodes")]
 #[test_case(30; "thirty nodes")]
 fn all_nodes_together_do_not_overload_a_cold_host(node_count: usize) {
-    let mut violations = 0;
+    let mut violating_runs = 0;
     for seed in 1..=RUNS {
         let worst = worst_window_of_a_run(seed, node_count);
         println!("{node_count} nodes, seed {seed}: {:.2}, {}", worst.ratio, worst.description);
-        violations += u32::from(worst.ratio > 1.0);
+        violating_runs += u32::from(worst.ratio > 1.0);
     }
-    assert_eq!(violations, 0, "{node_count} nodes: number of {RUNS} runs that overload a cold host");
+    assert_eq!(violating_runs, 0, "{node_count} nodes: {violating_runs} of {RUNS} runs overload a cold host");
 }
--- a/tests/decision_digests/main.rs
+++ b/tests/decision_digests/main.rs
@@ -1,6 +1,6 @@
 //! Guards against unintended changes of decisions, which are deterministic for a seed. Random simulations
-//! drive a node through its port, and the digest of all its actions, in order, must equal the one recorded in
-//! `tests/fixtures/decision-digests.txt`.
+//! drive a node through its port. The digest of all its actions, in order, and of the state it exposes must
+//! equal the one recorded in `tests/fixtures/decision-digests.txt`, as must the number of actions.
 //!
 //! A recorded digest may change only in a commit that changes a decision and explains why.
 
--- a/tests/decision_digests/recorder.rs
+++ b/tests/decision_digests/recorder.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// The digest of all actions, and the actions that the simulation has yet to carry out.
+/// The digest of all actions and exposed state, and the actions that the simulation has yet to carry out.
 pub(crate) struct Recorder {
     pub digest: Digest,
     pub now: Time,
--- a/tests/decision_digests/simulation.rs
+++ b/tests/decision_digests/simulation.rs
@@ -37,9 +37,9 @@
     ClientLeaves(CallId),
     ProbeEnds(HostId),
     ListAnswered { is_watch: bool },
-    ListChanged,
-    BehavioursChanged,
-    SettingsChanged,
+    ChangeList,
+    ChangeBehaviours,
+    ChangeSettings,
     ProcessReplaced,
     NodeLost,
 }
@@ -125,9 +125,9 @@
         let endpoints = self.endpoints();
         self.publish_list(ListUpdate::Cached, &endpoints);
         self.schedule_after(Span::ZERO, Event::NewCall);
-        self.schedule_after(Span::ms(1_500), Event::ListChanged);
-        self.schedule_after(Span::ms(4_000), Event::BehavioursChanged);
-        self.schedule_after(Span::ms(25_000), Event::SettingsChanged);
+        self.schedule_after(Span::ms(1_500), Event::ChangeList);
+        self.schedule_after(Span::ms(4_000), Event::ChangeBehaviours);
+        self.schedule_after(Span::ms(25_000), Event::ChangeSettings);
         self.schedule_after(Span::ms(33_000), Event::NodeLost);
         self.schedule_after(Span::ms(40_000), Event::ProcessReplaced);
         let end = START + DURATION;
@@ -158,9 +158,9 @@
             Event::ClientLeaves(call) => self.client_leaves(now, call),
             Event::ProbeEnds(host) => self.probe_ends(now, host),
             Event::ListAnswered { is_watch } => self.list_answered(now, is_watch),
-            Event::ListChanged => self.list_changes(now),
-            Event::BehavioursChanged => self.change_behaviours(),
-            Event::SettingsChanged => self.change_settings(now),
+            Event::ChangeList => self.change_list(now),
+            Event::ChangeBehaviours => self.change_behaviours(),
+            Event::ChangeSettings => self.change_settings(now),
             Event::ProcessReplaced => self.replace_process(now),
             Event::NodeLost => self.lose_node(now),
         }
--- a/tests/decision_digests/simulation/hosts.rs
+++ b/tests/decision_digests/simulation/hosts.rs
@@ -79,13 +79,15 @@
         self.publish_list(ListUpdate::Complete, &endpoints);
     }
 
-    pub(super) fn list_changes(&mut self, now: Time) {
+    pub(super) fn change_list(&mut self, now: Time) {
         let mut changed = Vec::new();
         for index in 0..self.hosts.len() {
             if !self.chance(0.06) {
                 continue;
             }
             let started = now - self.random_span(0, 1_000);
+            // One draw decides whether a returning host is cold and in which direction a host's weight
+            // changes.
             let is_cold = self.chance(0.5);
             let endpoint = &mut self.hosts[index].0;
             endpoint.condition = match endpoint.condition {
@@ -104,7 +106,7 @@
             changed.push(self.hosts.last().expect("a host was just added").0);
         }
         self.publish_list(ListUpdate::Delta, &changed);
-        self.schedule_after(Span::ms(1_500), Event::ListChanged);
+        self.schedule_after(Span::ms(1_500), Event::ChangeList);
     }
 
     /// Changes some hosts' behaviour. Sometimes all hosts become unreachable, as if the node's own network
@@ -117,6 +119,6 @@
                 self.hosts[index].1 = if is_outage { Behaviour::Unreachable } else { new_behaviour };
             }
         }
-        self.schedule_after(Span::ms(6_000), Event::BehavioursChanged);
+        self.schedule_after(Span::ms(6_000), Event::ChangeBehaviours);
     }
 }
--- a/tests/decision_digests/simulation/process.rs
+++ b/tests/decision_digests/simulation/process.rs
@@ -8,7 +8,7 @@
 use super::{Client, Event, Simulation};
 
 impl Simulation {
-    /// Hands over to the next process of the node: open connections stay at their hosts, waiting calls are
+    /// Hands over to the next process of the node: open connections stay at their hosts, other calls are
     /// lost.
     pub(super) fn replace_process(&mut self, now: Time) {
         let snapshot = self.node.snapshot();
--- a/tests/deploy_manifest.rs
+++ b/tests/deploy_manifest.rs
@@ -1,4 +1,5 @@
-//! Checks that `deploy/balancer.toml` lists every file that holds decision logic.
+//! Checks that `deploy/balancer.toml` lists `src/node.rs` and every file of `src/node` and `src/state`, which
+//! hold the decision logic.
 
 use std::path::Path;
 
--- a/tests/lost_node/main.rs
+++ b/tests/lost_node/main.rs
@@ -1,6 +1,6 @@
 //! Compares how clients are served after the loss of a node, with and without its warm state at the other
 //! nodes. Real nodes run in simulated time with simulated hosts and clients. Without the warm state, the
-//! other nodes place the returning clients without knowing their loads or which hosts have connections of
+//! other nodes do not know the returning clients' loads, nor on which hosts the lost node had connections of
 //! their groups.
 
 mod parameters;
@@ -34,7 +34,8 @@
 const GROUPED_CLIENTS: FleetParameters =
     FleetParameters { groups: Groups { count: 30, cost: 2.0 }, fill: 0.5, ..BASE };
 
-/// Share of all client seconds in the 10 s after the loss that were served well, over the same seeds.
+/// Share of the time that clients want service, summed over clients in the 10 s after the loss, in which they
+/// were served well; with the same seeds for both.
 struct Comparison {
     without_warm_state: f64,
     with_warm_state: f64,
@@ -69,7 +70,7 @@
     assert!(served.with_warm_state > served.without_warm_state + min_gain);
 }
 
-#[test_case(BASE; "equal loads and no groups")]
+#[test_case(BASE; "equal loads and no groups so nothing useful in the warm state")]
 #[test_case(FleetParameters { nodes: 3, ..GROUPED_CLIENTS }; "three nodes that each know most homes")]
 #[test_case(FleetParameters { is_false_alarm: true, ..GROUPED_CLIENTS }; "a false alarm with groups")]
 #[test_case(FleetParameters { is_false_alarm: true, ..HEAVY_CLIENTS }; "a false alarm with heavy clients")]
@@ -78,8 +79,8 @@
     assert!(served.with_warm_state > served.without_warm_state - 0.001 - 2.0 * served.error);
 }
 
-/// This is why warm state is sent when a connection to the node ends, and not when the fleet has decided that
-/// the node is lost.
+/// Warm state is sent when a connection to the node ends, and not when the fleet has decided that the node is
+/// lost, because it helps less by then.
 #[test]
 fn warm_state_sent_after_the_fleet_decision_improves_service_less() {
     let early = compare(GROUPED_CLIENTS, EARLY_DELAY_MS);
--- a/tests/lost_node/parameters.rs
+++ b/tests/lost_node/parameters.rs
@@ -24,11 +24,12 @@
     pub hosts: usize,
     /// Connections of the mean load that fill a host.
     pub capacity: f64,
-    /// Mean utilisation of the hosts, from 0 to 1.
+    /// Load of the clients' connections as a share of the hosts' capacity, not counting groups and setups.
     pub fill: f64,
     pub heavy_clients: HeavyClients,
     pub groups: Groups,
-    /// Mean time that a client stays connected before it leaves.
+    /// Mean of the exponential lifetime of a client's first connection, and of half of its later ones; 200 ms
+    /// are added.
     pub mean_lifetime_seconds: f64,
     /// Whether the node keeps running although its warm state is sent to the others.
     pub is_false_alarm: bool,
--- a/tests/lost_node/simulation.rs
+++ b/tests/lost_node/simulation.rs
@@ -58,7 +58,7 @@
     host: Option<HostIndex>,
     is_open: bool,
     wants_service: bool,
-    /// How often the client has connected again.
+    /// How often the client had to try again, after a lost connection or a final answer without one.
     reconnects: u32,
 }
 
--- a/tests/lost_node/simulation/hosts.rs
+++ b/tests/lost_node/simulation/hosts.rs
@@ -22,7 +22,8 @@
 const SETUP_LOAD: f64 = 0.2;
 
 impl Simulation {
-    /// Setup time at a host, which grows with its utilisation, and much faster once it is overloaded.
+    /// Setup time at a host: it grows with utilisation, and with the backlog that an overloaded host builds
+    /// up.
     pub(super) fn setup_time_ms(&self, host: HostIndex) -> u64 {
         let utilisation = self.utilisation(host);
         let by_utilisation_ms = if utilisation < 0.9 {
