--- a/crates/harness/src/bin/harness-node.rs
+++ b/crates/harness/src/bin/harness-node.rs
@@ -46,5 +46,5 @@
     let told = std::env::var_os("HARNESS_DISK").map(PathBuf::from);
     let faults = told.map(|file| Arc::new(ScriptEntry { file }) as Arc<dyn DiskFaults>);
     let ahead_s = std::env::var("HARNESS_CLOCK").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
-    glendeck_node::run(glendeck_node::Machine { disk: faults, ahead_s })
+    glendeck_node::run(glendeck_node::InjectedFaults { disk: faults, clock_ahead_s: ahead_s })
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -18,7 +18,7 @@
 use tracing::{debug, warn};
 
 use self::reply::Reply;
-use crate::clients::ACCEPT_AGAIN;
+use crate::clients::ACCEPT_RETRY_DELAY;
 use crate::connection::{self, Connection, ReadOutcome};
 use crate::http::request::{Method, RequestReader};
 use crate::reactor::ADMIN;
@@ -95,7 +95,7 @@
                     // While accepting fails the socket stays ready, and the event loop would spin.
                     warn!(%cause, "cannot accept connections to the admin interface");
                     self.watch_admin(false);
-                    return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
+                    return self.timers.set(self.now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
                 }
             }
         }
@@ -184,7 +184,7 @@
         if let Some(entry) = self.sockets.get_mut(id.0) {
             reply.encode(with_body, &mut entry.connection.outbox);
             entry.connection.inbox = Vec::new();
-            entry.connection.finish = true;
+            entry.connection.shutdown_after_flush = true;
         }
         self.flush_connection(id);
     }
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -79,7 +79,7 @@
     /// What its client was told, if it never opened.
     pub outcome: Option<Outcome>,
     /// What replicas keep of it, if they do.
-    pub kept: Option<ReplicatedCall>,
+    pub replicated: Option<ReplicatedCall>,
 }
 
 impl InFlightCall {
@@ -105,7 +105,7 @@
             has_silence_timer: false,
             final_message: None,
             outcome: None,
-            kept: None,
+            replicated: None,
         }
     }
 }
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -7,7 +7,7 @@
 use rustix::net::{self, SocketFlags};
 use tracing::warn;
 
-use super::{ACCEPT_AGAIN, FIRST_LINE_TIMEOUT, RESERVED_FOR_ATTEMPTS};
+use super::{ACCEPT_RETRY_DELAY, FIRST_LINE_TIMEOUT, RESERVED_FOR_ATTEMPTS};
 use crate::connection::Connection;
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
@@ -27,9 +27,9 @@
 
 impl AcceptQueue {
     /// When the last connection of a queue was accepted no event tells so, and whoever comes next would count
-    /// as having waited since. While connections wait, accepting is tried again within [`ACCEPT_AGAIN`].
+    /// as having waited since. While connections wait, accepting is tried again within [`ACCEPT_RETRY_DELAY`].
     fn begin_accepting(&mut self, now: Time) {
-        if now.since(self.last_accepted) > ACCEPT_AGAIN.times(2.0) {
+        if now.since(self.last_accepted) > ACCEPT_RETRY_DELAY.times(2.0) {
             self.waiting_since = None;
         }
         self.last_accepted = now;
@@ -74,7 +74,7 @@
     fn accept_later(&mut self) {
         self.accept_queue.waiting_since.get_or_insert(self.now);
         self.watch_for_clients(false);
-        self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
+        self.timers.set(self.now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
     }
 
     /// Adds a client that has not opened anything, with the bytes that have come from it.
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -51,7 +51,7 @@
         socket.connection.outbox.extend_from_slice(bytes);
         socket.connection.inbox = Vec::new();
         socket.connection.paused = false;
-        socket.connection.finish = true;
+        socket.connection.shutdown_after_flush = true;
         // Clients that were turned away for want of descriptors hold just these.
         let is_short = self.descriptors() + 2 * RESERVED_DESCRIPTORS > self.config.descriptors;
         let linger = if is_short { SHORT_LINGER } else { LINGER };
@@ -92,14 +92,14 @@
                 self.close_attempt(call, AttemptOutcome::Canceled, HostClose::Reset);
             }
         }
-        self.settle();
+        self.deliver_reports();
     }
 
     /// Passes the end of the client's side on to the host.
     fn half_close(&mut self, client: ConnectionId, host: Option<ConnectionId>) {
         if let Some(host) = host {
             if let Some(socket) = self.sockets.get_mut(host.0) {
-                socket.connection.finish = true;
+                socket.connection.shutdown_after_flush = true;
             }
             self.flush_connection(host);
         }
@@ -141,7 +141,7 @@
             return;
         }
         let now = self.now;
-        self.tell(|node, port| node.client_left(now, call, port));
+        self.with_node(|node, port| node.client_left(now, call, port));
         if self.calls.get(call.0).is_some_and(|in_flight| in_flight.attempt.is_none()) {
             self.forget_call(call);
         }
@@ -154,6 +154,6 @@
             self.close_with_last_bytes(client, b"");
         }
         self.close_attempt(call, AttemptOutcome::Canceled, HostClose::Reset);
-        self.settle();
+        self.deliver_reports();
     }
 }
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) use accept::AcceptQueue;
 
 /// While accepting fails, the system is asked again after this: soon, but without a busy loop.
-pub(crate) const ACCEPT_AGAIN: Span = Span::ms(20);
+pub(crate) const ACCEPT_RETRY_DELAY: Span = Span::ms(20);
 
 /// A connection that has not opened this long after it came, or after its last `PING`, is no client and holds
 /// a descriptor. Usual clients speak at once; others are owed an error or a close within 3 s.
--- a/crates/node/src/clients/relay.rs
+++ b/crates/node/src/clients/relay.rs
@@ -44,7 +44,7 @@
         }
         self.answer_client(id, Answer::Error);
         self.give_up_call(call);
-        self.settle();
+        self.deliver_reports();
     }
 
     /// Moves the first `length` bytes of the client's inbox to the host's outbox.
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -114,7 +114,7 @@
         let OpenRequest { id: client_id, line, previous_host, .. } = request;
         let stage = if previous_host.is_some() { CallStage::Returning } else { CallStage::Waiting };
         let mut in_flight = InFlightCall::new(client_id, connection, line, call, stage, previous_host);
-        in_flight.kept = kept;
+        in_flight.replicated = kept;
         let id = self.calls.insert(in_flight);
         if let Some(socket) = self.sockets.get_mut(connection.0) {
             socket.role = SocketRole::Client(Some(id));
@@ -142,7 +142,7 @@
             self.look_up_prior_attempt(id);
         } else {
             let now = self.now;
-            self.tell(|node, port| node.call_arrived(now, call, port));
+            self.with_node(|node, port| node.call_arrived(now, call, port));
         }
     }
 }
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -37,7 +37,7 @@
     /// The peer has ended its sending.
     pub read_ended: bool,
     /// Sending ends after what is in the outbox.
-    pub finish: bool,
+    pub shutdown_after_flush: bool,
     write_ended: bool,
     /// Sending failed, and what was unsent never will be.
     pub broken: bool,
@@ -103,7 +103,7 @@
             connecting,
             paused: false,
             read_ended: false,
-            finish: false,
+            shutdown_after_flush: false,
             write_ended: false,
             broken: false,
             discarded: 0,
@@ -149,8 +149,8 @@
     }
 
     /// Whether it is established and nothing has ended or failed on it.
-    pub(crate) fn is_sound(&self) -> bool {
-        !(self.connecting || self.read_ended || self.finish || self.broken)
+    pub(crate) fn is_usable(&self) -> bool {
+        !(self.connecting || self.read_ended || self.shutdown_after_flush || self.broken)
     }
 
     /// How many bytes are still to be sent.
@@ -225,7 +225,7 @@
         if self.sent == self.outbox.len() {
             self.outbox.clear();
             self.sent = 0;
-            if self.finish && !self.write_ended {
+            if self.shutdown_after_flush && !self.write_ended {
                 self.write_ended = true;
                 net::shutdown(&self.fd, Shutdown::Write)?;
             }
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -49,7 +49,7 @@
     pub(crate) fn remember_list(&mut self, known: EndpointListUpdate) {
         self.hosts.apply(&known);
         let now = self.now;
-        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.endpoints, port));
+        self.with_node(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.endpoints, port));
     }
 
     /// Opens the watch unless it stands: then changes will be told, within [`MAX_LIST_AGE`].
@@ -134,7 +134,7 @@
 
     fn report_lost_watch(&mut self) {
         let now = self.now;
-        self.tell(|node, port| node.watch_failed(now, port));
+        self.with_node(|node, port| node.watch_failed(now, port));
     }
 
     /// The list's service has sent something, or ended the connection.
@@ -223,7 +223,7 @@
         let was_established = std::mem::replace(&mut self.list.is_established, true);
         if !was_established || is_complete || !endpoints.is_empty() {
             let now = self.now;
-            self.tell(|node, port| node.endpoints_changed(now, update.update, &endpoints, port));
+            self.with_node(|node, port| node.endpoints_changed(now, update.update, &endpoints, port));
         }
         for host in draining {
             self.migrate_from(host);
--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -109,7 +109,7 @@
         }
         let now = self.now;
         let endpoints = self.hosts.set_drained_by_fleet(host_ids);
-        self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &endpoints, port));
+        self.with_node(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &endpoints, port));
     }
 
     /// Migrates one connection from the hosts that the fleet wants out.
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -98,7 +98,7 @@
     fn handle_predecessor_message(&mut self, message: PredecessorMessage) {
         match message {
             PredecessorMessage::OpenConnections { host, connections } => {
-                self.tell(|node, _| {
+                self.with_node(|node, _| {
                     node.set_predecessor_connections(Some(host), f64::from(connections));
                 });
             }
@@ -234,9 +234,9 @@
 
     /// Tells the decisions of the call, and sets the timers that an open call needs.
     fn start_adopted_call(&mut self, call: Call, host: HostId, host_owes_line: bool) {
-        self.hosts.opened(host, call.id);
+        self.hosts.connection_opened(host, call.id);
         let now = self.now;
-        self.tell(|node, _| node.existing_connection(now, call, host));
+        self.with_node(|node, _| node.existing_connection(now, call, host));
         if host_owes_line {
             self.timers.set(now, TimerEvent::HostSilence(call.id));
         }
@@ -252,8 +252,8 @@
         info!("the predecessor has gone");
         self.handover.predecessor = None;
         self.handover.predecessor_descriptors = 0;
-        self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
-        self.watch_for_clients(self.accepts());
+        self.with_node(|node, _| node.set_predecessor_connections(None, 0.0));
+        self.watch_for_clients(self.accepts_connections());
         self.serve_if_ready();
     }
 }
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -229,7 +229,7 @@
         if let Some(host) = host {
             self.notify_successor(host);
         }
-        self.settle();
+        self.deliver_reports();
         Ok(())
     }
 
@@ -241,7 +241,7 @@
         let attempt = in_flight.attempt.as_ref()?;
         let client = &self.sockets.get(client_id.0)?.connection;
         let host = &self.sockets.get(attempt.connection.0)?.connection;
-        if in_flight.final_message.is_some() || !client.is_sound() || !host.is_sound() {
+        if in_flight.final_message.is_some() || !client.is_usable() || !host.is_usable() {
             return None;
         }
         let call = &in_flight.call;
@@ -274,7 +274,7 @@
         self.abandon_connection(outgoing.host_connection);
         let attempt = self.forget_call(call)?.attempt?;
         self.attempts_out -= 1;
-        self.hosts.closed(attempt.host, call);
+        self.hosts.connection_closed(attempt.host, call);
         let outcome = AttemptOutcome::Canceled;
         self.report_attempt_end(AttemptEnd { call, attempt: attempt.number, outcome, is_final: true });
         Some(attempt.host)
@@ -284,7 +284,7 @@
         let Some(entry) = self.sockets.get(client.0) else { return Ok(()) };
         let connection = &entry.connection;
         let is_idle = entry.role == SocketRole::Client(None);
-        if !is_idle || !connection.is_sound() || connection.unsent() > 0 {
+        if !is_idle || !connection.is_usable() || connection.unsent() > 0 {
             return Ok(());
         }
         let message = PredecessorMessage::IdleClient(HexBytes::from(connection.inbox.as_slice()));
@@ -309,7 +309,7 @@
     /// Tells the successor how many connections are open at a host, which has changed.
     pub(crate) fn notify_successor(&mut self, host: HostId) {
         let Some(id) = self.handover.successor.filter(|_| self.handover.successor_has_state) else { return };
-        let connections = self.hosts.open_at(host) as u32;
+        let connections = self.hosts.open_call_count(host) as u32;
         let open_connections = PredecessorMessage::OpenConnections { host, connections };
         let descriptors = PredecessorMessage::Descriptors(self.descriptors());
         self.send_text(id, &format!("{open_connections}\n{descriptors}\n"));
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -39,7 +39,7 @@
                 connection,
                 opened_at: self.now,
                 deadline,
-                may_send: in_flight.kept.is_none(),
+                may_send: in_flight.replicated.is_none(),
                 is_line_queued: false,
                 is_line_sent: false,
             });
@@ -77,7 +77,7 @@
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if is_host_closed || !self.client_waits(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
-                return self.settle();
+                return self.deliver_reports();
             }
             self.queue_line(id, call);
         }
@@ -154,7 +154,7 @@
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = in_flight.attempt.take() else { return };
         let may_have_run = attempt.is_line_queued && !outcome.never_ran();
-        if let Some(kept) = in_flight.kept.as_mut().filter(|_| may_have_run) {
+        if let Some(kept) = in_flight.replicated.as_mut().filter(|_| may_have_run) {
             kept.ran.get_or_insert((attempt.host, attempt.opened_at));
         }
         let number = attempt.number.0;
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -50,7 +50,7 @@
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.take()) else { return };
         debug!(call_id = id.0, host_id = attempt.host.0, ?outcome, "connection ended");
         self.attempts_out -= 1;
-        self.hosts.closed(attempt.host, id);
+        self.hosts.connection_closed(attempt.host, id);
         self.notify_successor(attempt.host);
         let socket = self.sockets.get(attempt.connection.0);
         let has_host_ended = socket.is_some_and(|socket| socket.connection.read_ended);
@@ -75,7 +75,7 @@
             debug!(call_id = id.0, "host silent");
             self.migrate_call(id, AttemptOutcome::Broken);
         }
-        self.settle();
+        self.deliver_reports();
     }
 
     /// Sends the client away politely and ends the host's side.
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -26,7 +26,7 @@
                 let in_flight = self.calls.get(call.0);
                 if in_flight.is_some_and(|in_flight| in_flight.stage.is_established()) {
                     self.host_ended(call, false);
-                    self.settle();
+                    self.deliver_reports();
                 } else {
                     self.host_lost(call);
                 }
@@ -45,7 +45,7 @@
                 if attempt.is_line_sent { AttemptOutcome::Broken } else { AttemptOutcome::Unreachable };
             self.end_attempt(call, outcome, None);
         }
-        self.settle();
+        self.deliver_reports();
     }
 
     /// Goes through the complete lines in the inbox, until the connection is open and lines are relayed
@@ -60,13 +60,13 @@
                 if socket.connection.inbox.len() >= protocol::MAX_LINE_LENGTH {
                     warn!(call_id = call.0, "host line too long");
                     self.end_attempt(call, AttemptOutcome::Error, None);
-                    self.settle();
+                    self.deliver_reports();
                 }
                 return;
             };
             let line: Vec<u8> = socket.connection.inbox.drain(..length).collect();
             self.handle_host_line(id, call, &line);
-            self.settle();
+            self.deliver_reports();
         }
     }
 
@@ -91,7 +91,7 @@
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.as_ref()) else { return };
         let number = attempt.number;
         let now = self.now;
-        self.tell(|node, port| node.attempt_report(now, call, number, AttemptReport::Load(load), port));
+        self.with_node(|node, port| node.attempt_report(now, call, number, AttemptReport::Load(load), port));
     }
 
     /// The host's `UP`: from now on the connection is the client's and the host's.
@@ -103,7 +103,7 @@
         };
         let is_returning = in_flight.stage == CallStage::Returning;
         in_flight.stage = CallStage::Open;
-        if let Some(mut kept) = in_flight.kept.take() {
+        if let Some(mut kept) = in_flight.replicated.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
             kept.ran.get_or_insert((attempt.host, attempt.opened_at));
             self.replicated_call_ended(call, Some(&kept));
@@ -121,13 +121,13 @@
             socket.connection.outbox.extend_from_slice(line);
         }
         self.flush_connection(client);
-        self.hosts.opened(host, call);
+        self.hosts.connection_opened(host, call);
         self.notify_successor(host);
         let now = self.now;
         if is_returning {
-            self.tell(|node, _| node.existing_connection(now, established_call, host));
+            self.with_node(|node, _| node.existing_connection(now, established_call, host));
         } else {
-            self.tell(|node, port| node.attempt_established(now, call, number, setup_time, port));
+            self.with_node(|node, port| node.attempt_established(now, call, number, setup_time, port));
         }
         if self.hosts.is_leaving(host) {
             self.timers.set(now + MIGRATION_PERIOD, TimerEvent::Migrate(call));
@@ -146,7 +146,7 @@
         if socket.connection.inbox.len() - length >= protocol::MAX_LINE_LENGTH {
             warn!(call_id = call.0, "host line too long");
             self.host_ended(call, true);
-            return self.settle();
+            return self.deliver_reports();
         }
         if length == 0 {
             return;
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -36,7 +36,7 @@
         let now = self.now;
         let took = now.since(opened_at);
         debug!(host_id = host.0, ?outcome, took_us = took.0 / 1_000, "probe finished");
-        self.tell(|node, port| node.probe_finished(now, host, outcome, took, port));
+        self.with_node(|node, port| node.probe_finished(now, host, outcome, took, port));
     }
 
     /// The time of a probe is over.
--- a/crates/node/src/hosts/table.rs
+++ b/crates/node/src/hosts/table.rs
@@ -107,7 +107,7 @@
     }
 
     /// How many connections are open at a host.
-    pub(crate) fn open_at(&self, id: HostId) -> usize {
+    pub(crate) fn open_call_count(&self, id: HostId) -> usize {
         self.hosts.get(&id).map_or(0, |host| host.open.len())
     }
 
@@ -128,14 +128,14 @@
     }
 
     /// A connection has opened at a host.
-    pub(crate) fn opened(&mut self, id: HostId, call: CallId) {
+    pub(crate) fn connection_opened(&mut self, id: HostId, call: CallId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.open.insert(call);
         }
     }
 
     /// A connection at a host has ended.
-    pub(crate) fn closed(&mut self, id: HostId, call: CallId) {
+    pub(crate) fn connection_closed(&mut self, id: HostId, call: CallId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.open.remove(&call);
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One node: the decisions of `glendeck` on real sockets.
 //!
-//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`Machine`] with
+//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`InjectedFaults`] with
 //! injected faults. `service` has the event loop; `clients`, `hosts`, `endpoint_list`, `handover`, `peers`
 //! and `admin` each deal with one kind of peer.
 
@@ -44,17 +44,17 @@
 
 /// Injected faults of the machine under a node; by default there are none.
 #[derive(Clone, Debug, Default)]
-pub struct Machine {
+pub struct InjectedFaults {
     /// Faults of the store's disk.
     pub disk: Option<Arc<dyn glendeck_store::DiskFaults>>,
     /// How far its wall clock is ahead, in seconds.
-    pub ahead_s: i64,
+    pub clock_ahead_s: i64,
 }
 
 /// Starts a node that is configured by the environment, and serves until it is told to end.
 ///
 /// The exit code says whether it could start and serve; what went wrong is logged.
-pub fn run(machine: Machine) -> ExitCode {
+pub fn run(machine: InjectedFaults) -> ExitCode {
     match serve(machine) {
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
@@ -64,7 +64,7 @@
     }
 }
 
-fn serve(machine: Machine) -> Result<(), RunError> {
+fn serve(machine: InjectedFaults) -> Result<(), RunError> {
     let level = config::log_level();
     let shown = *level.as_ref().unwrap_or(&tracing::level_filters::LevelFilter::INFO);
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(shown).init();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,5 @@
 //! The node's program.
 
 fn main() -> std::process::ExitCode {
-    glendeck_node::run(glendeck_node::Machine::default())
+    glendeck_node::run(glendeck_node::InjectedFaults::default())
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -117,7 +117,7 @@
 
     /// Number of hosts in the endpoint list that the decisions keep away from.
     pub(crate) fn hosts_down(&self) -> usize {
-        self.hosts.listed().filter(|host| self.avoids(*host)).count()
+        self.hosts.listed().filter(|host| self.is_host_ejected(*host)).count()
     }
 
     /// The metrics as they are now. The longest turn counts anew from here on.
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether new connections are this process's to accept.
-    pub(crate) fn accepts(&self) -> bool {
+    pub(crate) fn accepts_connections(&self) -> bool {
         !self.handover.predecessor_serves() && !self.handover.is_replaced()
     }
 
@@ -46,7 +46,7 @@
             Ok(config) => self.apply_config(config),
             Err(cause) => error!(%cause, "bad configuration, the old one stays"),
         }
-        self.settle();
+        self.deliver_reports();
     }
 
     fn apply_config(&mut self, config: config::NodeConfig) {
@@ -61,7 +61,7 @@
             let settings = self.config.settings.clone();
             info!(weights = ?settings.weight_kind, nodes = settings.node_count, "settings changed");
             self.metrics.name(&self.config.names.traffic);
-            self.tell(|node, port| node.update_settings(now, settings, port));
+            self.with_node(|node, port| node.update_settings(now, settings, port));
         }
         // With more zones, hosts of a zone that had no number need the right one.
         if is_list_elsewhere || change.zones {
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -299,7 +299,7 @@
     fn handle_timer(&mut self, event: TimerEvent) {
         let now = self.now;
         match event {
-            TimerEvent::Decisions(token) => self.tell(|node, port| node.timer_fired(now, token, port)),
+            TimerEvent::Decisions(token) => self.with_node(|node, port| node.timer_fired(now, token, port)),
             TimerEvent::ConnectTimeout(call, attempt) => self.connect_timeout(call, attempt),
             TimerEvent::AttemptTimeout(call, attempt) => self.attempt_timeout(call, attempt),
             TimerEvent::RetryReturn(call) => self.return_to_host(call),
@@ -319,7 +319,7 @@
                 }
             }
             TimerEvent::RetryAccept => {
-                self.watch_for_clients(self.accepts());
+                self.watch_for_clients(self.accepts_connections());
                 self.watch_admin(true);
             }
             TimerEvent::EndpointListOverdue => {
@@ -334,7 +334,7 @@
             TimerEvent::Exit => self.exit(),
             TimerEvent::FlushTimeout => self.finish(),
         }
-        self.settle();
+        self.deliver_reports();
     }
 
     /// A random number from 0 to 1, drawn apart from those of the decisions.
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -13,11 +13,11 @@
 
 impl Service {
     /// Tells the decisions something, and then what came of what they did.
-    pub(crate) fn tell(&mut self, event: impl FnOnce(&mut Node, &mut Service)) {
+    pub(crate) fn with_node(&mut self, event: impl FnOnce(&mut Node, &mut Service)) {
         if let Some(mut node) = self.node.take() {
             event(&mut node, self);
             self.node = Some(node);
-            self.settle();
+            self.deliver_reports();
         }
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Whether the decisions send nothing to a host now.
-    pub(crate) fn avoids(&self, host: HostId) -> bool {
+    pub(crate) fn is_host_ejected(&self, host: HostId) -> bool {
         self.node.as_ref().is_some_and(|node| node.is_ejected(host))
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Tells the decisions of all that has ended or failed, until nothing new comes of it.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn deliver_reports(&mut self) {
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
         while let Some(report) = self.reports.pop() {
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -5,7 +5,7 @@
 
 use super::Service;
 use super::drain::{ALL_GONE, CLIENTS_STILL_COME};
-use crate::clients::ACCEPT_AGAIN;
+use crate::clients::ACCEPT_RETRY_DELAY;
 use crate::lifecycle::Phase;
 use crate::protocol::Answer;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
@@ -123,8 +123,8 @@
             return;
         }
         // A process that never served leaves the queue to its predecessor.
-        if self.accepts() && !self.accept() {
-            return self.timers.set(self.now + ACCEPT_AGAIN, TimerEvent::StopAccepting);
+        if self.accepts_connections() && !self.accept() {
+            return self.timers.set(self.now + ACCEPT_RETRY_DELAY, TimerEvent::StopAccepting);
         }
         self.listener = None;
     }
@@ -138,7 +138,7 @@
         for call in self.call_ids() {
             self.answer_before_exit(call);
         }
-        if self.accepts() && self.listener.is_some() {
+        if self.accepts_connections() && self.listener.is_some() {
             self.accept();
         }
         self.listener = None;
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -197,7 +197,7 @@
     /// Takes a call out of the tables. One that never opened is counted here, one that did was when it did.
     pub(crate) fn forget_call(&mut self, id: CallId) -> Option<InFlightCall> {
         let in_flight = self.calls.remove(id.0)?;
-        self.replicated_call_ended(id, in_flight.kept.as_ref());
+        self.replicated_call_ended(id, in_flight.replicated.as_ref());
         if !in_flight.stage.is_established() {
             let outcome = in_flight.outcome.unwrap_or(Outcome::Failure);
             self.metrics.count(in_flight.call.class, outcome);
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -63,17 +63,20 @@
     ///
     /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be
     /// joined.
-    pub(crate) fn start(mut config: NodeConfig, machine: crate::Machine) -> Result<Service, ServiceError> {
+    pub(crate) fn start(
+        mut config: NodeConfig,
+        machine: crate::InjectedFaults,
+    ) -> Result<Service, ServiceError> {
         let inherited = Inherited::ask(&config);
         let configured_list = config.known.take();
         let (sources, mut predecessor) = open_sources(&config, inherited)?;
-        let mut service = Service::new(config, sources, Clock::start(machine.ahead_s));
+        let mut service = Service::new(config, sources, Clock::start(machine.clock_ahead_s));
         let state = predecessor.as_mut().and_then(|predecessor| predecessor.state.take());
         service.start_decisions(merge_known(configured_list, state));
         if let Some(predecessor) = predecessor {
             service.follow_predecessor(predecessor.line);
         }
-        service.settle();
+        service.deliver_reports();
         service.join_fleet(machine.disk)?;
         if service.config.list_is_pushed {
             service.timers.set(service.now + AGENT_TIMEOUT, TimerEvent::EndpointListOverdue);
@@ -126,7 +129,7 @@
         }
         if let Some(PredecessorState { snapshot, was_drained }) = known.node {
             self.handover.was_drained = was_drained;
-            self.tell(|node, _| node.restore(&snapshot));
+            self.with_node(|node, _| node.restore(&snapshot));
         }
     }
 }
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -29,7 +29,7 @@
 impl InFlightCall {
     /// Whether what has been before the call is being looked up.
     pub(crate) fn awaits_lookup(&self) -> bool {
-        self.kept.is_some_and(|kept| kept.awaits_lookup)
+        self.replicated.is_some_and(|kept| kept.awaits_lookup)
     }
 }
 
@@ -62,7 +62,7 @@
     /// Looks up what has been before a call.
     pub(crate) fn look_up_prior_attempt(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        let Some(kept) = &mut in_flight.kept else { return };
+        let Some(kept) = &mut in_flight.replicated else { return };
         kept.awaits_lookup = true;
         let work_id = kept.work_id;
         let left_ms = in_flight.call.deadline.since(self.now).0 / 1_000_000;
@@ -76,7 +76,7 @@
     /// comes up meanwhile.
     pub(crate) fn replicate_intent_of(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
-        let (Some(kept), Some(attempt)) = (in_flight.kept, &in_flight.attempt) else { return };
+        let (Some(kept), Some(attempt)) = (in_flight.replicated, &in_flight.attempt) else { return };
         let first = in_flight.call.prior_attempt.or(kept.ran);
         let latest =
             self.repeat_window_end(in_flight, first).unwrap_or(attempt.deadline).min(attempt.deadline);
@@ -150,8 +150,8 @@
             return;
         }
         warn!(call_id = call.0, "the intent of an attempt was not replicated: the attempt does not go");
-        let may_have_run =
-            in_flight.call.prior_attempt.is_some() || in_flight.kept.is_some_and(|kept| kept.ran.is_some());
+        let may_have_run = in_flight.call.prior_attempt.is_some()
+            || in_flight.replicated.is_some_and(|kept| kept.ran.is_some());
         let (answer, outcome) = if may_have_run {
             (Answer::Error, metrics::Outcome::Failure)
         } else {
@@ -166,7 +166,7 @@
             self.answer_client(client, answer);
         }
         self.end_attempt(call, AttemptOutcome::NeverSent, None);
-        self.settle();
+        self.deliver_reports();
     }
 
     /// The same work is in flight at another node: the decisions forget the call until it is known what came
@@ -180,7 +180,7 @@
         self.attempts_out -= 1;
         self.close_connection(attempt.connection);
         let now = self.now;
-        self.tell(|node, port| {
+        self.with_node(|node, port| {
             node.attempt_ended(now, call, attempt.number, AttemptOutcome::NeverSent, true, port);
         });
         if let Some(in_flight) = self.calls.get_mut(call.0) {
@@ -203,13 +203,13 @@
             return self.answer_call(call, Answer::Error);
         }
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        if let Some(kept) = &mut in_flight.kept {
+        if let Some(kept) = &mut in_flight.replicated {
             kept.awaits_lookup = false;
         }
         in_flight.call.prior_attempt = before;
         debug!(call_id = call.0, host_id = ?before.map(|(host, _)| host.0), "placing a call that was looked up");
         let now = self.now;
         let call = in_flight.call;
-        self.tell(|node, port| node.call_arrived(now, call, port));
+        self.with_node(|node, port| node.call_arrived(now, call, port));
     }
 }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -153,7 +153,7 @@
             warm_state.lost_expected += 1;
         }
         let now = self.now;
-        self.tell(|node, _| node.adopt_warm_state(now, &state));
+        self.with_node(|node, _| node.adopt_warm_state(now, &state));
     }
 }
 
