--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -67,7 +67,7 @@
         mut config: NodeConfig,
         machine: crate::InjectedFaults,
     ) -> Result<Service, ServiceError> {
-        let inherited = Inherited::ask(&config);
+        let inherited = Inherited::request(&config);
         let configured_list = config.known.take();
         let (sources, mut predecessor) = open_sources(&config, inherited)?;
         let mut service = Service::new(config, sources, Clock::start(machine.clock_ahead_s));
@@ -140,7 +140,9 @@
     inherited: Option<Inherited>,
 ) -> Result<(EventSources, Option<Predecessor>), ServiceError> {
     let (listener, predecessor) = match inherited {
-        Some(Inherited { listener, line, state }) => (listener, Some(Predecessor { line, state })),
+        Some(Inherited { listener, connection: line, state }) => {
+            (listener, Some(Predecessor { line, state }))
+        }
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
