--- a/crates/fleet/src/fault_injection.rs
+++ b/crates/fleet/src/fault_injection.rs
@@ -7,29 +7,29 @@
     /// Limits do not count what is lost unplanned.
     LostNotCounted,
     /// A release's turns are granted while it is halted.
-    TurnWhileHalted,
+    GrantWhileHalted,
     /// A lease that is no longer in force lets its unit begin.
-    OldLeaseBegins,
+    StaleLeaseBegins,
     /// A halted release's units may still begin.
-    HaltForgotten,
+    BeginWhileHalted,
     /// After a loss of all processes a release goes on by itself.
-    HaltNotKept,
+    NoHaltAfterRestart,
     /// A unit goes out on a begin of any age.
-    AnyAge,
+    StaleBeginRequest,
     /// A unit goes out as soon as it is granted, without asking to begin.
-    OutOnGrant,
+    DrainOnGrant,
     /// A voter that comes back with an older disk votes.
-    OlderDiskVotes,
+    OutdatedStoreVotes,
     /// What is to go out does not wait for the disk.
-    SentBeforeSynced,
+    SendBeforeDurable,
     /// A unit is taken for back as soon as it is heard.
-    BackWhenHeard,
+    ServingWhenHeard,
     /// A host is said to be empty though a lost node may hold connections there.
-    EmptyWithoutLost,
+    EmptyIgnoresLost,
     /// Hosts that the list shows as out are not counted.
     ListNotCounted,
     /// A host is back before all nodes have heard so.
-    HostBackAtOnce,
+    HostReturnedEarly,
 }
 
 #[cfg(feature = "fault-injection")]
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -58,7 +58,7 @@
             leader: self.leader().cloned(),
             log_update,
             applied: self.context.state.applied,
-            of_you: self.replica.peer_mark(receiver),
+            receiver_mark: self.replica.peer_mark(receiver),
             founded: self.replica.knows_founding(),
             voter_status: self.replica.status(),
         };
@@ -86,8 +86,12 @@
         if reply.founded {
             self.replica.record_founded_elsewhere(now);
         }
-        let change =
-            self.replica.compare_with_peer(sender, reply.voter_status, reply.of_you, &mut self.actions);
+        let change = self.replica.compare_with_peer(
+            sender,
+            reply.voter_status,
+            reply.receiver_mark,
+            &mut self.actions,
+        );
         self.end_leadership_if(change);
         self.receive_update(reply.log_update);
         self.follow_state();
--- a/crates/fleet/src/leader/hosts.rs
+++ b/crates/fleet/src/leader/hosts.rs
@@ -114,7 +114,7 @@
 /// Whether every unit has reported, knowing that the host is out since this point of the log, that it holds nothing there.
 fn is_empty(context: &Context, host: &UnitName, applied: u64) -> bool {
     context.state.units.iter().all(|(name, unit)| {
-        let is_passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyWithoutLost));
+        let is_passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyIgnoresLost));
         let reports_nothing = context.alive(name).is_some_and(|known| {
             // A unit that knows more of the log than this leader may use the host again, and no longer reports it.
             let knows_the_same = (applied..=context.state.applied).contains(&known.heartbeat.have.applied);
--- a/crates/fleet/src/leader/mod.rs
+++ b/crates/fleet/src/leader/mod.rs
@@ -65,7 +65,7 @@
         }
         self.units.observe(context);
         self.proposals.forget_old(context.now);
-        actions.extend(self.units.find_quiet(context));
+        actions.extend(self.units.find_silent_units(context));
         if !are_voters_recorded(context) {
             actions.extend(self.record_voters(context));
             return actions;
--- a/crates/fleet/src/leader/units.rs
+++ b/crates/fleet/src/leader/units.rs
@@ -58,7 +58,7 @@
     }
 
     /// Asks the other voters for the units that this one does not hear itself: a link of its own may be cut.
-    pub(super) fn find_quiet(&mut self, context: &Context) -> Vec<LeaderAction> {
+    pub(super) fn find_silent_units(&mut self, context: &Context) -> Vec<LeaderAction> {
         if self.asked_at.is_some_and(|at| context.now.ms_since(at) < PROPOSE_AGAIN_MS) {
             return vec![];
         }
@@ -88,7 +88,7 @@
         for (name, unit) in &context.state.units {
             let Some(known) = context.alive(name) else { continue };
             let Some(observed) = self.observed.get(name) else { continue };
-            let is_back_early = is_injected(InjectedFault::BackWhenHeard) && unit.is_out();
+            let is_back_early = is_injected(InjectedFault::ServingWhenHeard) && unit.is_out();
             if !is_back(context, unit, known, observed) && !is_back_early {
                 continue;
             }
@@ -126,7 +126,7 @@
             serving_since.max(observed.since)
         }
     };
-    let watch_ms = match is_injected(InjectedFault::BackWhenHeard) {
+    let watch_ms = match is_injected(InjectedFault::ServingWhenHeard) {
         true => 0,
         false => watch_ms(context, unit.unit_state.cause()),
     };
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -101,7 +101,7 @@
                 self.come_back()
             }
             UnitState::Granted { lease, cause } => {
-                if is_injected(InjectedFault::OutOnGrant) && self.drain.is_none() {
+                if is_injected(InjectedFault::DrainOnGrant) && self.drain.is_none() {
                     return Some(self.go_out(lease, cause));
                 }
                 self.ask_to_begin(context, status, is_leader, lease)
@@ -161,7 +161,8 @@
     ) -> Option<MemberStep> {
         let request = self.begin_request.as_ref();
         let may_go_out = request.filter(|own| own.lease == lease && own.nonce == nonce).is_some_and(|own| {
-            context.now.ms_since(own.asked_at) <= BEGIN_TIMEOUT_MS || is_injected(InjectedFault::AnyAge)
+            context.now.ms_since(own.asked_at) <= BEGIN_TIMEOUT_MS
+                || is_injected(InjectedFault::StaleBeginRequest)
         });
         if may_go_out {
             return Some(self.go_out(lease, cause));
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -130,7 +130,7 @@
     /// How far the sender has applied the log.
     pub applied: u64,
     /// The highest mark that the sender received from the receiver.
-    pub of_you: Option<DurableMark>,
+    pub receiver_mark: Option<DurableMark>,
     /// The sender holds or held a voter slot: the fleet is founded.
     pub founded: bool,
     /// How the sender's store stands to its voter slot.
--- a/crates/fleet/src/replica/mod.rs
+++ b/crates/fleet/src/replica/mod.rs
@@ -52,14 +52,14 @@
     status: VoterStatus,
     voter: Option<Voter>,
     /// How far the slot's log was handed on, over all epochs; what the state has beyond that came from other nodes.
-    handed_on: u64,
+    delivered: u64,
     inputs: VecDeque<Input>,
     /// What the other voters were heard to have on disk.
     peer_marks: BTreeMap<UnitName, DurableMark>,
     /// Voters whose store was heard to be empty since this process began.
     fresh_voters: BTreeSet<UnitName>,
     /// Since when a voter says that the fleet is founded.
-    founded_elsewhere_since: Option<Timestamp>,
+    founded_since: Option<Timestamp>,
     /// An operator has said that this store is whole, whoever is missing.
     is_trusted: bool,
     /// Voters that know of nothing newer in this slot than this store has.
@@ -73,11 +73,11 @@
             store: None,
             status: VoterStatus::NoStore,
             voter: None,
-            handed_on: 0,
+            delivered: 0,
             inputs: VecDeque::new(),
             peer_marks: BTreeMap::new(),
             fresh_voters: BTreeSet::new(),
-            founded_elsewhere_since: None,
+            founded_since: None,
             is_trusted: false,
             confirmed_by: BTreeSet::new(),
         }
@@ -184,7 +184,7 @@
 
     /// A voter says that the fleet is founded.
     pub(crate) fn record_founded_elsewhere(&mut self, now: Timestamp) {
-        self.founded_elsewhere_since.get_or_insert(now);
+        self.founded_since.get_or_insert(now);
     }
 
     /// An operator vouches for the store. Whether there was anything to wait for.
@@ -241,7 +241,7 @@
             }
             return Some(self.release(context, messages, actions));
         }
-        if is_injected(InjectedFault::SentBeforeSynced) {
+        if is_injected(InjectedFault::SendBeforeDurable) {
             self.write(pending.writes, AfterWrite::Send(vec![]), actions);
             return Some(self.release(context, messages, actions));
         }
@@ -292,8 +292,8 @@
             }
         }
         let steps = self.voter.as_mut().map(Voter::take_decided).unwrap_or_default();
-        let first = self.handed_on + 1;
-        self.handed_on += steps.len() as u64;
+        let first = self.delivered + 1;
+        self.delivered += steps.len() as u64;
         (first..).zip(steps).map(|(position, step)| DecidedStep { position, step }).collect()
     }
 
@@ -347,7 +347,7 @@
     fn start_voting(&mut self, context: &Context, voter_slot: u64, actions: &mut Vec<Action>) {
         let Some(store) = &self.store else { return };
         let State { epoch, epoch_began, voter_slots, .. } = &context.state;
-        self.handed_on = *epoch_began;
+        self.delivered = *epoch_began;
         self.voter = Some(Voter::new(*epoch, voter_slot, voter_slots, store.saved()));
         self.status = VoterStatus::Active(voter_slot);
         actions.push(Action::Log(format!("votes in voter slot {voter_slot} of epoch {epoch}")));
--- a/crates/fleet/src/replica/recovery.rs
+++ b/crates/fleet/src/replica/recovery.rs
@@ -33,7 +33,7 @@
             VoterStatus::Recovering(voter_slot) => {
                 let stamp = self.store.as_ref().map_or(0, DurableStore::stamp);
                 let is_behind = mark_of_us.is_some_and(|known| known > DurableMark { voter_slot, stamp });
-                if is_behind && !is_injected(InjectedFault::OlderDiskVotes) {
+                if is_behind && !is_injected(InjectedFault::OutdatedStoreVotes) {
                     self.give_up_slot("its disk is older than what it has acknowledged", actions);
                     return SlotChange::GivenUp;
                 }
@@ -111,9 +111,8 @@
             self.take_slot(context, index as u64 + 1, actions);
             return SlotChange::Unchanged;
         }
-        let is_founded = self
-            .founded_elsewhere_since
-            .is_some_and(|since| context.now.ms_since(since) >= FOUNDING_TIMEOUT_MS);
+        let is_founded =
+            self.founded_since.is_some_and(|since| context.now.ms_since(since) >= FOUNDING_TIMEOUT_MS);
         if is_founded {
             self.give_up_slot("its store is empty, but the group exists", actions);
             return SlotChange::GivenUp;
@@ -128,7 +127,7 @@
 /// needed as meet every majority that this node was part of, without itself.
 fn required_confirmations(voters: usize) -> usize {
     let majority = voters / 2 + 1;
-    if is_injected(InjectedFault::OlderDiskVotes) {
+    if is_injected(InjectedFault::OutdatedStoreVotes) {
         return majority - 1;
     }
     (voters - majority + 1).min(voters - 1)
--- a/crates/fleet/src/state/apply/hosts.rs
+++ b/crates/fleet/src/state/apply/hosts.rs
@@ -56,7 +56,7 @@
         match &mut host.held {
             Some(held) if held.hold != HoldState::Returning => {
                 held.hold = HoldState::Returning;
-                if is_injected(InjectedFault::HostBackAtOnce) {
+                if is_injected(InjectedFault::HostReturnedEarly) {
                     host.held = None;
                 }
                 Ok(format!("{name} is used again"))
--- a/crates/fleet/src/state/apply/releases.rs
+++ b/crates/fleet/src/state/apply/releases.rs
@@ -122,11 +122,11 @@
     pub(super) fn grant_turn(&mut self, number: u64, name: &UnitName) -> Outcome {
         let release = self.release.as_ref().filter(|release| release.number == number);
         let release = release.ok_or(Refusal::UnknownRelease)?;
-        if !release.is_running() && !is_injected(InjectedFault::TurnWhileHalted) {
+        if !release.is_running() && !is_injected(InjectedFault::GrantWhileHalted) {
             return Err(Refusal::ReleaseNotRunning);
         }
         if !release.remaining_units().any(|unit| unit == name) {
-            return Err(Refusal::NotItsTurn(name.clone()));
+            return Err(Refusal::NotInCurrentWave(name.clone()));
         }
         if self.is_last_of_zone(name) {
             return Err(Refusal::LastOfZone(name.clone()));
@@ -138,7 +138,7 @@
 
     /// A unit that was out for this release serves again: it is done, or it came back as the wrong version, which halts
     /// the release.
-    pub(super) fn take_back_into_release(&mut self, number: u64, name: &UnitName, version: &str) -> Outcome {
+    pub(super) fn record_return(&mut self, number: u64, name: &UnitName, version: &str) -> Outcome {
         let Some(release) = self.release.as_mut().filter(|release| release.number == number) else {
             return Ok("serving".into());
         };
--- a/crates/fleet/src/state/apply/units.rs
+++ b/crates/fleet/src/state/apply/units.rs
@@ -81,7 +81,7 @@
         if let Cause::Release(number) = cause {
             let release = self.release.as_mut().filter(|release| release.number == number);
             let release = release.ok_or(Refusal::ReleaseOver)?;
-            if !release.is_running() && !is_injected(InjectedFault::HaltForgotten) {
+            if !release.is_running() && !is_injected(InjectedFault::BeginWhileHalted) {
                 return Err(Refusal::ReleaseHalted);
             }
             let changed =
@@ -103,7 +103,7 @@
         unit.dead = false;
         unit.version = version.to_owned();
         match cause {
-            Some(Cause::Release(number)) => self.take_back_into_release(number, name, version),
+            Some(Cause::Release(number)) => self.record_return(number, name, version),
             Some(Cause::Drain | Cause::Override) | None => Ok("serving".into()),
         }
     }
@@ -150,7 +150,7 @@
             }
             Ok((*cause, *before))
         }
-        _ if is_injected(InjectedFault::OldLeaseBegins) => Ok((Cause::Drain, call_counts)),
+        _ if is_injected(InjectedFault::StaleLeaseBegins) => Ok((Cause::Drain, call_counts)),
         UnitState::Serving
         | UnitState::Granted { .. }
         | UnitState::Begun { .. }
--- a/crates/fleet/src/state/apply/voters.rs
+++ b/crates/fleet/src/state/apply/voters.rs
@@ -26,7 +26,7 @@
             self.voters.insert(name.clone(), *boot_count);
         }
         let is_release_running = self.release.as_ref().is_some_and(Release::is_running);
-        if all_restarted && is_release_running && !is_injected(InjectedFault::HaltNotKept) {
+        if all_restarted && is_release_running && !is_injected(InjectedFault::NoHaltAfterRestart) {
             return self.halt_release("all voters were started anew at once");
         }
         Ok("noted".into())
--- a/crates/fleet/src/state/command.rs
+++ b/crates/fleet/src/state/command.rs
@@ -281,7 +281,7 @@
     ReleaseNotRunning,
     /// The unit is not of the current wave, or has been changed.
     #[error("it is not {0}'s turn")]
-    NotItsTurn(UnitName),
+    NotInCurrentWave(UnitName),
     /// Another process of the unit has begun under this lease.
     #[error("another process of it has begun")]
     BegunByAnotherProcess,
--- a/crates/fleet/tests/schedules/injected_faults.rs
+++ b/crates/fleet/tests/schedules/injected_faults.rs
@@ -36,7 +36,7 @@
 fn script(fault: InjectedFault, seed: u64) -> Option<World> {
     match fault {
         // Begun, halted, and heard of only much later.
-        InjectedFault::AnyAge => {
+        InjectedFault::StaleBeginRequest => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
             world.order_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 4_000);
@@ -45,7 +45,7 @@
             Some(world)
         }
         // It hears late that it has begun, asks anew, and that arrives after the halt.
-        InjectedFault::HaltForgotten => {
+        InjectedFault::BeginWhileHalted => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
             world.run_until(world.now_ms() + 2_500);
             world.around(unit, false, true, LinkState::Stalled);
@@ -59,7 +59,7 @@
             Some(world)
         }
         // It asks with a lease that is gone by the time it arrives.
-        InjectedFault::OldLeaseBegins => {
+        InjectedFault::StaleLeaseBegins => {
             let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
             let leader = world.leader()?;
@@ -90,7 +90,7 @@
             Some(world)
         }
         // A node cut off from the group goes on with the clients that it has at the host.
-        InjectedFault::EmptyWithoutLost => {
+        InjectedFault::EmptyIgnoresLost => {
             let mut world = World::new(seed, policy(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
@@ -115,7 +115,7 @@
             Some(world)
         }
         // Taken back, and one node has not heard so.
-        InjectedFault::HostBackAtOnce => {
+        InjectedFault::HostReturnedEarly => {
             let mut world = World::new(seed, policy(5, 3));
             world.with_hosts(6);
             world.run_until(16_000);
@@ -135,18 +135,18 @@
 
 /// Each injected fault is caught, on a day made for it or on one drawn, and the sound program passes that day.
 #[test_case(InjectedFault::LostNotCounted; "limits that do not count what is lost")]
-#[test_case(InjectedFault::TurnWhileHalted; "turns granted while halted")]
-#[test_case(InjectedFault::OldLeaseBegins; "an old permit that begins")]
-#[test_case(InjectedFault::HaltForgotten; "a halted release whose units may begin")]
-#[test_case(InjectedFault::HaltNotKept; "a halt not kept over the loss of all processes")]
-#[test_case(InjectedFault::AnyAge; "a begin of any age")]
-#[test_case(InjectedFault::OutOnGrant; "a unit out on its grant alone")]
-#[test_case(InjectedFault::OlderDiskVotes; "an older disk that votes")]
-#[test_case(InjectedFault::SentBeforeSynced; "words out before the disk has them")]
-#[test_case(InjectedFault::BackWhenHeard; "a unit back as soon as it is heard")]
-#[test_case(InjectedFault::EmptyWithoutLost; "a host empty though a lost node holds connections")]
+#[test_case(InjectedFault::GrantWhileHalted; "turns granted while halted")]
+#[test_case(InjectedFault::StaleLeaseBegins; "an old permit that begins")]
+#[test_case(InjectedFault::BeginWhileHalted; "a halted release whose units may begin")]
+#[test_case(InjectedFault::NoHaltAfterRestart; "a halt not kept over the loss of all processes")]
+#[test_case(InjectedFault::StaleBeginRequest; "a begin of any age")]
+#[test_case(InjectedFault::DrainOnGrant; "a unit out on its grant alone")]
+#[test_case(InjectedFault::OutdatedStoreVotes; "an older disk that votes")]
+#[test_case(InjectedFault::SendBeforeDurable; "words out before the disk has them")]
+#[test_case(InjectedFault::ServingWhenHeard; "a unit back as soon as it is heard")]
+#[test_case(InjectedFault::EmptyIgnoresLost; "a host empty though a lost node holds connections")]
 #[test_case(InjectedFault::ListNotCounted; "hosts out by the list that do not count")]
-#[test_case(InjectedFault::HostBackAtOnce; "a host back before all have heard")]
+#[test_case(InjectedFault::HostReturnedEarly; "a host back before all have heard")]
 fn checker_notices_injected_fault(fault: InjectedFault) {
     let scripts = (0..10).filter_map(|seed| {
         let correct = script(fault, seed)?;
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -155,7 +155,7 @@
         leader: Some(unit("b")),
         log_update,
         applied: 41,
-        of_you: Some(DurableMark { voter_slot: 2, stamp: 17 }),
+        receiver_mark: Some(DurableMark { voter_slot: 2, stamp: 17 }),
         founded: true,
         voter_status: VoterStatus::Active(2),
     }
