--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -9,16 +9,16 @@
 use crate::socket::ConnectionId;
 use crate::takeover::ReplicatedCall;
 
-/// How far a call is.
+/// The stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallStage {
-    /// The decisions have it; an attempt may be out.
+    /// The decision logic handles the call; an attempt may be in progress.
     Waiting,
-    /// It was open before the start and returns to the host where it was.
+    /// The client was connected before and returns to its previous host.
     Returning,
-    /// Its connection is open.
+    /// A host has accepted the call; lines are relayed.
     Open,
-    /// The client has ended its side; the host may still send.
+    /// The client has ended its side of the open connection; the host may still send.
     HalfClosed,
 }
 
@@ -32,58 +32,58 @@
     }
 }
 
-/// A call's attempt at one host.
+/// An attempt of a call at one host, or its open connection there.
 pub(crate) struct Attempt {
-    /// Its number within the call.
+    /// Number of the attempt within the call.
     pub number: AttemptNumber,
-    /// Where it goes.
+    /// The host that the attempt goes to.
     pub host: HostId,
     /// The socket to the host.
     pub connection: ConnectionId,
-    /// When its connection was begun.
+    /// When the connection was started.
     pub opened_at: Time,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Time,
-    /// Its intent is replicated, or does not have to be.
+    /// The client's line may be sent: the intent is replicated, or does not have to be.
     pub may_send: bool,
-    /// The client's line has been handed to the socket.
+    /// The client's line has been put into the outbox of the host's socket.
     pub is_line_queued: bool,
     /// The last byte of the line has been sent.
     pub is_line_sent: bool,
 }
 
-/// A call without its final answer, or an open connection.
+/// A call that has no final answer yet, or an open connection.
 pub(crate) struct InFlightCall {
-    /// The client's own id of the connection.
+    /// The id that the client gave to its connection.
     pub client_id: ClientId,
-    /// The client's socket; `None` once the client has gone or has its last words.
+    /// The client's socket; `None` once the client has gone or its last bytes have been queued.
     pub client: Option<ConnectionId>,
-    /// The client's request, as it goes to a host.
+    /// The client's request in the form that is sent to hosts.
     pub line: OpenLine,
-    /// What the decisions know of it.
+    /// The call as the decision logic knows it.
     pub call: Call,
-    /// How far it is.
+    /// The stage of the call.
     pub stage: CallStage,
-    /// The host where it was open before the start, if it was.
+    /// The host that the client was connected to before, if it returns to one.
     pub previous_host: Option<HostId>,
-    /// The attempt that is out, or the open connection.
+    /// The attempt in progress, or the open connection.
     pub attempt: Option<Attempt>,
-    /// Attempts so far, this one among them.
+    /// Number of attempts so far, including the current one.
     pub attempt_count: u16,
-    /// Since when the client waits for a line of the host.
+    /// Since when the client has been waiting for a line from the host.
     pub awaiting_host_since: Option<Time>,
-    /// A [`crate::timers::TimerEvent::HostSilence`] is set for it.
+    /// A [`crate::timers::TimerEvent::HostSilence`] timer is set for this call.
     pub has_silence_timer: bool,
-    /// `BYE` or `MOVE`, if the host has ended the connection with it.
+    /// `BYE` or `MOVE`, if the host has announced the end of the connection with it.
     pub final_message: Option<HostMessage>,
-    /// What its client was told, if it never opened.
+    /// What the client was told, if the connection never opened.
     pub outcome: Option<Outcome>,
-    /// What replicas keep of it, if they do.
+    /// What replicas store about the call, if it is replicated.
     pub replicated: Option<ReplicatedCall>,
 }
 
 impl InFlightCall {
-    /// A call without attempts.
+    /// Creates a call without attempts.
     pub(crate) fn new(
         client_id: ClientId,
         client: ConnectionId,
@@ -110,16 +110,16 @@
     }
 }
 
-/// All calls in flight, with ids that are never used twice.
+/// All in-flight calls, with ids that are never reused.
 #[derive(Default)]
 pub(crate) struct CallTable {
     calls: Slots<InFlightCall>,
-    /// The clients' own ids of these calls.
+    /// The ids that the clients gave to these calls.
     client_ids: FxHashSet<ClientId>,
 }
 
 impl CallTable {
-    /// Adds a call and gives it its id.
+    /// Adds a call and assigns its id.
     pub(crate) fn insert(&mut self, in_flight: InFlightCall) -> CallId {
         self.client_ids.insert(in_flight.client_id);
         let number = self.calls.insert(in_flight);
@@ -130,52 +130,53 @@
         id
     }
 
-    /// Takes the call of this number out, if it is in flight.
+    /// Removes and returns the call with this number, if it is in flight.
     pub(crate) fn remove(&mut self, number: u64) -> Option<InFlightCall> {
         let in_flight = self.calls.remove(number)?;
         self.client_ids.remove(&in_flight.client_id);
         Some(in_flight)
     }
 
-    /// The call of this number, if it is in flight.
+    /// The call with this number, if it is in flight.
     pub(crate) fn get(&self, number: u64) -> Option<&InFlightCall> {
         self.calls.get(number)
     }
 
-    /// The same, to change it.
+    /// Mutable access to the call with this number, if it is in flight.
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut InFlightCall> {
         self.calls.get_mut(number)
     }
 
-    /// Whether a call with this id of the client's own is in flight.
+    /// Whether a call with this client id is in flight.
     pub(crate) fn has_client(&self, id: ClientId) -> bool {
         self.client_ids.contains(&id)
     }
 
-    /// How many calls are in flight.
+    /// The number of in-flight calls.
     pub(crate) fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether none is.
+    /// Whether no call is in flight.
     pub(crate) fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// All calls with their numbers.
+    /// All in-flight calls with their numbers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
         self.calls.iter()
     }
 }
 
-/// The end of an attempt that the decisions have not been told yet.
+/// The end of an attempt, as reported to the decision logic.
 pub(crate) struct AttemptEnd {
-    /// The call that it was for.
+    /// The call that the attempt belonged to.
     pub call: CallId,
-    /// Its number within the call.
+    /// Number of the attempt within the call.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// It answers the call, or the call has had its answer.
+    /// The call needs no further attempt: the host's answer is final, an open connection has ended, or the
+    /// client has gone.
     pub is_final: bool,
 }
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -41,8 +41,8 @@
     pub(crate) fn accept(&mut self) -> bool {
         self.accept_queue.begin_accepting(self.now);
         for _ in 0..MAX_ACCEPTS {
-            if !self.make_room(RESERVED_FOR_ATTEMPTS + 1) {
-                self.accept_later();
+            if !self.free_descriptors(RESERVED_FOR_ATTEMPTS + 1) {
+                self.pause_accepting();
                 return false;
             }
             let Some(listener) = &self.listener else { return true };
@@ -60,7 +60,7 @@
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
                 Err(cause) => {
                     warn!(%cause, "cannot accept");
-                    self.accept_later();
+                    self.pause_accepting();
                     return false;
                 }
             }
@@ -71,7 +71,7 @@
 
     /// The listening socket stays ready while nothing can be accepted, so it is not watched for a moment: the
     /// loop would be busy for nothing.
-    fn accept_later(&mut self) {
+    fn pause_accepting(&mut self) {
         self.accept_queue.waiting_since.get_or_insert(self.now);
         self.watch_for_clients(false);
         self.timers.set(self.now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
@@ -83,7 +83,7 @@
         connection.inbox = inbox;
         let id = self.add_connection(connection, SocketRole::Client(None))?;
         self.timers.set(self.now + FIRST_LINE_TIMEOUT, TimerEvent::FirstLineTimeout(id));
-        self.note_idle(id);
+        self.mark_idle(id);
         Some(id)
     }
 }
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -56,7 +56,7 @@
         let is_short = self.descriptors() + 2 * RESERVED_DESCRIPTORS > self.config.descriptors;
         let linger = if is_short { SHORT_LINGER } else { LINGER };
         self.timers.set(self.now + linger, TimerEvent::ClosingTimeout(id));
-        self.note_idle(id);
+        self.mark_idle(id);
         self.flush_connection(id);
     }
 
@@ -111,7 +111,7 @@
     /// The client's end may lie in the socket behind its line, unread while the node was slow, the client not
     /// accepted or its call waiting, and hosts would work for nobody. A client that has sent more did not
     /// wait for its answer.
-    pub(crate) fn client_waits(&mut self, call: CallId) -> bool {
+    pub(crate) fn is_client_waiting(&mut self, call: CallId) -> bool {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return false };
         let Some(client) = in_flight.client else { return false };
         let socket = self.sockets.get(client.0);
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -2,7 +2,7 @@
 
 use glendeck::domain::Time;
 
-use super::{FIRST_LINE_TIMEOUT, MIN_IDLE, RESERVED_DESCRIPTORS, RESERVED_FOR_ATTEMPTS};
+use super::{FIRST_LINE_TIMEOUT, MIN_IDLE_TIME, RESERVED_DESCRIPTORS, RESERVED_FOR_ATTEMPTS};
 use crate::connection::PeerState;
 use crate::lifecycle::Phase;
 use crate::reactor::Flags;
@@ -14,11 +14,11 @@
     ///
     /// Connections by the hundred that say nothing, or send `PING` and stay, or linger after their answer,
     /// would otherwise take every descriptor while usual clients wait to be accepted.
-    pub(super) fn make_room(&mut self, count: usize) -> bool {
+    pub(super) fn free_descriptors(&mut self, count: usize) -> bool {
         while self.descriptors() + count > self.config.descriptors {
             let Some((since, id)) = self.idle.front().copied() else { return false };
             if self.is_idle(since, id) {
-                if self.now.since(since) < MIN_IDLE {
+                if self.now.since(since) < MIN_IDLE_TIME {
                     return false;
                 }
                 if !self.sockets.get(id.0).is_some_and(is_still_needed) {
@@ -31,7 +31,7 @@
     }
 
     /// Notes that a connection is of no use to a call from now on.
-    pub(super) fn note_idle(&mut self, id: ConnectionId) {
+    pub(super) fn mark_idle(&mut self, id: ConnectionId) {
         // Entries of connections that are not idle any more leave the queue only at its front, so that one
         // that stays would keep all of them.
         if self.idle.len() > 2 * self.config.descriptors {
@@ -55,13 +55,13 @@
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
         if is_unopened && self.now.since(socket.quiet_since) >= FIRST_LINE_TIMEOUT {
-            self.end_idle(id);
+            self.close_idle(id);
         }
     }
 
     /// Ends a connection that has opened nothing. Its line may have come in this very moment, so it is read
     /// first: whoever opens gets an answer.
-    pub(crate) fn end_idle(&mut self, id: ConnectionId) {
+    pub(crate) fn close_idle(&mut self, id: ConnectionId) {
         self.read_connection(id, Flags::IN);
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
@@ -81,7 +81,7 @@
     /// calls in flight need, and that two descriptors are free now.
     pub(super) fn has_room_for_call(&mut self) -> bool {
         let needed = self.committed_descriptors() + 2 + RESERVED_DESCRIPTORS;
-        needed <= self.config.descriptors && self.make_room(2)
+        needed <= self.config.descriptors && self.free_descriptors(2)
     }
 }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -19,7 +19,7 @@
 
 /// Where descriptors are short, a connection of no use to a call stays at least this long: usual clients were
 /// seen to speak within 5 ms and to read their last bytes as fast; ten times that for a busy core.
-const MIN_IDLE: Span = Span::ms(50);
+const MIN_IDLE_TIME: Span = Span::ms(50);
 
 /// Descriptors kept free of calls: half for new connections, which may only be told `BUSY`, half for the
 /// attempts of calls that are served, for probes and the endpoint list.
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -3,7 +3,7 @@
 use glendeck::domain::{Call, CallId, Span, Time};
 use tracing::debug;
 
-use super::{FIRST_LINE_TIMEOUT, MIN_IDLE};
+use super::{FIRST_LINE_TIMEOUT, MIN_IDLE_TIME};
 use crate::call::{CallStage, InFlightCall};
 use crate::connection::ReadOutcome;
 use crate::lifecycle::Phase;
@@ -35,7 +35,7 @@
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
         // A client that was accepted late has waited all the while since its connection came.
-        let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE;
+        let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE_TIME;
         let queued_since = socket.queued_since.take().filter(|_| is_fresh);
         match call {
             None => self.handle_first_lines(id, queued_since.unwrap_or(self.now)),
@@ -69,7 +69,7 @@
                     socket.quiet_since = self.now;
                     self.flush_connection(id);
                 }
-                Ok(ClientMessage::Open(request)) => return self.take_call(id, sent_at, request),
+                Ok(ClientMessage::Open(request)) => return self.accept_call(id, sent_at, request),
                 Err(cause) => {
                     debug!(%cause, "client line refused");
                     return self.answer_client(id, Answer::Error);
@@ -78,7 +78,7 @@
         }
     }
 
-    fn take_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
+    fn accept_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
         // Two connections of one id are one call to the hosts, and the owner's would be disturbed.
         if self.calls.has_client(request.id) {
             debug!("client id is in use");
@@ -94,9 +94,10 @@
         }
         let work = self.work_of(&request);
         let must_look_up = work.is_some() && self.is_repeat(&request);
-        let kept = work.map(|work| ReplicatedCall { work_id: work, awaits_lookup: must_look_up, ran: None });
+        let replicated =
+            work.map(|work| ReplicatedCall { work_id: work, awaits_lookup: must_look_up, ran: None });
         let call = new_call(&request, sent_at);
-        let id = self.insert_call(connection, request, call, kept);
+        let id = self.insert_call(connection, request, call, replicated);
         self.place_call(id, must_look_up);
     }
 
@@ -109,12 +110,12 @@
         connection: ConnectionId,
         request: OpenRequest,
         call: Call,
-        kept: Option<ReplicatedCall>,
+        replicated: Option<ReplicatedCall>,
     ) -> CallId {
         let OpenRequest { id: client_id, line, previous_host, .. } = request;
         let stage = if previous_host.is_some() { CallStage::Returning } else { CallStage::Waiting };
         let mut in_flight = InFlightCall::new(client_id, connection, line, call, stage, previous_host);
-        in_flight.replicated = kept;
+        in_flight.replicated = replicated;
         let id = self.calls.insert(in_flight);
         if let Some(socket) = self.sockets.get_mut(connection.0) {
             socket.role = SocketRole::Client(Some(id));
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -9,63 +9,63 @@
 
 use crate::reactor::Flags;
 
-/// Bytes that are read at a time.
+/// Maximum bytes per read.
 pub(crate) const READ_SIZE: usize = 16 << 10;
 
-/// With more unsent bytes than this, whoever fills the outbox is not read.
+/// While an outbox holds more unsent bytes than this, the socket whose data fills it is not read.
 pub(crate) const HIGH_WATER_MARK: usize = 16 << 10;
 
-/// With no more unsent bytes than this, it is read again.
+/// Reading resumes once the outbox holds no more unsent bytes than this.
 pub(crate) const LOW_WATER_MARK: usize = HIGH_WATER_MARK / 2;
 
-/// Enough for a burst of a whole fleet's clients.
+/// Pending connections that the kernel queues: enough for a burst of a whole fleet's clients.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A socket with what has been received and what is still to be sent.
+/// A socket with its receive and send buffers.
 pub(crate) struct Connection {
     /// The socket.
     pub fd: OwnedFd,
-    /// What was received and is not used yet.
+    /// Received bytes that have not been processed yet.
     pub inbox: Vec<u8>,
-    /// What is to be sent; the first `sent` bytes have been.
+    /// Bytes to send; the first `sent` of them have been sent.
     pub outbox: Vec<u8>,
     sent: usize,
-    /// The connection is not established yet.
+    /// The TCP connection is not established yet.
     pub connecting: bool,
-    /// Nothing is read for the moment, as the receiver of its bytes is over its high-water mark.
+    /// Reading is suspended because the outbox that receives these bytes is over its high-water mark.
     pub paused: bool,
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     pub read_ended: bool,
-    /// Sending ends after what is in the outbox.
+    /// The sending side is shut down once the outbox is empty.
     pub shutdown_after_flush: bool,
     write_ended: bool,
-    /// Sending failed, and what was unsent never will be.
+    /// Sending failed; bytes that were still unsent are lost.
     pub broken: bool,
-    /// Bytes that were received while closing and thrown away.
+    /// Number of bytes received and discarded while closing.
     pub discarded: usize,
-    /// What the reactor watches for now.
+    /// The events that the reactor currently watches for.
     pub watched: Flags,
 }
 
-/// What a peer has done since it was last read.
+/// What a peer has done since the last read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerState {
-    /// Nothing.
+    /// The peer has neither sent nor ended anything.
     Quiet,
-    /// It has sent something.
+    /// The peer has sent data.
     HasSent,
-    /// It has ended its side, or reset the connection.
+    /// The peer has shut down its sending side, or the connection has failed.
     Ended,
 }
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// So many bytes are in the buffer.
+    /// This many bytes were read into the buffer.
     Bytes(usize),
-    /// Nothing has come.
+    /// No data is available.
     NothingYet,
-    /// The peer has ended its sending.
+    /// The peer has shut down its sending side.
     End,
 }
 
@@ -73,11 +73,11 @@
 ///
 /// # Errors
 ///
-/// What the system says.
+/// Returns the error of the system call that failed.
 pub(crate) fn listen(address: SocketAddr) -> Result<OwnedFd, Errno> {
     let fd = open_socket(address)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
-    // A successor that cannot be handed this socket binds one of its own beside it.
+    // A successor that cannot receive this socket binds its own socket to the same address.
     let _ = sockopt::set_socket_reuseport(&fd, true);
     net::bind(&fd, &address)?;
     net::listen(&fd, LISTEN_BACKLOG)?;
@@ -90,10 +90,10 @@
 }
 
 impl Connection {
-    /// A socket with empty buffers; `connecting` if it is not established yet.
+    /// Wraps a socket, with empty buffers; `connecting` tells that the connection is not established yet.
     pub(crate) fn new(fd: OwnedFd, connecting: bool) -> Connection {
         let watched = Flags::IN | if connecting { Flags::OUT } else { Flags::empty() };
-        // Lines are short and wanted at once.
+        // Lines are short and must be sent without delay.
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         Connection {
             fd,
@@ -111,11 +111,11 @@
         }
     }
 
-    /// Begins to connect.
+    /// Starts a non-blocking connect.
     ///
     /// # Errors
     ///
-    /// What the system says at once; [`Connection::finish_connect`] tells what comes later.
+    /// Returns an error that occurs immediately; [`Connection::finish_connect`] returns later ones.
     pub(crate) fn connect(address: SocketAddr) -> Result<Connection, Errno> {
         let fd = open_socket(address)?;
         match net::connect(&fd, &address) {
@@ -125,17 +125,17 @@
         }
     }
 
-    /// The attempt to connect is over.
+    /// Completes a connect and checks its result.
     ///
     /// # Errors
     ///
-    /// Why it failed.
+    /// Returns why the connect failed.
     pub(crate) fn finish_connect(&mut self) -> Result<(), Errno> {
         self.connecting = false;
         sockopt::socket_error(&self.fd)?
     }
 
-    /// What the reactor should watch for.
+    /// The events that the reactor should watch for.
     pub(crate) fn wanted(&self) -> Flags {
         let mut flags = Flags::empty();
         flags.set(Flags::IN, !self.paused && !self.read_ended);
@@ -143,26 +143,26 @@
         flags
     }
 
-    /// The bytes that are still to be sent.
+    /// The bytes that have not been sent yet.
     pub(crate) fn unsent_bytes(&self) -> &[u8] {
         &self.outbox[self.sent..]
     }
 
-    /// Whether it is established and nothing has ended or failed on it.
+    /// Whether the connection is established, neither side has been ended and nothing has failed.
     pub(crate) fn is_usable(&self) -> bool {
         !(self.connecting || self.read_ended || self.shutdown_after_flush || self.broken)
     }
 
-    /// How many bytes are still to be sent.
+    /// The number of bytes that have not been sent yet.
     pub(crate) fn unsent(&self) -> usize {
         self.outbox.len() - self.sent
     }
 
-    /// Reads into `buffer`, once.
+    /// Reads once into `buffer`.
     ///
     /// # Errors
     ///
-    /// Why the connection broke.
+    /// Returns why the connection failed.
     pub(crate) fn read(&mut self, buffer: &mut [u8]) -> Result<ReadOutcome, Errno> {
         loop {
             return match net::recv(&self.fd, &mut *buffer, RecvFlags::empty()) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Looks at what the peer has done, without reading.
+    /// Checks what the peer has done, without consuming data.
     pub(crate) fn peer_state(&self) -> PeerState {
         if self.read_ended || self.broken {
             return PeerState::Ended;
@@ -194,12 +194,13 @@
         }
     }
 
-    /// Sends what the socket takes now, and ends sending after the last byte if that is wanted.
+    /// Sends as much as the socket accepts, and shuts down the sending side after the last byte if that was
+    /// requested.
     ///
     /// # Errors
     ///
-    /// Why the connection broke. The outbox is emptied then: what was not sent must not look as if it had
-    /// been, nor be the place from where a later line is counted.
+    /// Returns why the connection failed. The outbox is then cleared, so that neither unsent bytes nor bytes
+    /// appended later are ever counted as sent.
     pub(crate) fn flush(&mut self) -> Result<(), Errno> {
         let flushed = self.send_outbox();
         if flushed.is_err() {
@@ -236,12 +237,12 @@
         Ok(())
     }
 
-    /// Whether both directions have ended.
+    /// Whether both directions have been shut down.
     pub(crate) fn is_over(&self) -> bool {
         self.read_ended && self.write_ended
     }
 
-    /// Makes the close that follows reset the connection instead of ending it.
+    /// Makes the next close reset the connection instead of ending it in order.
     pub(crate) fn reset_on_close(&self) {
         let _ = sockopt::set_socket_linger(&self.fd, Some(Duration::ZERO));
     }
--- a/crates/node/src/endpoint_list/decode.rs
+++ b/crates/node/src/endpoint_list/decode.rs
@@ -56,20 +56,20 @@
     zones: &[String],
 ) -> Result<(Endpoint, Option<SocketAddr>), EndpointListError> {
     let text = |key| entry.get(key).and_then(Value::as_str);
-    let condition = condition(entry).ok_or(EndpointListError::Bad("status"))?;
+    let condition = condition(entry).ok_or(EndpointListError::Invalid("status"))?;
     let address = text("address").and_then(|address| address.parse().ok());
     if address.is_none() && condition != Condition::Gone {
-        return Err(EndpointListError::Bad("address"));
+        return Err(EndpointListError::Invalid("address"));
     }
     // A zone that the settings do not name gets a number that none of theirs has.
     let zone = zones.iter().position(|zone| Some(zone.as_str()) == text("zone")).unwrap_or(zones.len());
-    let since_ms = amount(entry, "since_ms", 0.0)?;
+    let since_ms = non_negative_number(entry, "since_ms", 0.0)?;
     let endpoint = Endpoint {
         host: host_id(text("name").ok_or(EndpointListError::Missing("name"))?),
         zone: Zone(zone as u16),
         cell: Cell(entry.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
         condition,
-        weight: Weight(amount(entry, "weight", 1.0)?),
+        weight: Weight(non_negative_number(entry, "weight", 1.0)?),
         kind: text("type").map(|kind| Kind(hash_name(kind))),
         started_at: Some(Time((since_ms * NANOSECONDS_PER_MILLISECOND) as u64)).filter(|up| up.0 > 0),
     };
@@ -77,7 +77,7 @@
 }
 
 /// A number that is not negative, or `default` where the entry has none.
-fn amount(entry: &Value, key: &'static str, default: f64) -> Result<f64, EndpointListError> {
+fn non_negative_number(entry: &Value, key: &'static str, default: f64) -> Result<f64, EndpointListError> {
     let number = entry.get(key).map_or(Some(default), Value::as_f64);
-    number.filter(|number| *number >= 0.0).ok_or(EndpointListError::Bad(key))
+    number.filter(|number| *number >= 0.0).ok_or(EndpointListError::Invalid(key))
 }
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -20,7 +20,7 @@
     Missing(&'static str),
     /// A part is not of its form.
     #[error("the list has an unusable {0}")]
-    Bad(&'static str),
+    Invalid(&'static str),
 }
 
 /// What was told of the hosts: all of them, or what changed.
@@ -42,7 +42,7 @@
     /// The version that is known.
     index: Option<u64>,
     /// Its service has answered since the start.
-    pub heard: bool,
+    pub has_answered: bool,
     /// The connection of the watch. Without one, it is opened when the decisions say so.
     watch: Option<ConnectionId>,
     /// The watch fell silent and was opened anew, and nothing has come since.
@@ -50,7 +50,7 @@
     /// The decisions know that the watch stands.
     is_established: bool,
     /// The part of an answer that has come.
-    arriving: ResponseReader,
+    response_reader: ResponseReader,
 }
 
 impl EndpointListClient {
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -25,9 +25,9 @@
 /// How long a watch may wait: what the others leave of the bound. A request that comes at once after an
 /// answer goes on with the watch and costs the service little; after a pause it would be a new one, and
 /// hundreds of these are more than it bears.
-const WATCH_WAIT: Span = Span::ms(1_200);
+const MAX_WATCH_WAIT: Span = Span::ms(1_200);
 
-/// Each watch waits a random part of [`WATCH_WAIT`], at least this: nodes whose watches end with one change
+/// Each watch waits a random part of [`MAX_WATCH_WAIT`], at least this: nodes whose watches end with one change
 /// would otherwise ask in step from then on.
 const MIN_WATCH_FRACTION: f64 = 0.6;
 
@@ -39,14 +39,14 @@
 const REQUEST_TIMEOUT: Span = Span::ms(3_200);
 
 /// Left for the loop and the network; the grace that settings give comes on top.
-const MAX_PROCESSING: Span = Span::ms(500);
+const MAX_PROCESSING_TIME: Span = Span::ms(500);
 
 const _: () =
-    assert!(WATCH_WAIT.0 + WATCH_TIMEOUT.0 + REQUEST_TIMEOUT.0 + MAX_PROCESSING.0 <= MAX_LIST_AGE.0);
+    assert!(MAX_WATCH_WAIT.0 + WATCH_TIMEOUT.0 + REQUEST_TIMEOUT.0 + MAX_PROCESSING_TIME.0 <= MAX_LIST_AGE.0);
 
 impl Service {
     /// Takes in the list as it was known before the start; it may be old.
-    pub(crate) fn remember_list(&mut self, known: EndpointListUpdate) {
+    pub(crate) fn apply_cached_list(&mut self, known: EndpointListUpdate) {
         self.hosts.apply(&known);
         let now = self.now;
         self.with_node(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.endpoints, port));
@@ -76,7 +76,7 @@
     }
 
     fn open_list_connection(&mut self, wait: Span) -> Option<ConnectionId> {
-        self.list.arriving = ResponseReader::default();
+        self.list.response_reader = ResponseReader::default();
         match Connection::connect(self.config.discovery) {
             Ok(connection) => {
                 let id = self.add_connection(connection, SocketRole::EndpointList(self.now))?;
@@ -116,7 +116,7 @@
         }
         warn!("discovery does not answer");
         if std::mem::replace(&mut self.list.is_reopened, true) {
-            return self.list_lost(id);
+            return self.list_request_failed(id);
         }
         self.close_connection(id);
         self.list.watch = None;
@@ -124,15 +124,15 @@
     }
 
     /// The one way in which a request fails: refused, broken, unreadable or never answered.
-    pub(crate) fn list_lost(&mut self, id: ConnectionId) {
+    pub(crate) fn list_request_failed(&mut self, id: ConnectionId) {
         self.close_connection(id);
         self.list.watch = None;
         self.list.is_established = false;
         self.fleet_lost_list();
-        self.report_lost_watch();
+        self.report_watch_failure();
     }
 
-    fn report_lost_watch(&mut self) {
+    fn report_watch_failure(&mut self) {
         let now = self.now;
         self.with_node(|node, port| node.watch_failed(now, port));
     }
@@ -149,30 +149,30 @@
             ReadOutcome::End => true,
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
-        let reply = match self.list.arriving.read(&mut socket.connection.inbox, has_ended) {
+        let reply = match self.list.response_reader.read(&mut socket.connection.inbox, has_ended) {
             Ok(Some(reply)) if reply.status == STATUS_OK => reply,
             Ok(None) => return,
             Ok(Some(reply)) => {
                 debug!(status = reply.status, "endpoint list request failed");
-                return self.list_lost(id);
+                return self.list_request_failed(id);
             }
             Err(cause) => {
                 debug!(?cause, "endpoint list request failed");
-                return self.list_lost(id);
+                return self.list_request_failed(id);
             }
         };
         match self.decode_list(&reply.body) {
             Ok(update) => self.handle_list(id, update, reply.keeps_open && !has_ended),
             Err(cause) => {
                 warn!(%cause, "endpoint list unreadable");
-                self.list_lost(id);
+                self.list_request_failed(id);
             }
         }
     }
 
     /// Reads an answer, and hands it to the fleet as it came.
     fn decode_list(&mut self, body: &[u8]) -> Result<EndpointListUpdate, EndpointListError> {
-        let json = serde_json::from_slice(body).map_err(|_| EndpointListError::Bad("JSON text"))?;
+        let json = serde_json::from_slice(body).map_err(|_| EndpointListError::Invalid("JSON text"))?;
         let update = decode(&json, &self.config.zones)?;
         self.tell_fleet_hosts(&update, &json);
         Ok(update)
@@ -188,7 +188,7 @@
         let newer_index = self.list.index.filter(|known| !is_complete && update.index < *known);
         self.list.index = newer_index.or(Some(update.index));
         let fraction = MIN_WATCH_FRACTION + (1.0 - MIN_WATCH_FRACTION) * self.random_fraction();
-        let wait = WATCH_WAIT.times(fraction);
+        let wait = MAX_WATCH_WAIT.times(fraction);
         if can_reuse {
             self.request_list(id, wait);
         } else {
@@ -202,7 +202,7 @@
         self.apply_list(update);
         if self.list.watch.is_none() {
             self.list.is_established = false;
-            self.report_lost_watch();
+            self.report_watch_failure();
         }
     }
 
@@ -215,7 +215,7 @@
             "endpoint list received"
         );
         let draining = self.hosts.apply(&update);
-        self.list.heard = true;
+        self.list.has_answered = true;
         let endpoints: Vec<Endpoint> =
             update.endpoints.iter().map(|endpoint| self.hosts.effective(endpoint)).collect();
         // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and
--- a/crates/node/src/hash.rs
+++ b/crates/node/src/hash.rs
@@ -1,11 +1,11 @@
-//! The hash by which nodes number names, the same at every node and in every release.
+//! The hash that turns names into numbers; it is the same at every node and in every release.
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The number of a host, subject, group or kind by its name.
+/// The number that stands for the name of a host, subject, group or kind.
 ///
-/// Names are compared by nothing else, so two different names must not get the same number by chance.
+/// Names are compared by this number only, so it must be wide enough that two names never collide.
 pub(crate) fn hash_name(name: &str) -> u64 {
     hash_bytes(name.bytes())
 }
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -12,7 +12,7 @@
 use crate::timers::TimerEvent;
 
 /// A call that returns to its host is tried again after this where the host could not be reached.
-const RETURN_RETRY: Span = Span::ms(250);
+const RETURN_RETRY_DELAY: Span = Span::ms(250);
 
 impl Service {
     /// Opens the connection of an attempt that times out after `within`. What becomes of it is told later.
@@ -25,7 +25,7 @@
         let number = AttemptNumber(in_flight.attempt_count);
         in_flight.attempt_count += 1;
         let end = |outcome, is_final| AttemptEnd { call: id, attempt: number, outcome, is_final };
-        if !self.client_waits(id) {
+        if !self.is_client_waiting(id) {
             return Err(end(AttemptOutcome::NeverSent, true));
         }
         let connection =
@@ -75,7 +75,7 @@
             // A connection that comes up late, or an intent that is replicated late, would send a new call to
             // a host that has begun to drain meanwhile. A call that was open there before belongs there.
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
-            if is_host_closed || !self.client_waits(call) {
+            if is_host_closed || !self.is_client_waiting(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
                 return self.deliver_reports();
             }
@@ -154,8 +154,8 @@
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = in_flight.attempt.take() else { return };
         let may_have_run = attempt.is_line_queued && !outcome.never_ran();
-        if let Some(kept) = in_flight.replicated.as_mut().filter(|_| may_have_run) {
-            kept.ran.get_or_insert((attempt.host, attempt.opened_at));
+        if let Some(replicated) = in_flight.replicated.as_mut().filter(|_| may_have_run) {
+            replicated.ran.get_or_insert((attempt.host, attempt.opened_at));
         }
         let number = attempt.number.0;
         debug!(call_id = id.0, attempt = number, host_id = attempt.host.0, ?outcome, "attempt ended");
@@ -178,8 +178,8 @@
         let Some(in_flight) = self.calls.get(id.0) else { return };
         if !outcome.never_ran() {
             self.answer_call(id, Answer::Error);
-        } else if in_flight.call.deadline > self.now + RETURN_RETRY {
-            self.timers.set(self.now + RETURN_RETRY, TimerEvent::RetryReturn(id));
+        } else if in_flight.call.deadline > self.now + RETURN_RETRY_DELAY {
+            self.timers.set(self.now + RETURN_RETRY_DELAY, TimerEvent::RetryReturn(id));
         } else {
             self.answer_call(id, Answer::Busy(None));
         }
@@ -199,7 +199,7 @@
         };
         let host = *host;
         let time_left = call.deadline.since(self.now);
-        if !self.client_waits(id) {
+        if !self.is_client_waiting(id) {
             self.forget_call(id);
             return;
         }
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -103,10 +103,10 @@
         };
         let is_returning = in_flight.stage == CallStage::Returning;
         in_flight.stage = CallStage::Open;
-        if let Some(mut kept) = in_flight.replicated.take() {
+        if let Some(mut replicated) = in_flight.replicated.take() {
             // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
-            kept.ran.get_or_insert((attempt.host, attempt.opened_at));
-            self.replicated_call_ended(call, Some(&kept));
+            replicated.ran.get_or_insert((attempt.host, attempt.opened_at));
+            self.replicated_call_ended(call, Some(&replicated));
         }
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let Some(attempt) = &in_flight.attempt else { return };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! One node: the decisions of `glendeck` on real sockets.
+//! A balancer node: runs the decision logic of the `glendeck` crate on real sockets.
 //!
-//! [`run`] is the whole program. It is a library so that the cluster harness can run it on a [`InjectedFaults`] with
-//! injected faults. `service` has the event loop; `clients`, `hosts`, `endpoint_list`, `handover`, `peers`
-//! and `admin` each deal with one kind of peer.
+//! [`run`] is the whole program. It is a library so that the cluster harness can run it with
+//! [`InjectedFaults`]. `service` contains the event loop; `clients`, `hosts`, `endpoint_list`, `handover`,
+//! `peers` and `admin` each handle one kind of remote side.
 
 mod admin;
 mod call;
@@ -33,29 +33,29 @@
 use service::{Service, ServiceError};
 use tracing::error;
 
-/// Why the program fails.
+/// Why the program cannot start or stops with an error.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
-    #[error("bad configuration: {0}")]
+    #[error("invalid configuration: {0}")]
     Config(#[from] config::ConfigError),
     #[error(transparent)]
     Service(#[from] ServiceError),
 }
 
-/// Injected faults of the machine under a node; by default there are none.
+/// Faults injected into the machine that a node runs on; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct InjectedFaults {
-    /// Faults of the store's disk.
+    /// Faults of the disk that holds the fleet store.
     pub disk: Option<Arc<dyn glendeck_store::DiskFaults>>,
-    /// How far its wall clock is ahead, in seconds.
+    /// How far the node's wall clock is ahead of the system's, in seconds.
     pub clock_ahead_s: i64,
 }
 
-/// Starts a node that is configured by the environment, and serves until it is told to end.
+/// Starts a node with the configuration that the environment names, and serves until SIGTERM.
 ///
-/// The exit code says whether it could start and serve; what went wrong is logged.
-pub fn run(machine: InjectedFaults) -> ExitCode {
-    match serve(machine) {
+/// The exit code tells whether the node started and served without an error; errors are logged.
+pub fn run(faults: InjectedFaults) -> ExitCode {
+    match serve(faults) {
         Ok(()) => ExitCode::SUCCESS,
         Err(cause) => {
             error!("{cause}");
@@ -64,13 +64,13 @@
     }
 }
 
-fn serve(machine: InjectedFaults) -> Result<(), RunError> {
+fn serve(faults: InjectedFaults) -> Result<(), RunError> {
     let level = config::log_level();
     let shown = *level.as_ref().unwrap_or(&tracing::level_filters::LevelFilter::INFO);
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(shown).init();
-    // A bad level is reported too, at the default level.
+    // An invalid log level is itself logged as an error, at the default level.
     level?;
-    let mut service = Service::start(config::from_environment()?, machine)?;
+    let mut service = Service::start(config::from_environment()?, faults)?;
     service.run()?;
     Ok(())
 }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,28 +1,29 @@
-//! The phases of a node's process, from its start to its exit.
+//! The phases of a node process, from its start to its exit.
 
 use glendeck::domain::Time;
 
-/// How far the process is.
+/// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It listens, but knows no host yet.
+    /// The node listens, but is not ready to serve yet: it knows no ready host, or still waits for something.
     Starting,
-    /// It takes clients.
+    /// The node accepts and serves clients.
     Serving,
-    /// Operators want it empty: it serves what the front still sends and migrates its clients, but stays.
+    /// Operators are draining the node: it serves what the front-end balancer still sends and migrates its
+    /// clients, but keeps running.
     Draining {
-        /// When it was told to drain.
+        /// When the drain started.
         since: Time,
     },
-    /// Its successor takes the clients; it serves those that it has until it is told to end.
+    /// The successor accepts new clients; this process serves its remaining ones until SIGTERM.
     Replaced,
-    /// It was told to end: clients are migrated until then.
+    /// The node was told to exit and migrates its clients until `until`.
     Leaving {
-        /// When it ends what is left.
+        /// When the remaining calls are ended.
         until: Time,
     },
-    /// All calls have been answered and the last bytes are sent.
+    /// All calls have been answered and the last bytes are being sent.
     Flushing,
-    /// It exits.
+    /// The process exits.
     Left,
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The node's program.
+//! The `glendeck-node` program.
 
 fn main() -> std::process::ExitCode {
     glendeck_node::run(glendeck_node::InjectedFaults::default())
--- a/crates/node/src/reactor.rs
+++ b/crates/node/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The kernel's epoll: which sockets are ready.
+//! The reactor: waits with epoll for sockets to become ready.
 
 use std::os::fd::{AsFd, OwnedFd};
 
@@ -8,75 +8,75 @@
 
 pub(crate) use epoll::EventFlags as Flags;
 
-// What is watched beside the sockets of the table, by numbers that the table never gives.
+// Event numbers of descriptors outside the socket table; the table never assigns these numbers.
 
-/// Where clients connect.
+/// The listening socket for clients.
 pub(crate) const LISTENER: u64 = u64::MAX;
-/// SIGTERM has come.
+/// The stream that becomes readable on SIGTERM.
 pub(crate) const SIGNALS: u64 = u64::MAX - 1;
-/// SIGHUP has come.
+/// The stream that becomes readable on SIGHUP.
 pub(crate) const RELOADS: u64 = u64::MAX - 2;
-/// Where callers of the admin interface connect.
+/// The listening socket of the admin interface.
 pub(crate) const ADMIN: u64 = u64::MAX - 3;
-/// Where a successor connects.
+/// The Unix socket on which a successor connects.
 pub(crate) const SUCCESSORS: u64 = u64::MAX - 4;
-/// Where other nodes of the fleet connect.
+/// The listening socket for other nodes of the fleet.
 pub(crate) const PEERS: u64 = u64::MAX - 5;
-/// The fleet's store has something to say.
+/// The descriptor that becomes readable when the fleet store's thread has a result.
 pub(crate) const STORE: u64 = u64::MAX - 6;
 
-/// Events taken at once; more are taken in the next turn. As many as a process usually has descriptors, so
-/// that admin requests are among them however many clients are ready.
+/// Maximum events per wait; more are returned by the next wait. This is as many as a process usually has
+/// descriptors, so that admin requests are among the events even if all clients are ready.
 const MAX_EVENTS: usize = 1024;
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 
-/// An epoll instance with the events of the last wait.
+/// An epoll instance and the events of the last wait.
 pub(crate) struct Reactor {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
 }
 
 impl Reactor {
-    /// Watches nothing yet.
+    /// Creates an epoll instance that watches nothing.
     ///
     /// # Errors
     ///
-    /// What epoll says.
+    /// Returns the error of epoll.
     pub(crate) fn new() -> Result<Reactor, Errno> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Reactor { epoll, events: Vec::with_capacity(MAX_EVENTS) })
     }
 
-    /// Watches a descriptor; its events carry `number`.
+    /// Starts watching a descriptor; its events carry `number`.
     ///
     /// # Errors
     ///
-    /// What epoll says.
+    /// Returns the error of epoll.
     pub(crate) fn add(&self, fd: impl AsFd, number: u64, flags: Flags) -> Result<(), Errno> {
         epoll::add(&self.epoll, fd, epoll::EventData::new_u64(number), flags)
     }
 
     /// Stops watching a descriptor whose socket another process holds too. Epoll watches the open socket, not
-    /// this process's descriptor of it: without this its events would go on after the close here.
+    /// this process's descriptor: without this call, events would continue after it is closed here.
     pub(crate) fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
     }
 
-    /// Watches a descriptor for something else.
+    /// Changes the events that a descriptor is watched for.
     ///
     /// # Errors
     ///
-    /// What epoll says.
+    /// Returns the error of epoll.
     pub(crate) fn change(&self, fd: impl AsFd, number: u64, flags: Flags) -> Result<(), Errno> {
         epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(number), flags)
     }
 
-    /// Waits for events, no longer than `timeout`, and returns how many came.
+    /// Waits for events for at most `timeout`, and returns their number.
     ///
     /// # Errors
     ///
-    /// What epoll says; an interrupted wait brings no events and is no error.
+    /// Returns the error of epoll; an interrupted wait returns 0 events instead of an error.
     pub(crate) fn wait(&mut self, timeout: Option<Span>) -> Result<usize, Errno> {
         let timeout = timeout.map(|span| Timespec {
             tv_sec: (span.0 / NANOSECONDS_PER_SECOND) as i64,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The number and the flags of an event of the last wait.
+    /// The descriptor's number and the flags of an event of the last wait.
     pub(crate) fn event(&self, index: usize) -> Option<(u64, Flags)> {
         self.events.get(index).map(|event| (event.data.u64(), event.flags))
     }
--- a/crates/node/src/service/drain.rs
+++ b/crates/node/src/service/drain.rs
@@ -9,13 +9,13 @@
 use crate::timers::TimerEvent;
 
 /// After a call to drain the front asks within 0.1 s and sends new clients for 0.2 s more.
-pub(super) const CLIENTS_STILL_COME: Span = Span::ms(350);
+pub(super) const NEW_CLIENTS_AFTER_DRAIN: Span = Span::ms(350);
 
 /// Clients that are connected when the front stops are sent away by now, each at its own moment.
-const CONNECTED_GONE: Span = Span::ms(3_000);
+const CONNECTED_MIGRATION_TIME: Span = Span::ms(3_000);
 
 /// Clients whose calls waited are sent away by now; operators look at a drained node after 4 s.
-pub(super) const ALL_GONE: Span = Span::ms(3_600);
+pub(super) const DRAIN_TIME: Span = Span::ms(3_600);
 
 impl Service {
     /// Begins to drain, and says whether the node does. Told again, it goes on as it was.
@@ -24,8 +24,8 @@
             info!(calls = self.calls.len(), "draining");
             self.phase = Phase::Draining { since: self.now };
             self.drain_number += 1;
-            self.timers.set(self.now + CLIENTS_STILL_COME, TimerEvent::DrainStart(self.drain_number));
-            self.timers.set(self.now + ALL_GONE, TimerEvent::DrainEnd(self.drain_number));
+            self.timers.set(self.now + NEW_CLIENTS_AFTER_DRAIN, TimerEvent::DrainStart(self.drain_number));
+            self.timers.set(self.now + DRAIN_TIME, TimerEvent::DrainEnd(self.drain_number));
         }
         // A replaced process has nothing to drain, and one that leaves sends its clients away anyhow.
         self.phase != Phase::Replaced
@@ -44,7 +44,7 @@
     /// Whether everything that a drain waits for has gone.
     pub(crate) fn is_drained(&self) -> bool {
         let Phase::Draining { since } = self.phase else { return false };
-        self.now >= since + ALL_GONE && self.calls.is_empty()
+        self.now >= since + DRAIN_TIME && self.calls.is_empty()
     }
 
     /// The front sends no more: the clients that are connected go one by one.
@@ -54,7 +54,7 @@
             return;
         }
         let open = self.open_calls();
-        let time_left = (since + CONNECTED_GONE).since(self.now);
+        let time_left = (since + CONNECTED_MIGRATION_TIME).since(self.now);
         for (index, call) in open.iter().enumerate() {
             let due = self.now + time_left.times(index as f64 / open.len() as f64);
             self.timers.set(due, TimerEvent::DrainMigrate(number, *call));
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -3,7 +3,7 @@
 use tracing::{error, info, warn};
 
 use super::Service;
-use super::shutdown::LAST_MIGRATIONS;
+use super::shutdown::LAST_MIGRATIONS_BEFORE_EXIT;
 use crate::config;
 use crate::lifecycle::Phase;
 
@@ -13,7 +13,7 @@
         // What an agent of the node's own has counts as known from the first moment, so its answer is waited
         // for.
         let needs_list = self.handover.has_predecessor() || self.config.list_is_pushed;
-        let awaits_list = needs_list && !self.list.heard && !self.handover.is_list_wait_over;
+        let awaits_list = needs_list && !self.list.has_answered && !self.handover.is_list_wait_over;
         let must_wait = awaits_list || self.waits_for_fleet();
         if self.phase == Phase::Starting && self.hosts.any_ready() && !must_wait {
             self.phase = Phase::Serving;
@@ -30,7 +30,9 @@
     pub(crate) fn takes_clients(&self) -> bool {
         match self.phase {
             Phase::Serving | Phase::Replaced => true,
-            Phase::Leaving { until } => self.handover.is_replaced() && self.now + LAST_MIGRATIONS < until,
+            Phase::Leaving { until } => {
+                self.handover.is_replaced() && self.now + LAST_MIGRATIONS_BEFORE_EXIT < until
+            }
             Phase::Starting | Phase::Draining { .. } | Phase::Flushing | Phase::Left => false,
         }
     }
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -287,7 +287,7 @@
             SocketRole::Client(call) => self.client_ended(id, call, true),
             SocketRole::Host(call) => self.host_lost(call),
             SocketRole::Probe(host) => self.finish_probe(id, host, AttemptOutcome::Unreachable),
-            SocketRole::EndpointList(_) => self.list_lost(id),
+            SocketRole::EndpointList(_) => self.list_request_failed(id),
             SocketRole::Closing => self.close_connection(id),
             SocketRole::Admin => self.drop_caller(id),
             SocketRole::Successor => self.successor_gone(id),
@@ -299,7 +299,9 @@
     fn handle_timer(&mut self, event: TimerEvent) {
         let now = self.now;
         match event {
-            TimerEvent::Decisions(token) => self.with_node(|node, port| node.timer_fired(now, token, port)),
+            TimerEvent::DecisionTimer(token) => {
+                self.with_node(|node, port| node.timer_fired(now, token, port))
+            }
             TimerEvent::ConnectTimeout(call, attempt) => self.connect_timeout(call, attempt),
             TimerEvent::AttemptTimeout(call, attempt) => self.attempt_timeout(call, attempt),
             TimerEvent::RetryReturn(call) => self.return_to_host(call),
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -105,6 +105,6 @@
     }
 
     fn set_timer(&mut self, time: Time, token: TimerToken) {
-        self.timers.set(time, TimerEvent::Decisions(token));
+        self.timers.set(time, TimerEvent::DecisionTimer(token));
     }
 }
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -4,7 +4,7 @@
 use tracing::info;
 
 use super::Service;
-use super::drain::{ALL_GONE, CLIENTS_STILL_COME};
+use super::drain::{DRAIN_TIME, NEW_CLIENTS_AFTER_DRAIN};
 use crate::clients::ACCEPT_RETRY_DELAY;
 use crate::lifecycle::Phase;
 use crate::protocol::Answer;
@@ -12,38 +12,38 @@
 use crate::timers::TimerEvent;
 
 /// The front goes on sending new clients for up to 0.4 s after the node was told to leave.
-const CLIENTS_COME_AFTER_TERM: Span = Span::ms(450);
+const NEW_CLIENTS_AFTER_TERM: Span = Span::ms(450);
 
 /// After this nobody comes, and the listening socket closes. Where the successor listens beside this process,
 /// the kernel would go on dealing connections to both.
-const STOP_ACCEPTING: Span = Span::ms(600);
+const STOP_ACCEPTING_DELAY: Span = Span::ms(600);
 
 /// A drained node exits this long after it stops accepting.
-const EXIT_AFTER_STOP: Span = Span::ms(50);
+const DRAINED_EXIT_DELAY: Span = Span::ms(50);
 
 /// The platform kills no sooner than the longest deadline, 3 s at most, and 0.7 s after that.
 const MAX_DEADLINE_WAIT: Span = Span::ms(3_000);
 
 /// How long the process goes on after the longest deadline.
-const AFTER_DEADLINES: Span = Span::ms(400);
+const TIME_AFTER_DEADLINES: Span = Span::ms(400);
 
 /// Clients that open while the node leaves are migrated within this long.
-const LATE_MIGRATIONS: Span = Span::ms(300);
+const LATE_MIGRATION_TIME: Span = Span::ms(300);
 
 /// Connections go over to the successor within milliseconds; those that have not by then are migrated.
 const HANDOVER_TIME: Span = Span::ms(200);
 
 /// The last clients are migrated this long before the exit, so that their connections can end in order.
-pub(super) const LAST_MIGRATIONS: Span = Span::ms(500);
+pub(super) const LAST_MIGRATIONS_BEFORE_EXIT: Span = Span::ms(500);
 
 /// After its last answers the process waits this long for its clients to end: the platform kills 0.3 s after
 /// the last answers, at the soonest.
-const FLUSH: Span = Span::ms(150);
+const FLUSH_TIME: Span = Span::ms(150);
 
 /// All clients are migrated within this time before the last ones: as much as those of a leaving host get, so
 /// that setups elsewhere are spread. They do not go earlier, as in a rolling restart the node restarted
 /// before this one may not be back yet, and they would have nowhere to go.
-const MIGRATIONS: Span = Span::ms(1_000);
+const MIGRATION_TIME: Span = Span::ms(1_000);
 
 impl Service {
     /// Told to end: sets the time of the exit and spreads the migration of all clients over the time before.
@@ -51,19 +51,19 @@
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
             return;
         }
-        let until = self.now + self.config.longest_guard.min(MAX_DEADLINE_WAIT) + AFTER_DEADLINES;
+        let until = self.now + self.config.longest_guard.min(MAX_DEADLINE_WAIT) + TIME_AFTER_DEADLINES;
         self.phase = Phase::Leaving { until };
         info!(calls = self.calls.len(), "leaving");
         self.timers.set(until, TimerEvent::Exit);
-        self.timers.set(self.now + STOP_ACCEPTING, TimerEvent::StopAccepting);
+        self.timers.set(self.now + STOP_ACCEPTING_DELAY, TimerEvent::StopAccepting);
         let is_replaced = self.handover.is_replaced();
         let first = if is_replaced {
             // The successor serves already, so only what cannot be handed over is migrated, without delay.
             self.now + HANDOVER_TIME
         } else {
-            (until - LAST_MIGRATIONS - MIGRATIONS).max(self.now + CLIENTS_COME_AFTER_TERM)
+            (until - LAST_MIGRATIONS_BEFORE_EXIT - MIGRATION_TIME).max(self.now + NEW_CLIENTS_AFTER_TERM)
         };
-        let time_left = (until - LAST_MIGRATIONS).since(first);
+        let time_left = (until - LAST_MIGRATIONS_BEFORE_EXIT).since(first);
         let calls = self.call_ids();
         for (index, call) in calls.iter().enumerate() {
             let due = first + time_left.times(index as f64 / calls.len() as f64);
@@ -79,7 +79,7 @@
     pub(crate) fn leave_drained(&mut self) {
         self.leave();
         if self.calls.is_empty() {
-            self.timers.set(self.now + STOP_ACCEPTING + EXIT_AFTER_STOP, TimerEvent::Exit);
+            self.timers.set(self.now + STOP_ACCEPTING_DELAY + DRAINED_EXIT_DELAY, TimerEvent::Exit);
         }
     }
 
@@ -101,9 +101,12 @@
     pub(crate) fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
-            Phase::Leaving { until } => (until - LAST_MIGRATIONS - LATE_MIGRATIONS, until - LAST_MIGRATIONS),
-            Phase::Draining { since } if self.now >= since + CLIENTS_STILL_COME => {
-                (self.now, since + ALL_GONE)
+            Phase::Leaving { until } => (
+                until - LAST_MIGRATIONS_BEFORE_EXIT - LATE_MIGRATION_TIME,
+                until - LAST_MIGRATIONS_BEFORE_EXIT,
+            ),
+            Phase::Draining { since } if self.now >= since + NEW_CLIENTS_AFTER_DRAIN => {
+                (self.now, since + DRAIN_TIME)
             }
             _ => return,
         };
@@ -146,9 +149,9 @@
         let unopened: Vec<ConnectionId> = unopened.map(|(number, _)| ConnectionId(number)).collect();
         self.phase = Phase::Flushing;
         for id in unopened {
-            self.end_idle(id);
+            self.close_idle(id);
         }
-        self.timers.set(self.now + FLUSH, TimerEvent::FlushTimeout);
+        self.timers.set(self.now + FLUSH_TIME, TimerEvent::FlushTimeout);
     }
 
     fn answer_before_exit(&mut self, id: CallId) {
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     ///
-    /// What epoll says.
+    /// Returns the error of epoll.
     pub(crate) fn watch_listener(&mut self, fd: impl AsFd, number: u64) -> Result<(), Errno> {
         self.sockets.reactor.add(fd, number, Flags::IN)
     }
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// What epoll says.
+    /// Returns the error of epoll.
     pub(crate) fn watch_successor_socket(&mut self, listener: &UnixListener) -> Result<(), Errno> {
         self.watch_listener(listener, SUCCESSORS)
     }
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -25,7 +25,7 @@
 use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
 use crate::timers::{TimerEvent, Timers};
 
-/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows
+/// An agent on the node's own faults answers within milliseconds, or its service is down and it knows
 /// nothing new.
 const AGENT_TIMEOUT: Span = Span::ms(1_000);
 
@@ -46,7 +46,7 @@
 }
 
 /// What is known before the endpoint list has been heard.
-struct KnownBefore {
+struct InitialState {
     list: Option<EndpointListUpdate>,
     node: Option<PredecessorState>,
 }
@@ -65,19 +65,19 @@
     /// joined.
     pub(crate) fn start(
         mut config: NodeConfig,
-        machine: crate::InjectedFaults,
+        faults: crate::InjectedFaults,
     ) -> Result<Service, ServiceError> {
         let inherited = Inherited::ask(&config);
         let configured_list = config.known.take();
         let (sources, mut predecessor) = open_sources(&config, inherited)?;
-        let mut service = Service::new(config, sources, Clock::start(machine.clock_ahead_s));
+        let mut service = Service::new(config, sources, Clock::start(faults.clock_ahead_s));
         let state = predecessor.as_mut().and_then(|predecessor| predecessor.state.take());
-        service.start_decisions(merge_known(configured_list, state));
+        service.start_decision_logic(merge_initial_state(configured_list, state));
         if let Some(predecessor) = predecessor {
             service.follow_predecessor(predecessor.line);
         }
         service.deliver_reports();
-        service.join_fleet(machine.disk)?;
+        service.join_fleet(faults.disk)?;
         if service.config.list_is_pushed {
             service.timers.set(service.now + AGENT_TIMEOUT, TimerEvent::EndpointListOverdue);
         }
@@ -116,7 +116,7 @@
         }
     }
 
-    fn start_decisions(&mut self, known: KnownBefore) {
+    fn start_decision_logic(&mut self, known: InitialState) {
         // The known list's index stands before the first request, which then asks for what came after it.
         if let Some(list) = &known.list {
             self.list.set_index(list.index);
@@ -125,7 +125,7 @@
         let node = Node::start(settings, self.config.seed, self.now, self);
         self.node = Some(Box::new(node));
         if let Some(list) = known.list {
-            self.remember_list(list);
+            self.apply_cached_list(list);
         }
         if let Some(PredecessorState { snapshot, was_drained }) = known.node {
             self.handover.was_drained = was_drained;
@@ -174,12 +174,12 @@
 }
 
 /// The newer one of the configured list and the predecessor's counts, the predecessor's among equals.
-fn merge_known(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> KnownBefore {
-    let Some(state) = state else { return KnownBefore { list: configured, node: None } };
+fn merge_initial_state(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> InitialState {
+    let Some(state) = state else { return InitialState { list: configured, node: None } };
     let list = match configured {
         Some(configured) if configured.index > state.list.index => configured,
         _ => state.list,
     };
     let node = PredecessorState { snapshot: state.node, was_drained: state.drained };
-    KnownBefore { list: Some(list), node: Some(node) }
+    InitialState { list: Some(list), node: Some(node) }
 }
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -1,17 +1,18 @@
-//! A table of numbered entries whose numbers are never used twice.
+//! A table of numbered entries whose numbers are never reused.
 
 use slab::Slab;
 
-/// 2^20 slots are far more than a process has descriptors; the other 44 bits, the serial, last for centuries.
+/// 2^20 slots are far more than a process has descriptors; the serial in the other 44 bits lasts for
+/// centuries.
 const SLOT_BITS: u32 = 20;
 
 const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
 
-/// Entries by number.
+/// Entries, found by their numbers.
 ///
-/// A number has the entry's slot in its low bits and above that a serial, which rises with every entry: so an
-/// event or a timer of an entry that has gone cannot reach the one that took over its slot, and the lower
-/// number is the older.
+/// A number holds the entry's slot in its low bits and above it a serial, which increases with every entry.
+/// So an event or a timer of a removed entry cannot reach the entry that reuses its slot, and of two numbers
+/// the lower one is the older.
 pub(crate) struct Slots<T> {
     entries: Slab<Entry<T>>,
     last_serial: u64,
@@ -42,35 +43,35 @@
         number
     }
 
-    /// The entry of this number, if it is still there.
+    /// The entry with this number, if it still exists.
     pub(crate) fn get(&self, number: u64) -> Option<&T> {
         let entry = self.entries.get(slot(number))?;
         (entry.number == number).then_some(&entry.value)
     }
 
-    /// The same, to change it.
+    /// Mutable access to the entry with this number, if it still exists.
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut T> {
         let entry = self.entries.get_mut(slot(number))?;
         (entry.number == number).then_some(&mut entry.value)
     }
 
-    /// Takes the entry of this number out, if it is still there.
+    /// Removes and returns the entry with this number, if it still exists.
     pub(crate) fn remove(&mut self, number: u64) -> Option<T> {
         self.get(number)?;
         Some(self.entries.remove(slot(number)).value)
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All entries with their numbers, by slot.
+    /// All entries with their numbers, in the order of their slots.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
         self.entries.iter().map(|(_, entry)| (entry.number, &entry.value))
     }
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,31 +1,31 @@
-//! The sockets in a node's table: their ids and what each is for.
+//! Entries of a node's socket table: their ids and roles.
 
 use glendeck::domain::{CallId, HostId, Time};
 
 use crate::connection::Connection;
 
-/// A socket's number in the table, never used twice.
+/// The number of a socket in the table; it is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(pub u64);
 
-/// What a socket is for.
+/// What a socket is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketRole {
-    /// A client, and its call once it has asked for one.
+    /// A client's connection, with its call once the client has requested one.
     Client(Option<CallId>),
     /// A call's attempt at a host, or its open connection there.
     Host(CallId),
     /// A probe of a host.
     Probe(HostId),
-    /// A request for the endpoint list, with the time by which its answer is given up.
+    /// The connection for endpoint list requests, with the deadline of the current request.
     EndpointList(Time),
-    /// The last bytes are sent and the peer's end is awaited.
+    /// The last bytes are being sent, and the connection stays until the peer ends it.
     Closing,
-    /// A caller of the admin interface.
+    /// A client of the admin interface.
     Admin,
-    /// The process that takes over from this one.
+    /// The node process that takes over from this one.
     Successor,
-    /// The process that this one takes over from.
+    /// The node process that this one takes over from.
     Predecessor,
     /// Another node of the fleet.
     Peer,
@@ -33,14 +33,14 @@
 
 /// A socket in the table.
 pub(crate) struct SocketEntry {
-    /// The socket itself with its buffers.
+    /// The socket with its buffers.
     pub connection: Connection,
-    /// What it is for.
+    /// What the socket is used for.
     pub role: SocketRole,
-    /// When it was opened, or last sent `PING`.
+    /// When the socket was opened, or when its peer last sent `PING`.
     pub quiet_since: Time,
-    /// Since when it is of no use to a call: it has opened none yet, or it is closing.
+    /// Since when the socket has served no call: its client has not opened one yet, or it is closing.
     pub idle_since: Time,
-    /// If it was not accepted at once: since when its first line may have lain unread.
+    /// If the connection was not accepted at once: since when its first line may have been waiting.
     pub queued_since: Option<Time>,
 }
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -1,4 +1,4 @@
-//! Everything that falls due at some time, in one ordered structure.
+//! All timers of the node, in one queue ordered by time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,66 +7,67 @@
 
 use crate::socket::ConnectionId;
 
-/// What a timer that falls due stands for.
+/// What happens when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
-    /// A timer of the decisions.
-    Decisions(TimerToken),
-    /// The connection of an attempt should be open by now.
+    /// A timer set by the decision logic.
+    DecisionTimer(TimerToken),
+    /// The connection of an attempt may have passed the limit for connecting.
     ConnectTimeout(CallId, AttemptNumber),
-    /// The attempt should have an answer by now.
+    /// An attempt may have passed its deadline.
     AttemptTimeout(CallId, AttemptNumber),
-    /// A call returns to the host where it was before and is tried there again.
+    /// A returning call is tried again at its previous host.
     RetryReturn(CallId),
-    /// The host should have sent something since the client last spoke.
+    /// The host may have sent nothing for too long since the client sent a line.
     HostSilence(CallId),
-    /// The client has ended its side and the host should have ended its own by now.
+    /// The host may not have ended its side in time after the client had ended its own.
     HalfClosedTimeout(CallId),
-    /// An open connection is ended and its client connects anew.
+    /// Ends an open connection; its client reconnects.
     Migrate(CallId),
-    /// The drain of this number sends away the clients that are connected.
+    /// The drain with this number starts to migrate the connected clients.
     DrainStart(u32),
-    /// The same as [`TimerEvent::Migrate`], as long as the drain of this number lasts.
+    /// The same as [`TimerEvent::Migrate`], but only while the drain with this number lasts.
     DrainMigrate(u32, CallId),
-    /// The drain of this number sends away whoever is still connected.
+    /// The drain with this number migrates all clients that are still connected.
     DrainEnd(u32),
-    /// An admin request should be over by now.
+    /// Time limit of an admin connection.
     AdminTimeout(ConnectionId),
-    /// A probe should have its answer by now.
+    /// Time limit of a probe.
     ProbeTimeout(ConnectionId),
     /// A request for the endpoint list may have passed its deadline.
     EndpointListTimeout(ConnectionId),
-    /// A client should have sent its first line by now.
+    /// A client may have passed the time limit for its first line.
     FirstLineTimeout(ConnectionId),
-    /// A closing connection is closed whatever its peer does.
+    /// Closes a closing connection even if its peer has not ended it.
     ClosingTimeout(ConnectionId),
-    /// Accepting failed a moment ago and is tried again.
+    /// Accepting is tried again after it failed.
     RetryAccept,
-    /// The endpoint list is not waited for any longer before the node serves.
+    /// The node stops waiting for the endpoint list before it serves.
     EndpointListOverdue,
-    /// The connection to the successor was full and is tried again.
+    /// Sending to the successor is tried again after its socket was full.
     ContinueHandover,
-    /// Replaced and told to end, the process checks whether it has anything left to do.
+    /// A replaced process that was told to exit checks whether it still has connections.
     CheckIdleExit,
-    /// The front has stopped sending clients.
+    /// The front-end balancer has stopped sending clients, so the node stops accepting.
     StopAccepting,
-    /// The fleet's next tick, a tenth of a second after the last one.
+    /// The next tick of the fleet logic, 0.1 s after the last one.
     FleetTick,
-    /// One connection leaves a host that the fleet is draining.
+    /// Migrates one connection from a host that the fleet is draining.
     MigrateFromDraining,
-    /// The process ends all calls and goes.
+    /// The process ends all calls and exits.
     Exit,
-    /// The last answers have had their time to be sent.
+    /// The time for sending the last answers is over.
     FlushTimeout,
 }
 
-/// An ordered set of events with their times.
+/// Timer events, ordered by time.
 ///
-/// Events of the same time come in the order in which they were set. None is removed early: what an event
-/// names has ended by then or is found not to be due, and ids are never used twice.
+/// Events with the same time expire in the order in which they were set. Timers are never cancelled: when an
+/// event expires, its handler finds that its object has ended or that nothing is due. This is safe because
+/// ids are never reused.
 pub(crate) struct Timers<T> {
     heap: BinaryHeap<Reverse<(Time, u64, T)>>,
-    /// How many events were ever set.
+    /// Number of events set so far.
     sequence: u64,
 }
 
@@ -83,7 +84,7 @@
         self.heap.push(Reverse((time, self.sequence, event)));
     }
 
-    /// Takes out the first event that is due.
+    /// Removes and returns the first event that is due.
     pub(crate) fn next_due(&mut self, now: Time) -> Option<T> {
         let Reverse((time, _, _)) = self.heap.peek()?;
         if *time > now {
@@ -92,7 +93,7 @@
         self.heap.pop().map(|Reverse((_, _, event))| event)
     }
 
-    /// How long until the next event is due, if there is one.
+    /// The time until the next event is due, if there is one.
     pub(crate) fn time_until_next(&self, now: Time) -> Option<Span> {
         self.heap.peek().map(|Reverse((time, _, _))| time.since(now))
     }
