--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -13,21 +13,23 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// Connections accepted in one turn of the loop: open ones must not wait for a whole burst.
+/// Maximum connections accepted in one turn of the loop, so that open connections do not wait for a whole
+/// burst.
 const MAX_ACCEPTS: usize = 64;
 
-/// What is known of the listening socket's queue.
+/// What is known about the accept queue of the listening socket.
 #[derive(Default)]
 pub(crate) struct AcceptQueue {
-    /// Since when connections may wait in it.
+    /// Since when connections may have been waiting in the queue.
     waiting_since: Option<Time>,
-    /// When connections were last accepted.
+    /// When the node last tried to accept connections.
     last_accepted: Time,
 }
 
 impl AcceptQueue {
-    /// When the last connection of a queue was accepted no event tells so, and whoever comes next would count
-    /// as having waited since. While connections wait, accepting is tried again within [`ACCEPT_RETRY_DELAY`].
+    /// Forgets an old waiting time. No event tells that a queue has become empty, and the next connection
+    /// would be counted as waiting since then. While connections wait, accepting is tried again within
+    /// [`ACCEPT_RETRY_DELAY`], so a longer pause means that the queue was empty.
     fn begin_accepting(&mut self, now: Time) {
         if now.since(self.last_accepted) > ACCEPT_RETRY_DELAY.times(2.0) {
             self.waiting_since = None;
@@ -37,7 +39,7 @@
 }
 
 impl Service {
-    /// Accepts connections, and says whether the listening socket's queue is empty.
+    /// Accepts connections, and returns whether the accept queue of the listening socket is empty.
     pub(crate) fn accept(&mut self) -> bool {
         self.accept_queue.begin_accepting(self.now);
         for _ in 0..MAX_ACCEPTS {
@@ -59,7 +61,7 @@
                 }
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
                 Err(cause) => {
-                    warn!(%cause, "cannot accept");
+                    warn!(%cause, "cannot accept a client connection");
                     self.pause_accepting();
                     return false;
                 }
@@ -69,15 +71,15 @@
         false
     }
 
-    /// The listening socket stays ready while nothing can be accepted, so it is not watched for a moment: the
-    /// loop would be busy for nothing.
+    /// Stops watching the listening socket until the next try. It stays ready while nothing can be accepted,
+    /// and the loop would spin.
     fn pause_accepting(&mut self) {
         self.accept_queue.waiting_since.get_or_insert(self.now);
         self.watch_for_clients(false);
         self.timers.set(self.now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
     }
 
-    /// Adds a client that has not opened anything, with the bytes that have come from it.
+    /// Adds a client that has not opened a call, with the bytes received from it so far.
     pub(crate) fn add_client(&mut self, fd: OwnedFd, inbox: Vec<u8>) -> Option<ConnectionId> {
         let mut connection = Connection::new(fd, false);
         connection.inbox = inbox;
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, and the end of their connections.
+//! The node's own answers to clients, and the end of client connections.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::debug;
@@ -13,17 +13,20 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// What a closing connection may still send before it is cut off, in bytes: more than clients have under way.
+/// Maximum bytes that the peer of a closing connection may still send before the connection is closed at
+/// once: more than clients have in transit.
 const MAX_DISCARDED: usize = 64 << 10;
 
-/// While a connection ends, its client may still be reading this long.
+/// How long a closing connection stays open so that its client can read the last bytes, and how long the
+/// host may take to end its side once the client has ended its own.
 const LINGER: Span = Span::ms(1_000);
 
-/// The same while descriptors are short: a round trip and a busy core.
+/// How long a closing connection stays open while descriptors are short: enough for a round trip and a busy
+/// core.
 const SHORT_LINGER: Span = Span::ms(100);
 
 impl Service {
-    /// Gives a call the node's own final answer, as no host has given one.
+    /// Ends a call with an answer of the node itself, as no host has given a final one.
     pub(crate) fn answer_call(&mut self, id: CallId, answer: Answer) {
         if let Some(in_flight) = self.calls.get_mut(id.0) {
             let is_busy = matches!(answer, Answer::Busy(_));
@@ -42,9 +45,9 @@
         self.close_with_last_bytes(id, &line);
     }
 
-    /// Ends a connection after `bytes` have been sent. Closing with input unread would reset the connection,
-    /// and the answer could be lost with that: so sending is ended first, and what still comes is read for a
-    /// while.
+    /// Ends a connection after `bytes` have been sent. Closing a socket with unread input resets the
+    /// connection, and the answer could be lost. So the sending side is shut down first, and input is read
+    /// and discarded for a while.
     pub(crate) fn close_with_last_bytes(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.role = SocketRole::Closing;
@@ -52,7 +55,7 @@
         socket.connection.inbox = Vec::new();
         socket.connection.paused = false;
         socket.connection.shutdown_after_flush = true;
-        // Clients that were turned away for want of descriptors hold just these.
+        // Connections of clients that were rejected for lack of descriptors occupy the reserved ones.
         let is_short = self.descriptors() + 2 * RESERVED_DESCRIPTORS > self.config.descriptors;
         let linger = if is_short { SHORT_LINGER } else { LINGER };
         self.timers.set(self.now + linger, TimerEvent::ClosingTimeout(id));
@@ -60,8 +63,8 @@
         self.flush_connection(id);
     }
 
-    /// Closes a closing connection that is over, or whose peer sends on without end, which would keep the
-    /// core busy for as long as it lingers.
+    /// Closes a closing connection once both sides have ended, or once the peer has sent too much: an endless
+    /// sender would keep the core busy for as long as the connection lingers.
     pub(crate) fn closing_progressed(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get(id.0) else { return };
         if socket.connection.is_over() || socket.connection.discarded > MAX_DISCARDED {
@@ -69,7 +72,7 @@
         }
     }
 
-    /// The client has ended its side, or its connection broke.
+    /// Handles a client that has ended its side, or whose connection failed.
     pub(crate) fn client_ended(&mut self, id: ConnectionId, call: Option<CallId>, is_broken: bool) {
         let Some(call) = call else { return self.close_connection(id) };
         let Some(in_flight) = self.calls.get_mut(call.0) else { return self.close_connection(id) };
@@ -106,11 +109,12 @@
         self.sockets.watch(client);
     }
 
-    /// The one check that a call's client is there, made wherever something new would go to a host for it.
+    /// Checks that a call's client is still waiting. This check is made wherever something new would be sent
+    /// to a host for the call.
     ///
-    /// The client's end may lie in the socket behind its line, unread while the node was slow, the client not
-    /// accepted or its call waiting, and hosts would work for nobody. A client that has sent more did not
-    /// wait for its answer.
+    /// The end of the client's side may lie unread in the socket behind its line, because the node was slow,
+    /// the connection was not accepted yet, or the call was waiting; a host would then work for nobody. A
+    /// client that has sent more data did not wait for its answer, and gets an error.
     pub(crate) fn is_client_waiting(&mut self, call: CallId) -> bool {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return false };
         let Some(client) = in_flight.client else { return false };
@@ -119,7 +123,7 @@
         if peer == PeerState::Quiet {
             return true;
         }
-        debug!(call_id = call.0, ?peer, "client does not wait");
+        debug!(call_id = call.0, ?peer, "client ended or sent data while its call was waiting");
         in_flight.client = None;
         match peer {
             PeerState::HasSent => self.answer_client(client, Answer::Error),
@@ -128,7 +132,7 @@
         false
     }
 
-    /// The client of a call that is not open has gone.
+    /// Gives up a call that is not open, as its client has gone.
     pub(super) fn give_up_call(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         if in_flight.stage == CallStage::Returning {
@@ -147,7 +151,7 @@
         }
     }
 
-    /// The host did not end its side in time after the client had: the connection is over all the same.
+    /// Ends a connection whose host did not end its side in time after the client had.
     pub(crate) fn half_closed_timeout(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         if let Some(client) = in_flight.client.take() {
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -1,4 +1,4 @@
-//! Connections of no use to a call, which are closed when descriptors run short.
+//! Idle connections, which serve no call and are closed when descriptors run short.
 
 use glendeck::domain::Time;
 
@@ -10,10 +10,11 @@
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 
 impl Service {
-    /// Closes the longest idle connections until `count` descriptors are free, and says whether they are.
+    /// Closes the connections that have been idle longest until `count` descriptors are free, and returns
+    /// whether they are.
     ///
-    /// Connections by the hundred that say nothing, or send `PING` and stay, or linger after their answer,
-    /// would otherwise take every descriptor while usual clients wait to be accepted.
+    /// Otherwise hundreds of connections that send nothing, stay open after a `PING`, or linger after their
+    /// answer could take every descriptor while well-behaved clients wait to be accepted.
     pub(super) fn free_descriptors(&mut self, count: usize) -> bool {
         while self.descriptors() + count > self.config.descriptors {
             let Some((since, id)) = self.idle.front().copied() else { return false };
@@ -30,10 +31,10 @@
         true
     }
 
-    /// Notes that a connection is of no use to a call from now on.
+    /// Marks a connection as idle from now on.
     pub(super) fn mark_idle(&mut self, id: ConnectionId) {
-        // Entries of connections that are not idle any more leave the queue only at its front, so that one
-        // that stays would keep all of them.
+        // Entries of connections that are no longer idle are removed only at the front of the queue, so one
+        // connection that stays idle would keep all of them.
         if self.idle.len() > 2 * self.config.descriptors {
             let mut idle = std::mem::take(&mut self.idle);
             idle.retain(|(since, id)| self.is_idle(*since, *id));
@@ -50,7 +51,7 @@
         matches!(socket.role, SocketRole::Client(None) | SocketRole::Closing) && socket.idle_since == since
     }
 
-    /// A client has had its time for a first line.
+    /// Closes a client connection whose time limit for the first line has passed.
     pub(crate) fn first_line_timeout(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Ends a connection that has opened nothing. Its line may have come in this very moment, so it is read
-    /// first: whoever opens gets an answer.
+    /// Closes a connection that has opened no call. Its line may have just arrived, so the socket is read
+    /// first: a client that opens a call gets an answer.
     pub(crate) fn close_idle(&mut self, id: ConnectionId) {
         self.read_connection(id, Flags::IN);
         let Some(socket) = self.sockets.get(id.0) else { return };
@@ -71,21 +72,23 @@
         }
     }
 
-    /// Whether a probe may have a descriptor: those for calls and the endpoint list stay free.
+    /// Whether a descriptor is available for a probe; those reserved for calls and the endpoint list stay
+    /// free.
     pub(crate) fn has_room_for_probe(&self) -> bool {
         self.descriptors() + RESERVED_FOR_ATTEMPTS < self.config.descriptors
     }
 
-    /// Whether another call can be served. In a burst, connections that have not asked yet fill the table;
-    /// counted with them, all would be turned away though many could be served. So what counts is what the
-    /// calls in flight need, and that two descriptors are free now.
+    /// Whether another call can be served. In a burst, connections that have not sent a request yet fill the
+    /// table; if they counted, all calls would be rejected although many could be served. So the condition is
+    /// that the in-flight calls leave enough descriptors, and that two are free now.
     pub(super) fn has_room_for_call(&mut self) -> bool {
         let needed = self.committed_descriptors() + 2 + RESERVED_DESCRIPTORS;
         needed <= self.config.descriptors && self.free_descriptors(2)
     }
 }
 
-/// A first line that lies unread is a call already, and an answer that is not sent is owed.
+/// Whether an idle connection must stay: it has an unread first line, which may open a call, or unsent bytes
+/// of an answer.
 fn is_still_needed(socket: &SocketEntry) -> bool {
     let has_request =
         socket.role == SocketRole::Client(None) && socket.connection.peer_state() == PeerState::HasSent;
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,4 +1,5 @@
-//! Clients, as the front deals them out: how connections are accepted, opened, relayed and closed.
+//! Clients, which the front-end balancer distributes over the nodes: accepts their connections, reads their
+//! requests, relays their lines and closes their connections.
 
 mod accept;
 mod closing;
@@ -10,21 +11,22 @@
 
 pub(crate) use accept::AcceptQueue;
 
-/// While accepting fails, the system is asked again after this: soon, but without a busy loop.
+/// Delay before accepting is tried again after a failure: short, but long enough to avoid a busy loop.
 pub(crate) const ACCEPT_RETRY_DELAY: Span = Span::ms(20);
 
-/// A connection that has not opened this long after it came, or after its last `PING`, is no client and holds
-/// a descriptor. Usual clients speak at once; others are owed an error or a close within 3 s.
+/// Time limit for opening a call, from the accept or the last `PING`. A connection that exceeds it is no
+/// client, but holds a descriptor. Well-behaved clients send their line at once; others must get an error or
+/// a close within 3 s.
 const FIRST_LINE_TIMEOUT: Span = Span::ms(2_000);
 
-/// Where descriptors are short, a connection of no use to a call stays at least this long: usual clients were
-/// seen to speak within 5 ms and to read their last bytes as fast; ten times that for a busy core.
+/// Minimum time that an idle connection stays open when descriptors are short. Well-behaved clients send
+/// their line and read their last bytes within 5 ms; this is ten times that, for a busy core.
 const MIN_IDLE_TIME: Span = Span::ms(50);
 
-/// Descriptors kept free of calls: half for new connections, which may only be told `BUSY`, half for the
-/// attempts of calls that are served, for probes and the endpoint list.
+/// Number of descriptors that calls do not use: half are for new connections, which may only be answered with
+/// `BUSY`, half for the attempts of accepted calls, for probes and for the endpoint list.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// Descriptors that stay free for the attempts of calls, probes and the endpoint list when a connection is
-/// accepted.
+/// Number of descriptors that stay free for attempts of calls, probes and the endpoint list when a connection
+/// is accepted.
 const RESERVED_FOR_ATTEMPTS: usize = RESERVED_DESCRIPTORS / 2;
--- a/crates/node/src/clients/relay.rs
+++ b/crates/node/src/clients/relay.rs
@@ -1,4 +1,4 @@
-//! Lines of open connections, from the client to its host.
+//! Relays the lines of open connections from the client to its host.
 
 use glendeck::domain::CallId;
 use tracing::debug;
@@ -10,7 +10,7 @@
 use crate::timers::TimerEvent;
 
 impl Service {
-    /// Hands all complete lines of a client to its host.
+    /// Relays all complete lines of a client to its host.
     pub(super) fn relay_to_host(&mut self, id: ConnectionId, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let Some(socket) = self.sockets.get(id.0) else { return };
@@ -36,9 +36,9 @@
         self.sockets.watch(id);
     }
 
-    /// A client that sends before its connection is open ends its call.
+    /// Ends the call of a client that sends data before its connection is open.
     fn refuse_early_bytes(&mut self, id: ConnectionId, call: CallId) {
-        debug!(call_id = call.0, "client did not wait for its host");
+        debug!(call_id = call.0, "client sent data before its connection was open");
         if let Some(in_flight) = self.calls.get_mut(call.0) {
             in_flight.client = None;
         }
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! What a connection begins with: the front's `PING`, or a client's request for a call.
+//! First lines of connections: `PING` of the front-end balancer, or a client's request for a call.
 
 use glendeck::domain::{Call, CallId, Span, Time};
 use tracing::debug;
@@ -14,18 +14,19 @@
 use crate::takeover::ReplicatedCall;
 use crate::timers::TimerEvent;
 
-/// Kept back of a client's time: the answer's way to it, and what a busy core adds.
+/// Subtracted from a client's waiting time, for sending the answer and for the delay of a busy core.
 const DEADLINE_MARGIN: Span = Span::ms(20);
 
-/// How long a connection from before may take to be up at its host again; then its client is better off anew.
+/// Maximum time for re-establishing a returning connection at its previous host; after that, a new call is
+/// better for the client.
 const MAX_RETURN_TIME: Span = Span::ms(10_000);
 
-/// Clients that are turned away for want of descriptors come back after this at the latest, where clients are
-/// told a time.
+/// Maximum retry delay that is told to clients that are rejected because descriptors are short, if the
+/// settings allow telling a delay at all.
 const MAX_BUSY_RETRY: Span = Span::ms(500);
 
 impl Service {
-    /// A client has sent something, or ended its side.
+    /// Handles data from a client, or the end of its side.
     pub(crate) fn client_read(&mut self, id: ConnectionId, call: Option<CallId>, outcome: ReadOutcome) {
         let count = match outcome {
             ReadOutcome::NothingYet => return,
@@ -34,7 +35,7 @@
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
-        // A client that was accepted late has waited all the while since its connection came.
+        // The waiting time of a client that was accepted late starts when its connection may have arrived.
         let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE_TIME;
         let queued_since = socket.queued_since.take().filter(|_| is_fresh);
         match call {
@@ -55,10 +56,10 @@
                 return;
             };
             let line: Vec<u8> = inbox.drain(..length).collect();
-            // A client waits after its line. One that sends hundreds at once, or goes on before a host has
-            // it, would have hosts work for calls that are then refused.
+            // A client must wait after its line. Hosts would otherwise work for calls that are then refused:
+            // those of clients that send hundreds of lines at once, or more data before a host has the call.
             if !inbox.is_empty() {
-                debug!("client did not wait for its answer");
+                debug!("client sent data before it had an answer to its line");
                 return self.answer_client(id, Answer::Error);
             }
             match ClientMessage::parse(line, &self.config.names) {
@@ -71,7 +72,7 @@
                 }
                 Ok(ClientMessage::Open(request)) => return self.accept_call(id, sent_at, request),
                 Err(cause) => {
-                    debug!(%cause, "client line refused");
+                    debug!(%cause, "invalid client line");
                     return self.answer_client(id, Answer::Error);
                 }
             }
@@ -79,16 +80,17 @@
     }
 
     fn accept_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
-        // Two connections of one id are one call to the hosts, and the owner's would be disturbed.
+        // Hosts identify a call by its client id, so a second connection with the same id would disturb the
+        // first.
         if self.calls.has_client(request.id) {
-            debug!("client id is in use");
+            debug!("client id already has a call in flight");
             self.metrics.count(request.traffic, Outcome::Failure);
             return self.answer_client(connection, Answer::Error);
         }
         let is_leaving = self.is_leaving_without_successor();
         if is_leaving || !self.has_room_for_call() {
             let retry_after = self.config.settings.retry_after.map(|longest| longest.min(MAX_BUSY_RETRY));
-            debug!(is_leaving, "call refused");
+            debug!(is_leaving, "call refused: the node is leaving or short of descriptors");
             self.metrics.count(request.traffic, Outcome::Busy);
             return self.answer_client(connection, Answer::Busy(retry_after));
         }
@@ -133,7 +135,8 @@
         id
     }
 
-    /// Returns the call to its host, looks up what replicas know of it, or has it decided on.
+    /// Returns the call to its previous host, looks up what replicas know about it, or passes it to the
+    /// decision logic.
     fn place_call(&mut self, id: CallId, must_look_up: bool) {
         let Some(in_flight) = self.calls.get(id.0) else { return };
         let call = in_flight.call;
@@ -148,7 +151,7 @@
     }
 }
 
-/// What the decisions are told of a request that came at `sent_at`; its id is set once it has one.
+/// Creates the call for the decision logic from a request sent at `sent_at`; the call table sets its id.
 fn new_call(request: &OpenRequest, sent_at: Time) -> Call {
     let wait = match request.previous_host {
         Some(_) => request.wait.min(MAX_RETURN_TIME),
--- a/crates/node/src/endpoint_list/decode.rs
+++ b/crates/node/src/endpoint_list/decode.rs
@@ -1,4 +1,4 @@
-//! The JSON form of the endpoint list.
+//! Decodes the JSON of the endpoint list.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 
-/// Reads a list; `zones` are the names of the zones in the order of their numbers.
+/// Decodes a list; `zones` holds the zone names in the order of their numbers.
 ///
-/// An entry that cannot be read is passed over, as it must not keep the node from all others.
+/// An invalid entry is skipped, as it must not make all others unusable.
 ///
 /// # Errors
 ///
-/// Fails if the list itself lacks a part.
+/// Fails if the list lacks `index`, `snapshot` or `endpoints`, or one of them has the wrong type.
 pub(crate) fn decode(json: &Value, zones: &[String]) -> Result<EndpointListUpdate, EndpointListError> {
     let index = json.get("index").and_then(Value::as_u64).ok_or(EndpointListError::Missing("index"))?;
     let is_complete =
@@ -40,7 +40,7 @@
     Ok(EndpointListUpdate { index, update, endpoints, addresses })
 }
 
-/// What an entry says of its host, if that can be read.
+/// The condition of an entry's host; `None` if `status` is missing or unknown.
 pub(crate) fn condition(entry: &Value) -> Option<Condition> {
     match entry.get("status").and_then(Value::as_str) {
         Some("in_service") => Some(Condition::Ready),
@@ -50,7 +50,7 @@
     }
 }
 
-/// A host that has gone needs no address.
+/// Decodes one entry. A host that has gone needs no address.
 fn decode_entry(
     entry: &Value,
     zones: &[String],
@@ -61,7 +61,7 @@
     if address.is_none() && condition != Condition::Gone {
         return Err(EndpointListError::Invalid("address"));
     }
-    // A zone that the settings do not name gets a number that none of theirs has.
+    // A zone that the settings do not name gets the first number that no zone of the settings has.
     let zone = zones.iter().position(|zone| Some(zone.as_str()) == text("zone")).unwrap_or(zones.len());
     let since_ms = non_negative_number(entry, "since_ms", 0.0)?;
     let endpoint = Endpoint {
@@ -76,7 +76,7 @@
     Ok((endpoint, address))
 }
 
-/// A number that is not negative, or `default` where the entry has none.
+/// The non-negative number under `key`, or `default` if the entry lacks it.
 fn non_negative_number(entry: &Value, key: &'static str, default: f64) -> Result<f64, EndpointListError> {
     let number = entry.get(key).map_or(Some(default), Value::as_f64);
     number.filter(|number| *number >= 0.0).ok_or(EndpointListError::Invalid(key))
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: its form, and the watch that keeps it up to date.
+//! The endpoint list: its JSON form, and the watch that keeps it up to date.
 
 mod decode;
 mod watch;
@@ -12,72 +12,72 @@
 
 pub(crate) use decode::{condition, decode};
 
-/// Why a list, or an entry of it, cannot be read.
+/// Why a list, or one of its entries, cannot be decoded.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum EndpointListError {
-    /// A part that is always there is absent.
-    #[error("the list lacks {0}")]
+    /// A required key is missing, or its value has the wrong type.
+    #[error("endpoint list: missing or mistyped {0}")]
     Missing(&'static str),
-    /// A part is not of its form.
-    #[error("the list has an unusable {0}")]
+    /// A value cannot be used.
+    #[error("endpoint list: invalid {0}")]
     Invalid(&'static str),
 }
 
-/// What was told of the hosts: all of them, or what changed.
+/// An endpoint list: all hosts, or those that changed.
 #[derive(Debug)]
 pub(crate) struct EndpointListUpdate {
     /// The version of the list.
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether the update is the whole list or a change to it.
     pub update: ListUpdate,
-    /// The hosts' entries.
+    /// The entries of the hosts.
     pub endpoints: Vec<Endpoint>,
-    /// Where they listen; hosts that have gone may have no address.
+    /// The addresses of the hosts; hosts that have gone may have none.
     pub addresses: Vec<(HostId, SocketAddr)>,
 }
 
-/// How far the list is known, and the watch on it.
+/// The state of the watch on the endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointListClient {
-    /// The version that is known.
+    /// The version of the list that the node knows.
     index: Option<u64>,
-    /// Its service has answered since the start.
+    /// Whether the list's service has answered since the start.
     pub has_answered: bool,
-    /// The connection of the watch. Without one, it is opened when the decisions say so.
+    /// The connection of the watch. If there is none, the decision logic decides when to open it.
     watch: Option<ConnectionId>,
-    /// The watch fell silent and was opened anew, and nothing has come since.
+    /// The watch timed out and was reopened, and nothing has been received since.
     is_reopened: bool,
-    /// The decisions know that the watch stands.
+    /// The decision logic has been told that the watch is established.
     is_established: bool,
-    /// The part of an answer that has come.
+    /// Reads the current response as it arrives.
     response_reader: ResponseReader,
 }
 
 impl EndpointListClient {
-    /// The version that is known, if any is.
+    /// The version of the list that the node knows, if any.
     pub(crate) fn index(&self) -> Option<u64> {
         self.index
     }
 
-    /// A version is known from elsewhere.
+    /// Sets the known version, from a list that was not received through this watch.
     pub(crate) fn set_index(&mut self, index: u64) {
         self.index = Some(index);
     }
 }
 
-/// Refused requests are put again after 1.2 s at the latest, which leaves time for three within the bound of
-/// the list's age.
+/// Maximum poll interval told to the decision logic. With it, failed requests are repeated after 1.2 s at the
+/// latest, which leaves time for three within the maximum age of the list.
 const MAX_POLL_INTERVAL: Span = Span::ms(3_000);
 
-/// Where the list is pushed, only the node's own agent is asked, and what it has counts as known at once:
-/// refused requests are put again within a tenth of a second.
+/// Poll interval if the list is pushed. Only the node's own agent is asked then, and its data counts as known
+/// at once, so failed requests are repeated within 0.1 s.
 const PUSHED_POLL_INTERVAL: Span = Span::ms(250);
 
-/// The interval within which the decisions spread first requests and repeat refused ones; `None` if the
-/// settings say that the list is pushed.
+/// The interval within which the decision logic spreads first requests and repeats failed ones; `settings` is
+/// `None` if the settings say that the list is pushed.
 ///
-/// Nothing comes unasked on sockets but what a watch brings, so a watch stands under either mode: a node that
-/// waited for a push would never hear of its hosts.
+/// The node keeps a watch open in both modes: on sockets nothing is pushed without one, and a node that
+/// waited for a push would never learn its hosts.
 pub(crate) fn poll_interval(settings: Option<Span>) -> Span {
     settings.map_or(PUSHED_POLL_INTERVAL, |interval| interval.min(MAX_POLL_INTERVAL))
 }
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list: requests that wait at the list's service until something changes.
+//! The watch on the endpoint list: long-poll requests that wait at the list's service until the list changes.
 
 use glendeck::domain::{Endpoint, ListUpdate, Span};
 use tracing::{debug, warn};
@@ -14,60 +14,64 @@
 
 const STATUS_OK: u16 = 200;
 
-/// A change is known this long after the list's service had it and could be reached, whatever failed
-/// meanwhile.
+/// Maximum time until the node knows a change, counted from when the list's service has it and can be
+/// reached, whatever fails in between.
 ///
-/// This is the one bound on the list's age. A connection that died silently is noticed when its watch should
-/// have ended and was not answered; it is opened anew, and the answer to that may wait in the service's
-/// queue. Longer watches are noticed later, and calls would go to hosts that have drained long before.
+/// This is the only bound on the list's age. A connection that failed silently is detected when its watch
+/// request is not answered in time; it is reopened, and the answer to the new request may wait in the
+/// service's queue. If watches waited longer, such failures would be detected later, and calls would go to
+/// hosts that drained long before.
 const MAX_LIST_AGE: Span = Span::ms(6_000);
 
-/// How long a watch may wait: what the others leave of the bound. A request that comes at once after an
-/// answer goes on with the watch and costs the service little; after a pause it would be a new one, and
-/// hundreds of these are more than it bears.
+/// Maximum time that a watch request waits at the service: what the other limits leave of [`MAX_LIST_AGE`].
+/// A request sent immediately after an answer continues the watch and costs the service little. After a pause
+/// it would start a new watch, and hundreds of new watches overload the service.
 const MAX_WATCH_WAIT: Span = Span::ms(1_200);
 
-/// Each watch waits a random part of [`MAX_WATCH_WAIT`], at least this: nodes whose watches end with one change
-/// would otherwise ask in step from then on.
+/// Each watch request waits for a random fraction of [`MAX_WATCH_WAIT`], at least this one. Otherwise nodes
+/// whose watches end with the same change would send their requests at the same time from then on.
 const MIN_WATCH_FRACTION: f64 = 0.6;
 
-/// A watch whose wait is over is answered at once; after this its connection has fallen silent.
+/// Time limit for the answer after the wait of a watch request. The service answers at once when the wait is
+/// over, so the connection has failed silently if no answer comes by then.
 const WATCH_TIMEOUT: Span = Span::ms(1_000);
 
-/// Answers wait in the service's queue for up to 3 s or fail there; after this nothing will come. A node that
-/// gave up sooner would ask again, the service would have done its work for nobody, and never catch up.
+/// Time limit for a request that does not wait. Requests stay in the service's queue for up to 3 s or fail
+/// there; after this time no answer comes. If nodes gave up sooner and asked again, the service would do its
+/// work for nobody and never catch up.
 const REQUEST_TIMEOUT: Span = Span::ms(3_200);
 
-/// Left for the loop and the network; the grace that settings give comes on top.
+/// Part of [`MAX_LIST_AGE`] for the event loop and the network; the grace time of the settings comes on top.
 const MAX_PROCESSING_TIME: Span = Span::ms(500);
 
 const _: () =
     assert!(MAX_WATCH_WAIT.0 + WATCH_TIMEOUT.0 + REQUEST_TIMEOUT.0 + MAX_PROCESSING_TIME.0 <= MAX_LIST_AGE.0);
 
 impl Service {
-    /// Takes in the list as it was known before the start; it may be old.
+    /// Applies the list that was known before the start; it may be outdated.
     pub(crate) fn apply_cached_list(&mut self, known: EndpointListUpdate) {
         self.hosts.apply(&known);
         let now = self.now;
         self.with_node(|node, port| node.endpoints_changed(now, ListUpdate::Cached, &known.endpoints, port));
     }
 
-    /// Opens the watch unless it stands: then changes will be told, within [`MAX_LIST_AGE`].
+    /// Opens the watch unless it is open. Changes are then known within [`MAX_LIST_AGE`].
     pub(crate) fn begin_watch(&mut self) {
         if self.list.watch.is_some() {
             return;
         }
-        // The first request does not wait: what is known may be old, and the answer says that the watch
-        // stands.
+        // The first request does not wait: the known list may be outdated, and the answer shows that the
+        // watch is established.
         self.list.watch = self.open_list_connection(Span::ZERO);
         if self.list.watch.is_none() {
             self.reports.push(Report::WatchFailed);
         }
     }
 
-    /// The list's service is at another address now. The old watch ends here, which is no failure; hosts stay
-    /// until the new list. Versions are each service's own, so the old one's must not be asked from, and an
-    /// answer of the old service that is still on its way must not undo what the new one says.
+    /// Reopens the watch, after a reload changed the address of the list's service or added zones. Closing
+    /// the old watch does not count as a failure, and hosts stay until the new list arrives. Each service has
+    /// its own versions, so the known version is dropped, and an answer of the old service that is still in
+    /// transit must not undo the new list.
     pub(crate) fn restart_watch(&mut self) {
         if let Some(id) = std::mem::take(&mut self.list).watch {
             self.close_connection(id);
@@ -84,13 +88,13 @@
                 Some(id)
             }
             Err(cause) => {
-                debug!(%cause, "cannot reach discovery");
+                debug!(%cause, "cannot connect to the endpoint list's service");
                 None
             }
         }
     }
 
-    /// Asks for the list, or for what has changed since the version that is known.
+    /// Requests the list, or the changes since the known version.
     fn request_list(&mut self, id: ConnectionId, wait: Span) {
         let path = match self.list.index {
             Some(index) => format!("{PATH}?after={index}&wait_ms={}", wait.0 / 1_000_000),
@@ -107,14 +111,15 @@
         self.flush_connection(id);
     }
 
-    /// A request may have passed its deadline. A connection that falls silent is opened anew once; that is no
-    /// refusal yet, and nodes' connections do so at moments of their own.
+    /// Handles a request that may have passed its deadline. A silent connection is reopened once at once.
+    /// That does not count as a failure yet, and needs no delay, as the connections of different nodes fall
+    /// silent at different times.
     pub(crate) fn list_timeout(&mut self, id: ConnectionId) {
         let Some(SocketRole::EndpointList(deadline)) = self.role(id) else { return };
         if self.now < deadline {
             return;
         }
-        warn!("discovery does not answer");
+        warn!("endpoint list request timed out");
         if std::mem::replace(&mut self.list.is_reopened, true) {
             return self.list_request_failed(id);
         }
@@ -123,7 +128,7 @@
         self.begin_watch();
     }
 
-    /// The one way in which a request fails: refused, broken, unreadable or never answered.
+    /// Handles every failure of a request: refused, connection failed, invalid answer or no answer.
     pub(crate) fn list_request_failed(&mut self, id: ConnectionId) {
         self.close_connection(id);
         self.list.watch = None;
@@ -137,7 +142,7 @@
         self.with_node(|node, port| node.watch_failed(now, port));
     }
 
-    /// The list's service has sent something, or ended the connection.
+    /// Handles data from the list's service, or the end of the connection.
     pub(crate) fn list_read(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let has_ended = match outcome {
             ReadOutcome::Bytes(count) => {
@@ -164,13 +169,13 @@
         match self.decode_list(&reply.body) {
             Ok(update) => self.handle_list(id, update, reply.keeps_open && !has_ended),
             Err(cause) => {
-                warn!(%cause, "endpoint list unreadable");
+                warn!(%cause, "cannot decode the endpoint list");
                 self.list_request_failed(id);
             }
         }
     }
 
-    /// Reads an answer, and hands it to the fleet as it came.
+    /// Decodes an answer, and passes the update and its JSON to the fleet logic.
     fn decode_list(&mut self, body: &[u8]) -> Result<EndpointListUpdate, EndpointListError> {
         let json = serde_json::from_slice(body).map_err(|_| EndpointListError::Invalid("JSON text"))?;
         let update = decode(&json, &self.config.zones)?;
@@ -178,12 +183,12 @@
         Ok(update)
     }
 
-    /// Sends the next request before anything is done with the update, so that the watch goes on.
+    /// Sends the next request before it applies the update, so that the watch continues without a pause.
     fn handle_list(&mut self, id: ConnectionId, mut update: EndpointListUpdate, can_reuse: bool) {
         self.list.is_reopened = false;
-        // A service that began anew counts from the start again: its complete list is the newest there is,
-        // and a node that held on to its own version would never hear again. Changes to an older list are
-        // none.
+        // A restarted service counts its versions from the start again. Its complete list is the newest
+        // one, and a node that kept its higher version would never get an update again. Changes to a
+        // version older than the known one are ignored.
         let is_complete = update.update == ListUpdate::Complete;
         let newer_index = self.list.index.filter(|known| !is_complete && update.index < *known);
         self.list.index = newer_index.or(Some(update.index));
@@ -218,8 +223,8 @@
         self.list.has_answered = true;
         let endpoints: Vec<Endpoint> =
             update.endpoints.iter().map(|endpoint| self.hosts.effective(endpoint)).collect();
-        // A watch that ends with nothing new is no event: for it the decisions would go through all hosts and
-        // all waiting calls every second.
+        // An answer without changes is not reported: the decision logic would go through all hosts and all
+        // waiting calls every second.
         let was_established = std::mem::replace(&mut self.list.is_established, true);
         if !was_established || is_complete || !endpoints.is_empty() {
             let now = self.now;
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of calls that are not open yet: from connecting to the host's answer or a timeout.
+//! Attempts of calls that are not open yet: from the connect to the host's answer or a timeout.
 
 use glendeck::domain::{AttemptNumber, AttemptOutcome, CallId, HostId, Span};
 use rustix::io::Errno;
@@ -11,15 +11,15 @@
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::timers::TimerEvent;
 
-/// A call that returns to its host is tried again after this where the host could not be reached.
+/// Delay before a returning call is tried again at its previous host, if the host could not be reached.
 const RETURN_RETRY_DELAY: Span = Span::ms(250);
 
 impl Service {
-    /// Opens the connection of an attempt that times out after `within`. What becomes of it is told later.
+    /// Opens the connection of an attempt that times out after `within`. Its result is reported later.
     ///
     /// # Errors
     ///
-    /// The end of an attempt that could not even begin.
+    /// Returns the end of an attempt that could not be started.
     pub(crate) fn open_attempt(&mut self, id: CallId, host: HostId, within: Span) -> Result<(), AttemptEnd> {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return Ok(()) };
         let number = AttemptNumber(in_flight.attempt_count);
@@ -62,7 +62,7 @@
         self.add_connection(connection, SocketRole::Host(id)).ok_or(Errno::MFILE)
     }
 
-    /// Sends the client's line once the connection is up, if the attempt may be sent.
+    /// Sends the client's line if the connection is established and the attempt may be sent.
     pub(crate) fn attempt_connected(&mut self, id: ConnectionId) {
         let Some(SocketRole::Host(call)) = self.role(id) else { return };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
@@ -72,8 +72,8 @@
             && attempt.may_send
             && !attempt.is_line_queued
         {
-            // A connection that comes up late, or an intent that is replicated late, would send a new call to
-            // a host that has begun to drain meanwhile. A call that was open there before belongs there.
+            // If the connection is established late or the intent is replicated late, the host may have
+            // started to drain, and must not get a new call. A returning call still goes to its host.
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if is_host_closed || !self.is_client_waiting(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
@@ -84,7 +84,7 @@
         self.flush_connection(id);
     }
 
-    /// Writes the client's line with the time that is left.
+    /// Puts the client's line into the host's outbox, with the time that is left of the attempt.
     fn queue_line(&mut self, id: ConnectionId, call: CallId) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
@@ -94,7 +94,7 @@
         in_flight.line.encode(time_left, &mut socket.connection.outbox);
     }
 
-    /// Notes when the last byte of the line has been sent: before that the host cannot have run the call,
+    /// Notes that the last byte of the line has been sent. Before that the host cannot have run the call;
     /// after that it may have.
     pub(crate) fn note_line_sent(&mut self, call: CallId) {
         let in_flight = self.calls.get_mut(call.0);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A connection that is not up by the limit for that never will be.
+    /// Ends an attempt whose connection is not established within the limit for connecting.
     pub(crate) fn connect_timeout(&mut self, id: CallId, number: AttemptNumber) {
         let Some(attempt) = self.unanswered_attempt(id, number) else { return };
         let connect_deadline = attempt.opened_at + self.config.connect_limit;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The time of an attempt is over.
+    /// Ends an attempt that has passed its deadline.
     pub(crate) fn attempt_timeout(&mut self, id: CallId, number: AttemptNumber) {
         let Some(attempt) = self.unanswered_attempt(id, number) else { return };
         if self.now >= attempt.deadline {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// The attempt of this number, if it is still out. A number may be given twice, to an attempt that was
-    /// never sent and to one that was, so whether a timer is due is checked against the attempt itself.
+    /// The attempt with this number, if it is still in progress. One number may be used twice, for an attempt
+    /// that was never sent and for one that was, so timer handlers check the times of the attempt itself.
     fn unanswered_attempt(&self, id: CallId, number: AttemptNumber) -> Option<&Attempt> {
         let in_flight = self.calls.get(id.0)?;
         if in_flight.stage.is_established() {
@@ -148,8 +148,8 @@
         self.end_attempt(id, outcome, None);
     }
 
-    /// The attempt of a call that is not open has ended; `answer` is the host's line to the client, if it is
-    /// final.
+    /// Ends the attempt of a call that is not open; `answer` is the host's line for the client, if that line
+    /// is a final answer.
     pub(crate) fn end_attempt(&mut self, id: CallId, outcome: AttemptOutcome, answer: Option<&[u8]>) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let Some(attempt) = in_flight.attempt.take() else { return };
@@ -173,7 +173,8 @@
         self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final });
     }
 
-    /// The decisions have no part in a call that returns: it belongs where it was, and is tried there again.
+    /// Retries or answers a returning call whose attempt has ended. It may only go to its previous host, so
+    /// the decision logic is not involved.
     fn retry_return(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.calls.get(id.0) else { return };
         if !outcome.never_ran() {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Sends a call to the host where its connection was open before the start.
+    /// Sends a returning call to its previous host.
     pub(crate) fn return_to_host(&mut self, id: CallId) {
         let Some(InFlightCall {
             stage: CallStage::Returning,
@@ -203,13 +204,13 @@
             self.forget_call(id);
             return;
         }
-        // The decisions do not know of this attempt, so its end is not theirs.
+        // The decision logic does not know this attempt, so its end is not reported.
         if self.open_attempt(id, host, time_left).is_err() {
             self.retry_return(id, AttemptOutcome::NeverSent);
         }
     }
 
-    /// Ends an attempt that the decisions do not wait for any longer.
+    /// Ends an attempt that the decision logic no longer waits for.
     pub(crate) fn cancel_attempt(&mut self, id: CallId, number: AttemptNumber) {
         if self.unanswered_attempt(id, number).is_some() {
             self.end_attempt(id, AttemptOutcome::Canceled, None);
@@ -217,7 +218,8 @@
     }
 }
 
-/// A lack of descriptors or memory is this node's fault, and would make every host look bad.
+/// The outcome of a failed connect. A lack of descriptors or memory is a fault of this node and must not
+/// count against the host, or every host would look faulty.
 fn outcome_of_connect(cause: Errno) -> AttemptOutcome {
     match cause {
         Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM => AttemptOutcome::NeverSent,
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to hosts: their end, hosts that fall silent, and migration.
+//! Open connections to hosts: their end, silent hosts, and migration.
 
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Span, Time};
 use tracing::debug;
@@ -9,23 +9,23 @@
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// How long a host may bring nothing back on a connection on which the client has spoken. A healthy host
-/// answers within milliseconds, however crowded; this leaves room for TCP to send again three times (after
-/// 0.2, 0.4 and 0.8 s). Clients speak every 2 s: a vanished host's are migrated within 4 s, of the 7 s
+/// Time limit for a host to send something after the client has sent a line. A healthy host answers within
+/// milliseconds even under load; the limit leaves time for three TCP retransmissions (after 0.2, 0.4 and
+/// 0.8 s). Clients send a line every 2 s, so the clients of a vanished host are migrated within 4 s; 7 s are
 /// allowed.
 const HOST_SILENCE: Span = Span::ms(2_000);
 
 /// How the socket to a host is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HostClose {
-    /// After the host has ended its side too.
+    /// Shuts down the sending side, and closes the socket once the host has ended its side too.
     Graceful,
-    /// At once, so that the host sees a reset.
+    /// Closes the socket at once, so that the host sees a reset.
     Reset,
 }
 
 impl Service {
-    /// The host's side of an open connection has ended: so does the client's, in the same way.
+    /// Ends the client's side of an open connection in the same way as the host's side has ended.
     pub(crate) fn host_ended(&mut self, id: CallId, is_broken: bool) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let outcome = match (in_flight.final_message, in_flight.stage) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Ends the host's side of an open connection and tells the decisions.
+    /// Ends the host's side of an open connection and reports it to the decision logic.
     pub(crate) fn close_attempt(&mut self, id: CallId, outcome: AttemptOutcome, close: HostClose) {
         let in_flight = self.calls.get_mut(id.0);
         let Some(attempt) = in_flight.and_then(|in_flight| in_flight.attempt.take()) else { return };
@@ -62,7 +62,8 @@
         self.report_attempt_end(AttemptEnd { call: id, attempt: attempt.number, outcome, is_final: true });
     }
 
-    /// Migrates the client of a host that has fallen silent: a machine that vanished ends no connection.
+    /// Migrates the client of a host that has been silent for [`HOST_SILENCE`]: a machine that has vanished
+    /// does not end its connections.
     pub(crate) fn check_silence(&mut self, id: CallId) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         in_flight.has_silence_timer = false;
@@ -72,13 +73,13 @@
             return self.timers.set(since + HOST_SILENCE, TimerEvent::HostSilence(id));
         }
         if in_flight.stage == CallStage::Open {
-            debug!(call_id = id.0, "host silent");
+            debug!(call_id = id.0, "host is silent; migrating its client");
             self.migrate_call(id, AttemptOutcome::Broken);
         }
         self.deliver_reports();
     }
 
-    /// Sends the client away politely and ends the host's side.
+    /// Tells the client of an open connection to reconnect (`MOVE`) and ends the host's side.
     pub(crate) fn migrate_call(&mut self, id: CallId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         if in_flight.stage != CallStage::Open {
@@ -89,7 +90,7 @@
         self.close_attempt(id, outcome, HostClose::Graceful);
     }
 
-    /// A host begins to drain: its clients are migrated one by one before it goes.
+    /// Spreads the migration of a draining host's clients over [`MIGRATION_PERIOD`].
     pub(crate) fn migrate_from(&mut self, host: HostId) {
         let calls = self.hosts.open_calls(host);
         let count = calls.len().max(1) as f64;
@@ -101,8 +102,8 @@
 }
 
 impl InFlightCall {
-    /// The client has spoken: notes that the host owes a line, and returns when to check that it has come, if
-    /// no timer is set for that yet.
+    /// Notes that the client has sent a line and waits for the host. Returns when to check for the host's
+    /// silence, or `None` if a timer is set already.
     pub(crate) fn note_client_spoke(&mut self, now: Time) -> Option<Time> {
         self.awaiting_host_since.get_or_insert(now);
         let had_timer = std::mem::replace(&mut self.has_silence_timer, true);
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -1,4 +1,4 @@
-//! What hosts send: answers to attempts, and lines that are relayed to clients.
+//! Messages from hosts: answers to attempts, and lines that are relayed to clients.
 
 use glendeck::domain::{AttemptOutcome, AttemptReport, CallId};
 use tracing::{debug, trace, warn};
@@ -13,7 +13,7 @@
 use crate::timers::TimerEvent;
 
 impl Service {
-    /// A host has sent something on the connection of a call, or ended it.
+    /// Handles data from a host on the connection of a call, or the end of the host's side.
     pub(crate) fn host_read(&mut self, id: ConnectionId, call: CallId, outcome: ReadOutcome) {
         match outcome {
             ReadOutcome::NothingYet => {}
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The host's connection broke, or never came up.
+    /// Handles a connection to a host that failed, or could not be established.
     pub(crate) fn host_lost(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         let Some(attempt) = &in_flight.attempt else { return };
@@ -48,8 +48,8 @@
         self.deliver_reports();
     }
 
-    /// Goes through the complete lines in the inbox, until the connection is open and lines are relayed
-    /// unread.
+    /// Handles the complete lines in the inbox one by one, until the call is established; later lines are
+    /// relayed to the client.
     fn handle_host_lines(&mut self, id: ConnectionId, call: CallId) {
         while let Some(in_flight) = self.calls.get(call.0) {
             if in_flight.stage.is_established() {
@@ -80,7 +80,7 @@
             HostMessage::Error => self.end_attempt(call, AttemptOutcome::Error, None),
             HostMessage::Pong | HostMessage::Other => {
                 let text = String::from_utf8_lossy(line);
-                warn!(call_id = call.0, line = %text.trim_end(), "unknown line from a host");
+                warn!(call_id = call.0, line = %text.trim_end(), "unexpected line from a host");
                 self.end_attempt(call, AttemptOutcome::Error, None);
             }
         }
@@ -94,17 +94,18 @@
         self.with_node(|node, port| node.attempt_report(now, call, number, AttemptReport::Load(load), port));
     }
 
-    /// The host's `UP`: from now on the connection is the client's and the host's.
+    /// Handles the host's `UP`: from now on, lines are relayed between client and host.
     fn establish_call(&mut self, id: ConnectionId, call: CallId, line: &[u8]) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         let (Some(client), Some(attempt)) = (in_flight.client, &in_flight.attempt) else {
-            // The client has gone meanwhile, and the attempt could not be canceled.
+            // The client has gone, but the attempt had not been canceled yet.
             return self.end_attempt(call, AttemptOutcome::Canceled, None);
         };
         let is_returning = in_flight.stage == CallStage::Returning;
         in_flight.stage = CallStage::Open;
         if let Some(mut replicated) = in_flight.replicated.take() {
-            // It runs there. Its answer goes out now; whoever comes again with it has not heard that.
+            // The call runs at this host. The client is told so now; if it repeats the call nevertheless, it
+            // has not received the answer.
             replicated.ran.get_or_insert((attempt.host, attempt.opened_at));
             self.replicated_call_ended(call, Some(&replicated));
         }
@@ -136,7 +137,7 @@
         self.schedule_late_migration(call);
     }
 
-    /// Hands all complete lines of an open connection to the client, and reads from them what concerns the
+    /// Relays all complete lines of an open connection to the client, and reads from them what concerns the
     /// node.
     fn relay_to_client(&mut self, id: ConnectionId, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
@@ -175,8 +176,8 @@
 }
 
 impl InFlightCall {
-    /// Reads what concerns the node from lines that go to the client: notes `BYE` and `MOVE`, and returns the
-    /// last load that the host has told.
+    /// Reads from relayed lines what concerns the node: notes `BYE` and `MOVE`, and returns the last load
+    /// that the host has reported.
     fn read_relayed_lines(&mut self, lines: &[u8]) -> Option<f64> {
         let mut last_load = None;
         for line in lines.split_inclusive(|byte| *byte == b'\n') {
--- a/crates/node/src/hosts/mod.rs
+++ b/crates/node/src/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts: the table of them, attempts of calls, open connections, and probes.
+//! Hosts: the host table, attempts of calls, open connections and probes.
 
 mod attempts;
 mod connections;
@@ -11,5 +11,5 @@
 pub(crate) use connections::HostClose;
 pub(crate) use table::HostTable;
 
-/// Clients of a leaving host are migrated one by one within this time: little enough for the shortest drain.
+/// Time over which the migration of a draining host's clients is spread: short enough for the shortest drain.
 pub(crate) const MIGRATION_PERIOD: Span = Span::ms(1_000);
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -1,4 +1,4 @@
-//! Probes: health checks of hosts, each on a connection of its own.
+//! Probes: health checks of hosts, each on its own connection.
 
 use glendeck::domain::{AttemptOutcome, HostId, Span};
 use tracing::debug;
@@ -9,12 +9,12 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// A probe is answered at once, or the host is not healthy.
+/// Time limit of a probe: a healthy host answers at once.
 const PROBE_TIMEOUT: Span = Span::ms(500);
 
 impl Service {
-    /// Probes a host. Probes go out by the dozen; one that found no descriptor would blame the host for what
-    /// is this node's fault, so then none is sent.
+    /// Probes a host, unless descriptors are short: dozens of probes may be sent together, and one that fails
+    /// for lack of a descriptor would blame the host for a fault of this node.
     pub(crate) fn open_probe(&mut self, host: HostId) {
         if !self.has_room_for_probe() {
             return;
@@ -29,7 +29,7 @@
         self.flush_connection(id);
     }
 
-    /// A probe has ended: tells the decisions.
+    /// Closes the connection of a finished probe and reports its outcome to the decision logic.
     pub(crate) fn finish_probe(&mut self, id: ConnectionId, host: HostId, outcome: AttemptOutcome) {
         let opened_at = self.sockets.get(id.0).map_or(self.now, |socket| socket.quiet_since);
         self.close_connection(id);
@@ -39,14 +39,14 @@
         self.with_node(|node, port| node.probe_finished(now, host, outcome, took, port));
     }
 
-    /// The time of a probe is over.
+    /// Ends a probe that was not answered in time.
     pub(crate) fn probe_timeout(&mut self, id: ConnectionId) {
         if let Some(SocketRole::Probe(host)) = self.role(id) {
             self.finish_probe(id, host, AttemptOutcome::TimedOut);
         }
     }
 
-    /// The host has sent something on a probe's connection, or ended it.
+    /// Handles data from the host on a probe's connection, or the end of the connection.
     pub(crate) fn probe_read(&mut self, id: ConnectionId, host: HostId, outcome: ReadOutcome) {
         let count = match outcome {
             ReadOutcome::NothingYet => return,
--- a/crates/node/src/hosts/table.rs
+++ b/crates/node/src/hosts/table.rs
@@ -1,4 +1,4 @@
-//! What is known of each host, and which calls have an open connection there.
+//! The host table: what is known about each host, and which calls have an open connection there.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 
 struct KnownHost {
     address: SocketAddr,
-    /// As listed, and gone once a complete list lacks the host.
+    /// The condition in the list; [`Condition::Gone`] if the last complete list lacks the host.
     condition: Condition,
-    /// What the list said of it last.
+    /// The host's last entry in the list.
     listed: Option<Endpoint>,
-    /// Calls whose connection is open there.
+    /// Calls with an open connection to the host.
     open: BTreeSet<CallId>,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Hosts by their ids, and those that the fleet drains.
+/// All known hosts, and the hosts that the fleet is draining.
 #[derive(Default)]
 pub(crate) struct HostTable {
     hosts: FxHashMap<HostId, KnownHost>,
@@ -32,7 +32,7 @@
 }
 
 impl HostTable {
-    /// Takes in an update of the endpoint list, and returns the hosts that have begun to drain.
+    /// Applies an update of the endpoint list, and returns the hosts that have started to drain.
     pub(crate) fn apply(&mut self, update: &EndpointListUpdate) -> Vec<HostId> {
         for (id, address) in &update.addresses {
             let host = self.hosts.entry(*id).or_insert_with(|| KnownHost::new(*address));
@@ -56,8 +56,8 @@
         draining
     }
 
-    /// What the decisions are told of an endpoint: a host that the fleet drains is draining, whatever the
-    /// list says.
+    /// The endpoint as the decision logic sees it: a ready host that the fleet is draining counts as
+    /// draining.
     pub(crate) fn effective(&self, endpoint: &Endpoint) -> Endpoint {
         let is_drained =
             endpoint.condition == Condition::Ready && self.drained_by_fleet.contains(&endpoint.host);
@@ -65,7 +65,7 @@
         Endpoint { condition, ..*endpoint }
     }
 
-    /// Takes in which hosts the fleet drains, and returns the endpoints that this has changed.
+    /// Sets which hosts the fleet is draining, and returns the endpoints that this changes.
     pub(crate) fn set_drained_by_fleet(&mut self, hosts: BTreeSet<HostId>) -> Vec<Endpoint> {
         let before = std::mem::replace(&mut self.drained_by_fleet, hosts);
         let changed = before.symmetric_difference(&self.drained_by_fleet);
@@ -73,28 +73,28 @@
         listed.map(|endpoint| self.effective(&endpoint)).collect()
     }
 
-    /// An open connection to a host that the fleet drains, if there is one.
+    /// A call with an open connection to a host that the fleet is draining, if there is one.
     pub(crate) fn next_to_migrate(&self) -> Option<CallId> {
         let mut open = self.drained_by_fleet.iter().filter_map(|id| self.hosts.get(id)?.open.first());
         open.next().copied()
     }
 
-    /// Where a host listens.
+    /// The address of a host.
     pub(crate) fn address(&self, id: HostId) -> Option<SocketAddr> {
         self.hosts.get(&id).map(|host| host.address)
     }
 
-    /// Whether any listed host takes calls.
+    /// Whether any host is ready according to the list.
     pub(crate) fn any_ready(&self) -> bool {
         self.hosts.values().any(|host| host.condition == Condition::Ready)
     }
 
-    /// The hosts in the list.
+    /// The hosts that have not gone.
     pub(crate) fn listed(&self) -> impl Iterator<Item = HostId> {
         self.hosts.iter().filter(|(_, host)| host.condition != Condition::Gone).map(|(id, _)| *id)
     }
 
-    /// The whole list as it is known, with this index.
+    /// The whole known list, as an update with this index.
     pub(crate) fn to_update(&self, index: u64) -> EndpointListUpdate {
         let mut endpoints = Vec::new();
         let mut addresses = Vec::new();
@@ -106,35 +106,35 @@
         EndpointListUpdate { index, update: ListUpdate::Complete, endpoints, addresses }
     }
 
-    /// How many connections are open at a host.
+    /// The number of open connections to a host.
     pub(crate) fn open_call_count(&self, id: HostId) -> usize {
         self.hosts.get(&id).map_or(0, |host| host.open.len())
     }
 
-    /// The calls whose connections are open at a host.
+    /// The calls with an open connection to a host.
     pub(crate) fn open_calls(&self, id: HostId) -> Vec<CallId> {
         self.hosts.get(&id).map(|host| host.open.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Whether the list says that the host drains.
+    /// Whether the host is draining according to the list.
     pub(crate) fn is_leaving(&self, id: HostId) -> bool {
         self.hosts.get(&id).is_some_and(|host| host.condition == Condition::Draining)
     }
 
-    /// Whether a new call may go there now.
+    /// Whether the host may get new calls: it is ready in the list and the fleet is not draining it.
     pub(crate) fn is_ready(&self, id: HostId) -> bool {
         let is_listed_ready = self.hosts.get(&id).is_some_and(|host| host.condition == Condition::Ready);
         is_listed_ready && !self.drained_by_fleet.contains(&id)
     }
 
-    /// A connection has opened at a host.
+    /// Notes a new open connection to a host.
     pub(crate) fn connection_opened(&mut self, id: HostId, call: CallId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.open.insert(call);
         }
     }
 
-    /// A connection at a host has ended.
+    /// Notes the end of an open connection to a host.
     pub(crate) fn connection_closed(&mut self, id: HostId, call: CallId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.open.remove(&call);
--- a/crates/node/src/service/clock.rs
+++ b/crates/node/src/service/clock.rs
@@ -6,15 +6,15 @@
 
 const NANOSECONDS_PER_SECOND: i128 = 1_000_000_000;
 
-/// Wall time at the start and monotonic time since: hosts tell their start in wall time, and what is due here
-/// must not jump with it.
+/// Wall time at the start plus the monotonic time since then. Wall time is needed because the start times of
+/// hosts are wall times; timers must not jump with it.
 pub(super) struct Clock {
     start: Instant,
     wall_start: Time,
 }
 
 impl Clock {
-    /// A clock that is `ahead_s` seconds ahead of the system's.
+    /// Starts a clock that is `ahead_s` seconds ahead of the system's.
     pub(super) fn start(ahead_s: i64) -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let ahead = i128::from(ahead_s) * NANOSECONDS_PER_SECOND;
@@ -22,7 +22,7 @@
         Clock { start: Instant::now(), wall_start: Time(nanoseconds) }
     }
 
-    /// Nanoseconds since the Unix epoch, as far as was known at the start.
+    /// Nanoseconds since the Unix epoch, without changes of the wall clock since the start.
     pub(super) fn now(&self) -> Time {
         self.wall_start + Span(self.start.elapsed().as_nanos() as u64)
     }
--- a/crates/node/src/service/drain.rs
+++ b/crates/node/src/service/drain.rs
@@ -1,4 +1,4 @@
-//! Draining: the node sends its clients away, but stays and may serve again.
+//! Draining a node: it migrates its clients, but keeps running and may serve again.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::info;
@@ -8,17 +8,21 @@
 use crate::lifecycle::Phase;
 use crate::timers::TimerEvent;
 
-/// After a call to drain the front asks within 0.1 s and sends new clients for 0.2 s more.
+/// Time until the front-end balancer has stopped sending new clients after the start of a drain: it checks
+/// the node within 0.1 s, and may send clients for another 0.2 s.
 pub(super) const NEW_CLIENTS_AFTER_DRAIN: Span = Span::ms(350);
 
-/// Clients that are connected when the front stops are sent away by now, each at its own moment.
+/// Time from the start of a drain until the clients that were connected when the front-end balancer stopped
+/// are migrated; their migrations are spread evenly.
 const CONNECTED_MIGRATION_TIME: Span = Span::ms(3_000);
 
-/// Clients whose calls waited are sent away by now; operators look at a drained node after 4 s.
+/// Time from the start of a drain until all clients are migrated, including those whose calls were waiting;
+/// operators check a drained node after 4 s.
 pub(super) const DRAIN_TIME: Span = Span::ms(3_600);
 
 impl Service {
-    /// Begins to drain, and says whether the node does. Told again, it goes on as it was.
+    /// Starts a drain, and returns false if the process is replaced. A repeated request does not restart the
+    /// drain.
     pub(crate) fn drain(&mut self) -> bool {
         if matches!(self.phase, Phase::Starting | Phase::Serving) {
             info!(calls = self.calls.len(), "draining");
@@ -27,27 +31,27 @@
             self.timers.set(self.now + NEW_CLIENTS_AFTER_DRAIN, TimerEvent::DrainStart(self.drain_number));
             self.timers.set(self.now + DRAIN_TIME, TimerEvent::DrainEnd(self.drain_number));
         }
-        // A replaced process has nothing to drain, and one that leaves sends its clients away anyhow.
+        // A replaced process has nothing to drain, and one that is leaving migrates its clients anyway.
         self.phase != Phase::Replaced
     }
 
-    /// Ends a drain, and says whether the node serves or will; one that is leaving cannot come back.
+    /// Ends a drain, and returns whether the node serves or will serve; a replaced or leaving process cannot.
     pub(crate) fn activate(&mut self) -> bool {
         if let Phase::Draining { .. } = self.phase {
-            info!(calls = self.calls.len(), "active again");
+            info!(calls = self.calls.len(), "drain ended, active again");
             self.phase = Phase::Starting;
             self.serve_if_ready();
         }
         !matches!(self.phase, Phase::Replaced | Phase::Leaving { .. } | Phase::Flushing | Phase::Left)
     }
 
-    /// Whether everything that a drain waits for has gone.
+    /// Whether the drain is complete: its time has passed and no call is in flight.
     pub(crate) fn is_drained(&self) -> bool {
         let Phase::Draining { since } = self.phase else { return false };
         self.now >= since + DRAIN_TIME && self.calls.is_empty()
     }
 
-    /// The front sends no more: the clients that are connected go one by one.
+    /// Spreads the migration of the connected clients, once the front-end balancer sends no more.
     pub(super) fn drain_clients(&mut self, number: u32) {
         let Phase::Draining { since } = self.phase else { return };
         if !self.is_current_drain(number) {
@@ -61,14 +65,14 @@
         }
     }
 
-    /// The moment of one client has come.
+    /// Migrates one client in a drain.
     pub(super) fn drain_client(&mut self, number: u32, call: CallId) {
         if self.is_current_drain(number) {
             self.migrate_call(call, AttemptOutcome::Canceled);
         }
     }
 
-    /// Whoever is still connected goes now.
+    /// Migrates all clients that are still connected.
     pub(super) fn end_drain(&mut self, number: u32) {
         if !self.is_current_drain(number) {
             return;
@@ -79,7 +83,8 @@
         info!(calls = self.calls.len(), "drained");
     }
 
-    /// Timers of an earlier drain are still set after its end, and during the next one.
+    /// Whether the drain with this number is active. Timers of an earlier drain may still expire after its
+    /// end, also during the next one.
     fn is_current_drain(&self, number: u32) -> bool {
         matches!(self.phase, Phase::Draining { .. }) && self.drain_number == number
     }
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -1,4 +1,4 @@
-//! When the node takes clients, and what it does when its configuration is read anew.
+//! When the node serves clients, and how it reloads its configuration.
 
 use tracing::{error, info, warn};
 
@@ -8,10 +8,9 @@
 use crate::lifecycle::Phase;
 
 impl Service {
-    /// Serves as soon as a host is ready and nothing else has to be waited for.
+    /// Starts to serve if a host is ready and the node need not wait for the list or the fleet.
     pub(crate) fn serve_if_ready(&mut self) {
-        // What an agent of the node's own has counts as known from the first moment, so its answer is waited
-        // for.
+        // What the node's own agent has counts as known from the start, so the node waits for its answer.
         let needs_list = self.handover.has_predecessor() || self.config.list_is_pushed;
         let awaits_list = needs_list && !self.list.has_answered && !self.handover.is_list_wait_over;
         let must_wait = awaits_list || self.waits_for_fleet();
@@ -19,14 +18,15 @@
             self.phase = Phase::Serving;
             info!(name = %self.config.name, "serving");
             if std::mem::take(&mut self.handover.was_drained) {
-                info!("the predecessor was draining");
+                info!("continuing the predecessor's drain");
                 self.drain();
             }
             self.take_over();
         }
     }
 
-    /// What the front is answered: whether clients are welcome. While the successor takes them, they are.
+    /// Whether the node answers the front-end balancer that it takes new clients; also true while the
+    /// successor accepts them.
     pub(crate) fn takes_clients(&self) -> bool {
         match self.phase {
             Phase::Serving | Phase::Replaced => true,
@@ -37,16 +37,16 @@
         }
     }
 
-    /// Whether new connections are this process's to accept.
+    /// Whether this process, rather than its predecessor or successor, accepts new connections.
     pub(crate) fn accepts_connections(&self) -> bool {
         !self.handover.predecessor_serves() && !self.handover.is_replaced()
     }
 
-    /// Reads the configuration again. The whole file is checked first; if it is bad, all stays as it was.
+    /// Reloads the configuration. The whole file is checked first; if it is invalid, nothing changes.
     pub(super) fn reload(&mut self) {
         match config::anew() {
             Ok(config) => self.apply_config(config),
-            Err(cause) => error!(%cause, "bad configuration, the old one stays"),
+            Err(cause) => error!(%cause, "invalid configuration, keeping the current one"),
         }
         self.deliver_reports();
     }
@@ -65,11 +65,11 @@
             self.metrics.name(&self.config.names.traffic);
             self.with_node(|node, port| node.update_settings(now, settings, port));
         }
-        // With more zones, hosts of a zone that had no number need the right one.
+        // Hosts of new zones were given a placeholder zone, so the whole list is needed again.
         if is_list_elsewhere || change.zones {
             self.restart_watch();
         } else {
-            // While the watch stands this does nothing; if it is lost, this is when to try again.
+            // Opens the watch again if it was lost; does nothing while it is open.
             self.begin_watch();
         }
     }
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -1,7 +1,7 @@
-//! A node as one object: its state, and the loop that hands events to the modules that deal with them.
+//! The node's state, and the event loop that dispatches events to the modules that handle them.
 //!
-//! `start` sets it up, `lifecycle`, `drain` and `shutdown` move it from phase to phase, `sockets` has the
-//! table of its sockets, and `port` joins it to the decisions.
+//! `start` creates the state, `lifecycle`, `drain` and `shutdown` change the phase, `sockets` holds the
+//! socket table, and `port` connects the loop to the decision logic, [`glendeck::Node`].
 
 mod clock;
 mod drain;
@@ -44,7 +44,7 @@
 
 pub(crate) use reports::Report;
 
-/// Why a node cannot start, or stops serving.
+/// Why a node cannot start, or stops with an error.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServiceError {
     /// An address cannot be bound.
@@ -52,44 +52,44 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system call that failed.
         source: Errno,
     },
-    /// epoll failed.
+    /// A socket cannot be watched, or waiting for events failed.
     #[error("cannot wait for events: {0}")]
     Reactor(#[from] Errno),
-    /// The node cannot take part in its fleet.
-    #[error("fleet: {0}")]
+    /// The node cannot join its fleet.
+    #[error("cannot join the fleet: {0}")]
     Fleet(#[from] FleetError),
     /// A signal handler cannot be set up.
-    #[error("cannot take signals: {0}")]
+    #[error("cannot set up a signal handler: {0}")]
     Signals(#[from] std::io::Error),
 }
 
-/// A node with everything that it holds.
+/// The whole state of a node.
 pub(crate) struct Service {
-    /// How far the process is.
+    /// The phase of the process.
     pub phase: Phase,
-    /// What it was told at its start, with what a reload has changed.
+    /// The configuration from the start, with the changes of reloads.
     pub config: NodeConfig,
     clock: Clock,
     /// The time of the event that is being handled.
     pub now: Time,
-    /// What is due later.
+    /// Timers that have not expired.
     pub timers: Timers<TimerEvent>,
-    /// Where clients connect, until the front sends nothing more.
+    /// The listening socket for clients; `None` once the process has stopped accepting.
     pub listener: Option<OwnedFd>,
-    /// Whether connections wait in the listener's queue.
+    /// What is known about the listener's accept queue.
     pub accept_queue: AcceptQueue,
     /// The admin interface.
     pub admin: AdminServer,
-    /// How this process stands to its predecessor and its successor.
+    /// The state of handovers from the predecessor and to the successor.
     pub handover: Handover,
-    /// The node's part in a fleet, if it is in one.
+    /// The node's membership of a fleet, if it is in one.
     pub membership: Option<Box<Membership>>,
-    /// Counters.
+    /// Call and attempt counters.
     pub metrics: Metrics,
-    /// The number of the current drain, or of the last one.
+    /// The number of the current or last drain.
     drain_number: u32,
     /// The longest turn of the loop since the metrics were last read.
     pub slowest_turn: Span,
@@ -98,39 +98,41 @@
     signals: UnixStream,
     /// Readable after SIGHUP.
     reloads: UnixStream,
-    /// All sockets but the listening ones.
+    /// All sockets except the listening ones.
     pub sockets: SocketTable,
-    /// Calls in flight.
+    /// The in-flight calls.
     pub calls: CallTable,
-    /// Connections of no use to a call, the longest idle first, each with the time since when.
+    /// Idle connections, each with the time since when it is idle; the longest idle first. Entries of
+    /// connections that are no longer idle may remain.
     pub idle: VecDeque<(Time, ConnectionId)>,
-    /// Calls that have a socket to a host.
+    /// Number of calls that have a socket to a host.
     pub attempts_out: usize,
-    /// Hosts and what is open there.
+    /// The known hosts and their open connections.
     pub hosts: HostTable,
     /// The watch on the endpoint list.
     pub list: EndpointListClient,
-    /// `None` only while it decides.
+    /// The decision logic; `None` only while it runs.
     node: Option<Box<Node>>,
-    /// What the decisions have not been told of.
+    /// Reports that have not been delivered to the decision logic.
     pub reports: PendingReports,
-    /// What was read last.
+    /// Buffer for the data of one read.
     pub read_buffer: Vec<u8>,
 }
 
 impl Service {
-    /// Serves until the process is told to end and has ended its calls.
+    /// Runs the event loop until the process has been told to exit and has ended its calls.
     ///
     /// # Errors
     ///
-    /// Fails if epoll does.
+    /// Fails if waiting with epoll fails.
     pub(crate) fn run(&mut self) -> Result<(), ServiceError> {
         while self.phase != Phase::Left {
             let timeout = self.timers.time_until_next(self.clock.now());
             let events = self.sockets.reactor.wait(timeout)?;
             self.now = self.clock.now();
             let turn_start = self.now;
-            // Admin requests are answered within a second, however many clients are ready.
+            // Admin events come first, so that requests are answered within a second even if many clients are
+            // ready.
             self.dispatch_events(events, |service, number| service.is_admin_socket(number));
             self.dispatch_events(events, |service, number| !service.is_admin_socket(number));
             self.now = self.clock.now();
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Some of the outbox has been sent: whoever fills it may be read again.
+    /// Sends more of the outbox, and resumes reading the socket that fills it once enough has been sent.
     fn connection_writable(&mut self, id: ConnectionId) {
         self.flush_connection(id);
         let Some(socket) = self.sockets.get(id.0) else { return };
@@ -233,11 +235,11 @@
         }
     }
 
-    /// Reads a socket that is ready and hands what came to whoever it is for.
+    /// Reads a ready socket and passes the data to the handler of its role.
     pub(crate) fn read_connection(&mut self, id: ConnectionId, flags: Flags) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         if socket.connection.read_ended {
-            // Nothing more can come: the peer has gone for good.
+            // The peer had ended its side before, and now the connection has failed.
             if flags.intersects(Flags::ERR | Flags::HUP) {
                 self.connection_lost(id);
             }
@@ -247,7 +249,7 @@
         if role == SocketRole::Predecessor {
             return self.predecessor_readable(id);
         }
-        // A connection that has not opened needs room for one line.
+        // A connection without a call may only send one line.
         let limit = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { READ_SIZE };
         let outcome = match socket.connection.read(&mut self.read_buffer[..limit]) {
             Ok(outcome) => outcome,
@@ -266,7 +268,7 @@
             SocketRole::Admin => self.admin_readable(id, outcome),
             SocketRole::Successor => self.successor_readable(id, outcome),
             SocketRole::Peer => self.peer_readable(id, outcome),
-            // It reads for itself, as descriptors come with its bytes.
+            // Its own handler reads the socket, as descriptors come with the bytes.
             SocketRole::Predecessor => {}
             SocketRole::Closing => {
                 if let ReadOutcome::Bytes(count) = outcome
@@ -279,7 +281,7 @@
         }
     }
 
-    /// The connection broke.
+    /// Handles the failure of a connection.
     fn connection_lost(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.connection.read_ended = true;
@@ -339,13 +341,13 @@
         self.deliver_reports();
     }
 
-    /// A random number from 0 to 1, drawn apart from those of the decisions.
+    /// A random number from 0 to 1, from a generator other than that of the decision logic.
     pub(crate) fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.generate::<f32>())
     }
 }
 
-/// Whether a signal has come.
+/// Whether a signal has arrived; consumes it.
 fn read_signal(stream: &mut UnixStream) -> bool {
     stream.read(&mut [0; 16]).is_ok()
 }
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -1,4 +1,4 @@
-//! The port on which the decisions act, and what they are told.
+//! The connection to the decision logic: the [`Port`] on which it acts, and the events that it is given.
 
 use glendeck::Node;
 use glendeck::domain::{AttemptNumber, AttemptOutcome, CallId, HostId, NodeSnapshot, Span, Time, TimerToken};
@@ -12,7 +12,7 @@
 use crate::timers::TimerEvent;
 
 impl Service {
-    /// Tells the decisions something, and then what came of what they did.
+    /// Passes an event to the decision logic, and then delivers the reports that its actions caused.
     pub(crate) fn with_node(&mut self, event: impl FnOnce(&mut Node, &mut Service)) {
         if let Some(mut node) = self.node.take() {
             event(&mut node, self);
@@ -21,32 +21,32 @@
         }
     }
 
-    /// Whether the decisions are at work, and cannot be told anything.
+    /// Whether the decision logic is running, so that it cannot be given events.
     pub(crate) fn is_deciding(&self) -> bool {
         self.node.is_none()
     }
 
-    /// What the successor's decisions start from; `None` while these are at work.
+    /// A snapshot from which the successor's decision logic starts; `None` while the decision logic runs.
     pub(crate) fn snapshot(&self) -> Option<NodeSnapshot> {
         self.node.as_ref().map(|node| node.snapshot())
     }
 
-    /// Up to `limit` hints for nodes that this node's clients may come to.
+    /// The warm state for nodes that this node's clients may move to, with up to `limit` hints.
     pub(crate) fn warm_state_of_node(&self, limit: usize) -> glendeck::domain::WarmState {
         self.node.as_ref().map(|node| node.warm_state(limit)).unwrap_or_default()
     }
 
-    /// Whether the decisions send nothing to a host now.
+    /// Whether the decision logic has ejected a host.
     pub(crate) fn is_host_ejected(&self, host: HostId) -> bool {
         self.node.as_ref().is_some_and(|node| node.is_ejected(host))
     }
 
-    /// The decisions are told of the end of an attempt when they are next settled.
+    /// Queues the end of an attempt for the next [`Service::deliver_reports`].
     pub(crate) fn report_attempt_end(&mut self, end: AttemptEnd) {
         self.reports.push(Report::AttemptEnded(end));
     }
 
-    /// Tells the decisions of all that has ended or failed, until nothing new comes of it.
+    /// Delivers all pending reports to the decision logic, including those that its actions cause.
     pub(crate) fn deliver_reports(&mut self) {
         let Some(mut node) = self.node.take() else { return };
         let now = self.now;
@@ -96,8 +96,8 @@
         self.open_probe(host);
     }
 
-    /// The watch brings whatever changes, and a lost one is opened again within its bound. A second request
-    /// beside it would tell nothing more, and be one for each node that doubts.
+    /// Does nothing: the watch reports every change, and a lost watch is reopened within its time bound. A
+    /// separate request would bring nothing new, and cost the list's service one request per node.
     fn fetch_endpoints(&mut self) {}
 
     fn watch_endpoints(&mut self) {
--- a/crates/node/src/service/reports.rs
+++ b/crates/node/src/service/reports.rs
@@ -1,4 +1,4 @@
-//! What has happened that the decisions have not been told of yet.
+//! Events that are waiting to be reported to the decision logic.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use crate::call::AttemptEnd;
 
-/// One event for the decisions.
+/// An event for the decision logic.
 pub(crate) enum Report {
     /// An attempt, or an open connection, has ended.
     AttemptEnded(AttemptEnd),
@@ -16,7 +16,7 @@
     WatchFailed,
 }
 
-/// Events that came while the decisions were at work, or before they could be told.
+/// Events that occurred while the decision logic was running, or that have not been delivered yet.
 #[derive(Default)]
 pub(crate) struct PendingReports {
     attempt_ends: VecDeque<AttemptEnd>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes the next event: ends of attempts first, in their order.
+    /// Removes and returns the next event: ends of attempts first, in the order in which they occurred.
     pub(crate) fn pop(&mut self) -> Option<Report> {
         if let Some(end) = self.attempt_ends.pop_front() {
             return Some(Report::AttemptEnded(end));
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: from SIGTERM until the last answers are sent.
+//! Shutdown of the process: from SIGTERM until the last answers have been sent.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::info;
@@ -11,42 +11,46 @@
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::timers::TimerEvent;
 
-/// The front goes on sending new clients for up to 0.4 s after the node was told to leave.
+/// Time after SIGTERM until new clients no longer arrive: the front-end balancer goes on sending them for up
+/// to 0.4 s.
 const NEW_CLIENTS_AFTER_TERM: Span = Span::ms(450);
 
-/// After this nobody comes, and the listening socket closes. Where the successor listens beside this process,
-/// the kernel would go on dealing connections to both.
+/// Delay from SIGTERM to closing the listening socket; no clients arrive any more by then. If it stayed open
+/// and the successor had its own socket on the address, the kernel would go on giving connections to both.
 const STOP_ACCEPTING_DELAY: Span = Span::ms(600);
 
-/// A drained node exits this long after it stops accepting.
+/// Delay from the end of accepting to the exit of a drained node.
 const DRAINED_EXIT_DELAY: Span = Span::ms(50);
 
-/// The platform kills no sooner than the longest deadline, 3 s at most, and 0.7 s after that.
+/// Maximum part of the longest call deadline that the shutdown waits for. The platform kills the process no
+/// sooner than 0.7 s after the longest deadline, of which it counts at most 3 s.
 const MAX_DEADLINE_WAIT: Span = Span::ms(3_000);
 
-/// How long the process goes on after the longest deadline.
+/// Time that the process goes on after the longest deadline.
 const TIME_AFTER_DEADLINES: Span = Span::ms(400);
 
-/// Clients that open while the node leaves are migrated within this long.
+/// Time over which the migration of clients that open while the node is leaving is spread.
 const LATE_MIGRATION_TIME: Span = Span::ms(300);
 
-/// Connections go over to the successor within milliseconds; those that have not by then are migrated.
+/// Time for handing connections over to the successor, which takes milliseconds; connections that are left
+/// after it are migrated.
 const HANDOVER_TIME: Span = Span::ms(200);
 
-/// The last clients are migrated this long before the exit, so that their connections can end in order.
+/// The last clients are migrated this long before the exit, so that their connections can be closed in order.
 pub(super) const LAST_MIGRATIONS_BEFORE_EXIT: Span = Span::ms(500);
 
-/// After its last answers the process waits this long for its clients to end: the platform kills 0.3 s after
-/// the last answers, at the soonest.
+/// Maximum time that the process waits after its last answers for its clients to close. The platform kills
+/// the process no sooner than 0.3 s after the last answers.
 const FLUSH_TIME: Span = Span::ms(150);
 
-/// All clients are migrated within this time before the last ones: as much as those of a leaving host get, so
-/// that setups elsewhere are spread. They do not go earlier, as in a rolling restart the node restarted
-/// before this one may not be back yet, and they would have nowhere to go.
+/// Time before the last migrations over which the migration of all clients is spread. It is as long as for
+/// the clients of a draining host, so that their setups at other nodes are spread. They are not migrated
+/// earlier: in a rolling restart the node restarted before this one may not be back yet, and the clients
+/// would have nowhere to go.
 const MIGRATION_TIME: Span = Span::ms(1_000);
 
 impl Service {
-    /// Told to end: sets the time of the exit and spreads the migration of all clients over the time before.
+    /// Starts the shutdown: sets the time of the exit and spreads the migration of all clients before it.
     pub(super) fn leave(&mut self) {
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
             return;
@@ -58,7 +62,8 @@
         self.timers.set(self.now + STOP_ACCEPTING_DELAY, TimerEvent::StopAccepting);
         let is_replaced = self.handover.is_replaced();
         let first = if is_replaced {
-            // The successor serves already, so only what cannot be handed over is migrated, without delay.
+            // The successor serves already, so only connections that cannot be handed over are migrated,
+            // soon.
             self.now + HANDOVER_TIME
         } else {
             (until - LAST_MIGRATIONS_BEFORE_EXIT - MIGRATION_TIME).max(self.now + NEW_CLIENTS_AFTER_TERM)
@@ -75,7 +80,7 @@
         }
     }
 
-    /// Leaves a drained node as SIGTERM does, and exits early if no client is left.
+    /// Shuts down a drained node as SIGTERM does, and exits early if no call is in flight.
     pub(crate) fn leave_drained(&mut self) {
         self.leave();
         if self.calls.is_empty() {
@@ -83,7 +88,7 @@
         }
     }
 
-    /// A replaced process exits once its last call has ended or gone over.
+    /// Exits a replaced process once its last call has ended or has been handed over.
     pub(super) fn check_idle_exit(&mut self) {
         let is_used = |socket: &SocketEntry| {
             matches!(socket.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
@@ -96,8 +101,8 @@
         }
     }
 
-    /// A call that opens while the node sends its clients away is migrated with the last ones, each at a
-    /// random moment: those that are sent away together come back together.
+    /// Schedules the migration of a call that opens while the node migrates its clients. It is migrated with
+    /// the last ones, at a random time: clients that are migrated together reconnect together.
     pub(crate) fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
@@ -119,8 +124,8 @@
         self.timers.set(due, event);
     }
 
-    /// The front sends nobody any more. Connections that wait in the listening socket's queue would be reset
-    /// by its close, so all of them are accepted first, as descriptors become free.
+    /// Closes the listening socket, as the front-end balancer sends no more clients. The close resets the
+    /// connections in the accept queue, so all of them are accepted first, as descriptors become free.
     pub(super) fn stop_accepting(&mut self) {
         if !matches!(self.phase, Phase::Leaving { .. }) || self.handover.is_replaced() {
             return;
@@ -132,8 +137,9 @@
         self.listener = None;
     }
 
-    /// Answers all calls. When the process ends, bytes that are not sent are lost, and bytes that are not
-    /// read reset their connection and with that the answer before them; hence [`Phase::Flushing`].
+    /// Answers all calls and enters [`Phase::Flushing`]. The exit of the process loses unsent bytes; unread
+    /// bytes reset their connection, and the answer on it may be lost too. So the process exits only after
+    /// the flush.
     pub(super) fn exit(&mut self) {
         if matches!(self.phase, Phase::Flushing | Phase::Left) {
             return;
@@ -160,23 +166,23 @@
         if in_flight.stage.is_established() {
             return;
         }
-        // Its deadline is over by now, or it never had an attempt.
+        // The call's deadline has passed by now, or it never had an attempt.
         let never_ran = in_flight.attempt_count == 0 && !in_flight.awaits_lookup();
         self.answer_call(id, if never_ran { Answer::Busy(None) } else { Answer::Error });
     }
 
-    /// Whether a client may still have to receive its answer.
+    /// Whether a client may not have received its answer yet.
     pub(super) fn has_unsent_answers(&self) -> bool {
         let is_client =
             |socket: &SocketEntry| matches!(socket.role, SocketRole::Client(_) | SocketRole::Closing);
         self.sockets.iter().any(|(_, socket)| is_client(socket))
     }
 
-    /// All answers have been sent, or have had their time.
+    /// Ends the flush: all answers have been sent, or the time for that is over.
     pub(super) fn finish(&mut self) {
         if self.phase == Phase::Flushing {
             self.write_work_handover();
-            info!("left");
+            info!("shutdown complete");
             self.phase = Phase::Left;
         }
     }
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -1,4 +1,4 @@
-//! The table of a node's sockets, and how many descriptors they and the calls need.
+//! The socket table of a node, and the number of descriptors that sockets and calls need.
 
 use std::os::fd::AsFd;
 use std::os::unix::net::UnixListener;
@@ -15,25 +15,26 @@
 use crate::slots::Slots;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 
-/// Standard streams, epoll, the listening socket, two ends for each of two signals, the socket for the
-/// successor, one to accept with or to read the configuration from, and one for the endpoint list. Without
-/// the last, a list that is lost while idle clients hold every descriptor could not be asked for again.
+/// Number of descriptors that the node itself uses: standard streams, epoll, the listening socket, two ends
+/// for each of two signals, the socket for the successor, one for accepting or for reading the configuration,
+/// and one for the endpoint list. Without the last one, a lost watch could not be reopened while idle clients
+/// hold every descriptor.
 const OWN_DESCRIPTORS: usize = 12;
 
-/// Sockets with their ids, each watched by the reactor as long as it is in the table.
+/// Sockets by id. The reactor watches each socket as long as it is in the table.
 pub(crate) struct SocketTable {
-    /// Also watches the listening sockets, which are not in the table.
+    /// The reactor, which also watches the listening sockets; they are not in the table.
     pub reactor: Reactor,
     entries: Slots<SocketEntry>,
 }
 
 impl SocketTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(crate) fn new(reactor: Reactor) -> SocketTable {
         SocketTable { reactor, entries: Slots::default() }
     }
 
-    /// Adds a socket and watches it; one that cannot be watched is closed.
+    /// Adds a socket and watches it; a socket that cannot be watched is closed.
     pub(crate) fn insert(
         &mut self,
         connection: Connection,
@@ -50,17 +51,17 @@
         Some(id)
     }
 
-    /// The socket of this number, if it is still in the table.
+    /// The socket with this number, if it is still in the table.
     pub(crate) fn get(&self, number: u64) -> Option<&SocketEntry> {
         self.entries.get(number)
     }
 
-    /// The same, to change it.
+    /// Mutable access to the socket with this number, if it is still in the table.
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut SocketEntry> {
         self.entries.get_mut(number)
     }
 
-    /// How many sockets there are.
+    /// The number of sockets.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -70,7 +71,7 @@
         self.entries.iter()
     }
 
-    /// Watches a socket for what it needs now.
+    /// Updates the events that a socket is watched for.
     pub(crate) fn watch(&mut self, id: ConnectionId) {
         let Some(socket) = self.entries.get_mut(id.0) else { return };
         let wanted = socket.connection.wanted();
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes a socket out of the table, which closes it.
+    /// Removes a socket from the table, which closes it.
     pub(crate) fn close(&mut self, id: ConnectionId) {
         self.entries.remove(id.0);
     }
@@ -94,7 +95,7 @@
         self.close(id);
     }
 
-    /// Closes this process's descriptor of a socket that another process has too: the connection goes on
+    /// Closes this process's descriptor of a socket that another process holds too; the connection continues
     /// there.
     pub(crate) fn abandon(&mut self, id: ConnectionId) {
         if let Some(socket) = self.entries.get(id.0) {
@@ -105,7 +106,7 @@
 }
 
 impl Service {
-    /// What a socket is for, if it is still open.
+    /// The role of a socket, if it is still open.
     pub(crate) fn role(&self, id: ConnectionId) -> Option<SocketRole> {
         self.sockets.get(id.0).map(|socket| socket.role)
     }
@@ -124,12 +125,12 @@
         self.sockets.close(id);
     }
 
-    /// Leaves a socket to another process that has it too.
+    /// Leaves a socket to another process that holds it too.
     pub(crate) fn abandon_connection(&mut self, id: ConnectionId) {
         self.sockets.abandon(id);
     }
 
-    /// Sends what can be sent. If the connection breaks, the next event shows it.
+    /// Sends what the socket accepts. If the connection fails, the next event shows it.
     pub(crate) fn flush_connection(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         let _ = socket.connection.flush();
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Watches the admin interface for callers, or stops watching it.
+    /// Watches the admin interface for new connections, or stops watching it.
     pub(crate) fn watch_admin(&mut self, open: bool) {
         if let Some(listener) = &self.admin.listener {
             let _ = self.sockets.reactor.change(listener, ADMIN, readable_if(open));
@@ -162,7 +163,7 @@
         self.sockets.reactor.add(fd, number, Flags::IN)
     }
 
-    /// Watches the socket at which a successor asks.
+    /// Watches the Unix socket on which a successor connects.
     ///
     /// # Errors
     ///
@@ -171,7 +172,8 @@
         self.watch_listener(listener, SUCCESSORS)
     }
 
-    /// Descriptors in use, and those that the calls in flight will need.
+    /// The number of descriptors in use or reserved, and of those that in-flight calls will need for
+    /// attempts.
     pub(crate) fn descriptors(&self) -> usize {
         let peer_links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
         let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
@@ -181,20 +183,21 @@
             + future_attempts
     }
 
-    /// Descriptors that the calls in flight need when all have their attempts.
+    /// The number of reserved descriptors, and of those that the in-flight calls need if each has an attempt.
     pub(crate) fn committed_descriptors(&self) -> usize {
         self.reserved_descriptors() + self.handover.predecessor_descriptors + 2 * self.calls.len()
     }
 
-    /// What the node needs for itself, for its peers, and for the admin interface however many clients there
-    /// are.
+    /// The number of descriptors reserved for the node itself, its peers and the admin interface, regardless
+    /// of the number of clients.
     fn reserved_descriptors(&self) -> usize {
         let peers = self.membership.as_ref().map_or(0, |membership| membership.descriptors());
         let admin = if self.admin.listener.is_some() { 1 + CALLERS } else { 0 };
         OWN_DESCRIPTORS + peers + admin
     }
 
-    /// Takes a call out of the tables. One that never opened is counted here, one that did was when it did.
+    /// Removes a call. A call that never opened is counted in the metrics here; an open one was counted when
+    /// it opened.
     pub(crate) fn forget_call(&mut self, id: CallId) -> Option<InFlightCall> {
         let in_flight = self.calls.remove(id.0)?;
         self.replicated_call_ended(id, in_flight.replicated.as_ref());
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -1,4 +1,4 @@
-//! The start of a node: from its configuration, and from its predecessor if one serves.
+//! Start of a node: from its configuration, and from the state of its predecessor if one is running.
 
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
@@ -25,11 +25,11 @@
 use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
 use crate::timers::{TimerEvent, Timers};
 
-/// An agent on the node's own faults answers within milliseconds, or its service is down and it knows
-/// nothing new.
+/// Time that the node waits for the list of an agent on its own machine. The agent answers within
+/// milliseconds, or its service is down and it knows nothing new.
 const AGENT_TIMEOUT: Span = Span::ms(1_000);
 
-/// The listening sockets and the signals, watched by a reactor.
+/// The listening sockets and the signal streams, with the reactor that watches them.
 struct EventSources {
     reactor: Reactor,
     listener: OwnedFd,
@@ -38,14 +38,14 @@
     reloads: UnixStream,
 }
 
-/// The process that serves until this one can.
+/// The process that serves until this one is ready.
 struct Predecessor {
     line: UnixStream,
-    /// What it has told, if that could be read.
+    /// The state that it has handed over, if it could be decoded.
     state: Option<HandoverState>,
 }
 
-/// What is known before the endpoint list has been heard.
+/// What the node knows before it has received the endpoint list.
 struct InitialState {
     list: Option<EndpointListUpdate>,
     node: Option<PredecessorState>,
@@ -57,11 +57,11 @@
 }
 
 impl Service {
-    /// Listens, takes over what a predecessor tells, and joins the fleet.
+    /// Opens the listening sockets, takes over the state of a predecessor, and joins the fleet.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be
+    /// Fails if an address cannot be bound, epoll or signal handlers cannot be set up, or the fleet cannot be
     /// joined.
     pub(crate) fn start(
         mut config: NodeConfig,
@@ -99,7 +99,7 @@
             metrics: Metrics::new(&config.names.traffic),
             drain_number: 0,
             slowest_turn: Span::ZERO,
-            // Another seed than the decisions', so that the two sequences are independent.
+            // The seed differs from that of the decision logic, so that the two sequences are independent.
             random: WyRand::new_seed(!config.seed),
             signals: sources.signals,
             reloads: sources.reloads,
@@ -117,7 +117,7 @@
     }
 
     fn start_decision_logic(&mut self, known: InitialState) {
-        // The known list's index stands before the first request, which then asks for what came after it.
+        // The index of the known list is set before the first request, which then asks for later changes.
         if let Some(list) = &known.list {
             self.list.set_index(list.index);
         }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Opens what the node waits for, with the listening socket of its predecessor if there is one.
+/// Opens the node's event sources, with the listening socket of its predecessor if there is one.
 fn open_sources(
     config: &NodeConfig,
     inherited: Option<Inherited>,
@@ -144,7 +144,7 @@
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
-    // A predecessor goes on accepting until this process can serve.
+    // A predecessor goes on accepting until this process is ready to serve.
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
@@ -154,7 +154,7 @@
     }
     let signals = signal_stream(signal_hook::consts::SIGTERM)?;
     reactor.add(&signals, SIGNALS, Flags::IN)?;
-    // Unhandled, SIGHUP would end the process and all its connections.
+    // Without a handler, SIGHUP would end the process and all its connections.
     let reloads = signal_stream(signal_hook::consts::SIGHUP)?;
     reactor.add(&reloads, RELOADS, Flags::IN)?;
     Ok((EventSources { reactor, listener, admin, signals, reloads }, predecessor))
@@ -165,7 +165,7 @@
     connection::listen(address).map_err(|source| ServiceError::Listen { address, source })
 }
 
-/// A stream that becomes readable with each signal of this number.
+/// Returns a stream that becomes readable whenever this signal arrives.
 fn signal_stream(signal: i32) -> Result<UnixStream, std::io::Error> {
     let (receiver, sender) = UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
@@ -173,7 +173,8 @@
     Ok(receiver)
 }
 
-/// The newer one of the configured list and the predecessor's counts, the predecessor's among equals.
+/// Merges the configured list and the predecessor's state: the list with the higher index is used, the
+/// predecessor's if they are equal.
 fn merge_initial_state(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> InitialState {
     let Some(state) = state else { return InitialState { list: configured, node: None } };
     let list = match configured {
