--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -17,7 +17,7 @@
 /// once: more than clients have in transit.
 const MAX_DISCARDED: usize = 64 << 10;
 
-/// How long a closing connection stays open so that its client can read the last bytes, and how long the
+/// How long a closing connection stays open so that its peer can read the last bytes, and how long the
 /// host may take to end its side once the client has ended its own.
 const LINGER: Span = Span::ms(1_000);
 
--- a/crates/node/src/hosts/messages.rs
+++ b/crates/node/src/hosts/messages.rs
@@ -98,7 +98,7 @@
     fn establish_call(&mut self, id: ConnectionId, call: CallId, line: &[u8]) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
         let (Some(client), Some(attempt)) = (in_flight.client, &in_flight.attempt) else {
-            // The client has gone, but the attempt had not been canceled yet.
+            // The client has gone, and the attempt could not be canceled in time.
             return self.end_attempt(call, AttemptOutcome::Canceled, None);
         };
         let is_returning = in_flight.stage == CallStage::Returning;
--- a/crates/node/src/hosts/table.rs
+++ b/crates/node/src/hosts/table.rs
@@ -89,7 +89,7 @@
         self.hosts.values().any(|host| host.condition == Condition::Ready)
     }
 
-    /// The hosts that have not gone.
+    /// The hosts in the list that have not gone.
     pub(crate) fn listed(&self) -> impl Iterator<Item = HostId> {
         self.hosts.iter().filter(|(_, host)| host.condition != Condition::Gone).map(|(id, _)| *id)
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -51,7 +51,7 @@
     pub clock_ahead_s: i64,
 }
 
-/// Starts a node with the configuration that the environment names, and serves until SIGTERM.
+/// Starts a node with the configuration that the environment names, and serves until it is told to exit.
 ///
 /// The exit code tells whether the node started and served without an error; errors are logged.
 pub fn run(faults: InjectedFaults) -> ExitCode {
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -15,7 +15,7 @@
         /// When the drain started.
         since: Time,
     },
-    /// The successor accepts new clients; this process serves its remaining ones until SIGTERM.
+    /// The successor accepts new clients; this process serves its remaining ones until it is told to exit.
     Replaced,
     /// The node was told to exit and migrates its clients until `until`.
     Leaving {
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -239,7 +239,7 @@
     pub(crate) fn read_connection(&mut self, id: ConnectionId, flags: Flags) {
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         if socket.connection.read_ended {
-            // The peer had ended its side before, and now the connection has failed.
+            // The peer has ended its side already: an error or a hang-up means that the connection is over.
             if flags.intersects(Flags::ERR | Flags::HUP) {
                 self.connection_lost(id);
             }
@@ -249,7 +249,7 @@
         if role == SocketRole::Predecessor {
             return self.predecessor_readable(id);
         }
-        // A connection without a call may only send one line.
+        // For a connection without a call, room for one line is enough.
         let limit = if role == SocketRole::Client(None) { MAX_LINE_LENGTH } else { READ_SIZE };
         let outcome = match socket.connection.read(&mut self.read_buffer[..limit]) {
             Ok(outcome) => outcome,
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown of the process: from SIGTERM until the last answers have been sent.
+//! Shutdown of the process: from SIGTERM, or a request to exit after a drain, until the last answers are sent.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::info;
@@ -11,12 +11,13 @@
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::timers::TimerEvent;
 
-/// Time after SIGTERM until new clients no longer arrive: the front-end balancer goes on sending them for up
-/// to 0.4 s.
+/// Time from the start of the shutdown until new clients no longer arrive: the front-end balancer goes on
+/// sending them for up to 0.4 s.
 const NEW_CLIENTS_AFTER_TERM: Span = Span::ms(450);
 
-/// Delay from SIGTERM to closing the listening socket; no clients arrive any more by then. If it stayed open
-/// and the successor had its own socket on the address, the kernel would go on giving connections to both.
+/// Delay from the start of the shutdown to closing the listening socket; no clients arrive any more by then.
+/// If it stayed open and the successor had its own socket on the address, the kernel would go on giving
+/// connections to both.
 const STOP_ACCEPTING_DELAY: Span = Span::ms(600);
 
 /// Delay from the end of accepting to the exit of a drained node.
@@ -32,8 +33,8 @@
 /// Time over which the migration of clients that open while the node is leaving is spread.
 const LATE_MIGRATION_TIME: Span = Span::ms(300);
 
-/// Time for handing connections over to the successor, which takes milliseconds; connections that are left
-/// after it are migrated.
+/// Time for handing connections over to the successor. It takes milliseconds; connections that are left after
+/// this time are migrated.
 const HANDOVER_TIME: Span = Span::ms(200);
 
 /// The last clients are migrated this long before the exit, so that their connections can be closed in order.
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Exits a replaced process once its last call has ended or has been handed over.
+    /// Exits a replaced process once its last call has ended or has been handed over and no socket of a
+    /// client or host is left; otherwise checks again after [`HANDOVER_TIME`].
     pub(super) fn check_idle_exit(&mut self) {
         let is_used = |socket: &SocketEntry| {
             matches!(socket.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
