--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -1,4 +1,5 @@
-//! Shutdown of the process: from SIGTERM, or a request to exit after a drain, until the last answers are sent.
+//! Shutdown of the process: from SIGTERM, or a request to exit after a drain, until the last answers are
+//! sent.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::info;
