--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -12,9 +12,10 @@
 /// The stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallStage {
-    /// The decision logic handles the call; an attempt may be in progress.
+    /// The call waits for a lookup of its prior attempt or for the decision logic; an attempt may be in
+    /// progress.
     Waiting,
-    /// The client was connected before and returns to its previous host.
+    /// The client names a host where its connection was open before, and returns to it.
     Returning,
     /// A host has accepted the call; lines are relayed.
     Open,
@@ -64,7 +65,7 @@
     pub call: Call,
     /// The stage of the call.
     pub stage: CallStage,
-    /// The host that the client was connected to before, if it returns to one.
+    /// The host where the client's connection was open before, if the client names one.
     pub previous_host: Option<HostId>,
     /// The attempt in progress, or the open connection.
     pub attempt: Option<Attempt>,
@@ -76,7 +77,7 @@
     pub has_silence_timer: bool,
     /// `BYE` or `MOVE`, if the host has announced the end of the connection with it.
     pub final_message: Option<HostMessage>,
-    /// What the client was told, if the connection never opened.
+    /// The node's own answer to the client, if the connection never opened; `None` counts as a failure.
     pub outcome: Option<Outcome>,
     /// What replicas store about the call, if it is replicated.
     pub replicated: Option<ReplicatedCall>,
--- a/crates/node/src/clients/accept.rs
+++ b/crates/node/src/clients/accept.rs
@@ -27,9 +27,9 @@
 }
 
 impl AcceptQueue {
-    /// Forgets an old waiting time. No event tells that a queue has become empty, and the next connection
-    /// would be counted as waiting since then. While connections wait, accepting is tried again within
-    /// [`ACCEPT_RETRY_DELAY`], so a longer pause means that the queue was empty.
+    /// Clears `waiting_since` if it is outdated. No event tells that the last connection of the queue was
+    /// accepted, and the next connection would count as waiting since the old time. While connections wait,
+    /// accepting is tried again within [`ACCEPT_RETRY_DELAY`], so after twice that the queue was empty.
     fn begin_accepting(&mut self, now: Time) {
         if now.since(self.last_accepted) > ACCEPT_RETRY_DELAY.times(2.0) {
             self.waiting_since = None;
--- a/crates/node/src/clients/closing.rs
+++ b/crates/node/src/clients/closing.rs
@@ -55,7 +55,8 @@
         socket.connection.inbox = Vec::new();
         socket.connection.paused = false;
         socket.connection.shutdown_after_flush = true;
-        // Connections of clients that were rejected for lack of descriptors occupy the reserved ones.
+        // Connections of clients that were rejected for lack of descriptors occupy the reserved ones, so
+        // descriptors count as short once less than twice the reserve is free.
         let is_short = self.descriptors() + 2 * RESERVED_DESCRIPTORS > self.config.descriptors;
         let linger = if is_short { SHORT_LINGER } else { LINGER };
         self.timers.set(self.now + linger, TimerEvent::ClosingTimeout(id));
@@ -132,7 +133,7 @@
         false
     }
 
-    /// Gives up a call that is not open, as its client has gone.
+    /// Gives up a call that is not open and has no client to answer any more.
     pub(super) fn give_up_call(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
         if in_flight.stage == CallStage::Returning {
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -55,7 +55,7 @@
     pub(crate) fn first_line_timeout(&mut self, id: ConnectionId) {
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
-        if is_unopened && self.now.since(socket.quiet_since) >= FIRST_LINE_TIMEOUT {
+        if is_unopened && self.now.since(socket.opened_or_pinged_at) >= FIRST_LINE_TIMEOUT {
             self.close_idle(id);
         }
     }
@@ -67,7 +67,7 @@
         let Some(socket) = self.sockets.get(id.0) else { return };
         let is_unopened = socket.role == SocketRole::Client(None);
         let is_over = self.phase == Phase::Flushing;
-        if is_unopened && (is_over || self.now.since(socket.quiet_since) >= FIRST_LINE_TIMEOUT) {
+        if is_unopened && (is_over || self.now.since(socket.opened_or_pinged_at) >= FIRST_LINE_TIMEOUT) {
             self.close_with_last_bytes(id, b"");
         }
     }
@@ -87,8 +87,8 @@
     }
 }
 
-/// Whether an idle connection must stay: it has an unread first line, which may open a call, or unsent bytes
-/// of an answer.
+/// Whether an idle connection must stay: an unread first line may open a call, and an unsent answer must
+/// still reach the client.
 fn is_still_needed(socket: &SocketEntry) -> bool {
     let has_request =
         socket.role == SocketRole::Client(None) && socket.connection.peer_state() == PeerState::HasSent;
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -23,7 +23,7 @@
 /// their line and read their last bytes within 5 ms; this is ten times that, for a busy core.
 const MIN_IDLE_TIME: Span = Span::ms(50);
 
-/// Number of descriptors that calls do not use: half are for new connections, which may only be answered with
+/// Number of descriptors that a new call must leave free: half for new connections, which may only be told
 /// `BUSY`, half for the attempts of accepted calls, for probes and for the endpoint list.
 const RESERVED_DESCRIPTORS: usize = 16;
 
--- a/crates/node/src/clients/relay.rs
+++ b/crates/node/src/clients/relay.rs
@@ -53,7 +53,7 @@
             return;
         }
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        if let Some(due) = in_flight.note_client_spoke(self.now) {
+        if let Some(due) = in_flight.note_line_from_client(self.now) {
             self.timers.set(due, TimerEvent::HostSilence(call));
         }
         let Some(client) = self.sockets.get_mut(client.0) else { return };
--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -21,8 +21,8 @@
 /// better for the client.
 const MAX_RETURN_TIME: Span = Span::ms(10_000);
 
-/// Maximum retry delay that is told to clients that are rejected because descriptors are short, if the
-/// settings allow telling a delay at all.
+/// Maximum retry delay that is told to clients rejected because descriptors are short or the node is leaving,
+/// if the settings allow telling a delay at all.
 const MAX_BUSY_RETRY: Span = Span::ms(500);
 
 impl Service {
@@ -35,7 +35,8 @@
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
-        // The waiting time of a client that was accepted late starts when its connection may have arrived.
+        // A client that was accepted late has waited since its connection may have arrived. If its line comes
+        // `MIN_IDLE_TIME` or more after the accept, the line was not waiting, and the time counts from now.
         let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE_TIME;
         let queued_since = socket.queued_since.take().filter(|_| is_fresh);
         match call {
@@ -56,8 +57,8 @@
                 return;
             };
             let line: Vec<u8> = inbox.drain(..length).collect();
-            // A client must wait after its line. Hosts would otherwise work for calls that are then refused:
-            // those of clients that send hundreds of lines at once, or more data before a host has the call.
+            // A client must wait for the answer to its line. If clients could send hundreds of lines at once,
+            // or more data before a host has the call, hosts would work for calls that are then refused.
             if !inbox.is_empty() {
                 debug!("client sent data before it had an answer to its line");
                 return self.answer_client(id, Answer::Error);
@@ -67,10 +68,10 @@
                     let answer = if takes_clients { Answer::Pong } else { Answer::Error };
                     answer.encode(&mut socket.connection.outbox);
                     self.timers.set(self.now + FIRST_LINE_TIMEOUT, TimerEvent::FirstLineTimeout(id));
-                    socket.quiet_since = self.now;
+                    socket.opened_or_pinged_at = self.now;
                     self.flush_connection(id);
                 }
-                Ok(ClientMessage::Open(request)) => return self.accept_call(id, sent_at, request),
+                Ok(ClientMessage::Open(request)) => return self.handle_open(id, sent_at, request),
                 Err(cause) => {
                     debug!(%cause, "invalid client line");
                     return self.answer_client(id, Answer::Error);
@@ -79,7 +80,7 @@
         }
     }
 
-    fn accept_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
+    fn handle_open(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
         // Hosts identify a call by its client id, so a second connection with the same id would disturb the
         // first.
         if self.calls.has_client(request.id) {
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -12,10 +12,11 @@
 /// Maximum bytes per read.
 pub(crate) const READ_SIZE: usize = 16 << 10;
 
-/// While an outbox holds more unsent bytes than this, the socket whose data fills it is not read.
+/// Once an outbox holds more unsent bytes than this, the socket whose data fills it is not read until
+/// [`LOW_WATER_MARK`]. Sent bytes are also removed from an outbox once they exceed this number.
 pub(crate) const HIGH_WATER_MARK: usize = 16 << 10;
 
-/// Reading resumes once the outbox holds no more unsent bytes than this.
+/// Reading resumes once the outbox holds at most this many unsent bytes.
 pub(crate) const LOW_WATER_MARK: usize = HIGH_WATER_MARK / 2;
 
 /// Pending connections that the kernel queues: enough for a burst of a whole fleet's clients.
@@ -199,8 +200,8 @@
     ///
     /// # Errors
     ///
-    /// Returns why the connection failed. The outbox is then cleared, so that neither unsent bytes nor bytes
-    /// appended later are ever counted as sent.
+    /// Returns why the connection failed. The outbox is then cleared and `broken` is set, so that nothing that
+    /// is or was in the outbox counts as sent.
     pub(crate) fn flush(&mut self) -> Result<(), Errno> {
         let flushed = self.send_outbox();
         if flushed.is_err() {
--- a/crates/node/src/endpoint_list/mod.rs
+++ b/crates/node/src/endpoint_list/mod.rs
@@ -18,8 +18,8 @@
     /// A required key is missing, or its value has the wrong type.
     #[error("endpoint list: missing or mistyped {0}")]
     Missing(&'static str),
-    /// A value cannot be used.
-    #[error("endpoint list: invalid {0}")]
+    /// A value cannot be used, or an entry lacks `status` or `address`.
+    #[error("endpoint list: missing or invalid {0}")]
     Invalid(&'static str),
 }
 
@@ -41,13 +41,13 @@
 pub(crate) struct EndpointListClient {
     /// The version of the list that the node knows.
     index: Option<u64>,
-    /// Whether the list's service has answered since the start.
+    /// Whether the list's service has answered since the start or the last [`Service::restart_watch`].
     pub has_answered: bool,
-    /// The connection of the watch. If there is none, the decision logic decides when to open it.
+    /// The connection of the watch. If there is none, the decision logic or a reload opens it.
     watch: Option<ConnectionId>,
     /// The watch timed out and was reopened, and nothing has been received since.
     is_reopened: bool,
-    /// The decision logic has been told that the watch is established.
+    /// The decision logic knows that the watch is established.
     is_established: bool,
     /// Reads the current response as it arrives.
     response_reader: ResponseReader,
@@ -65,12 +65,12 @@
     }
 }
 
-/// Maximum poll interval told to the decision logic. With it, failed requests are repeated after 1.2 s at the
-/// latest, which leaves time for three within the maximum age of the list.
+/// Maximum poll interval told to the decision logic, which repeats a failed request after at most 0.4 of it.
+/// Here that is 1.2 s, which leaves time for three requests within the maximum age of the list.
 const MAX_POLL_INTERVAL: Span = Span::ms(3_000);
 
-/// Poll interval if the list is pushed. Only the node's own agent is asked then, and its data counts as known
-/// at once, so failed requests are repeated within 0.1 s.
+/// Poll interval if the list is pushed. Only the discovery agent on this machine is asked then, and the node
+/// is expected to follow its data immediately, so failed requests are repeated within 0.1 s.
 const PUSHED_POLL_INTERVAL: Span = Span::ms(250);
 
 /// The interval within which the decision logic spreads first requests and repeats failed ones; `settings` is
--- a/crates/node/src/endpoint_list/watch.rs
+++ b/crates/node/src/endpoint_list/watch.rs
@@ -69,9 +69,9 @@
     }
 
     /// Reopens the watch, after a reload changed the address of the list's service or added zones. Closing
-    /// the old watch does not count as a failure, and hosts stay until the new list arrives. Each service has
-    /// its own versions, so the known version is dropped, and an answer of the old service that is still in
-    /// transit must not undo the new list.
+    /// the old watch does not count as a failure, and hosts stay until the new list arrives. The known
+    /// version is dropped: each service has its own versions, and new zones need the whole list. An answer of
+    /// the old service that is still in transit must not undo the new list.
     pub(crate) fn restart_watch(&mut self) {
         if let Some(id) = std::mem::take(&mut self.list).watch {
             self.close_connection(id);
@@ -111,9 +111,9 @@
         self.flush_connection(id);
     }
 
-    /// Handles a request that may have passed its deadline. A silent connection is reopened once at once.
-    /// That does not count as a failure yet, and needs no delay, as the connections of different nodes fall
-    /// silent at different times.
+    /// Handles a request that may have passed its deadline. The first time, a silent connection is reopened
+    /// immediately. That does not count as a failure yet, and the connections of different nodes fall silent
+    /// at different times.
     pub(crate) fn list_timeout(&mut self, id: ConnectionId) {
         let Some(SocketRole::EndpointList(deadline)) = self.role(id) else { return };
         if self.now < deadline {
@@ -187,8 +187,8 @@
     fn handle_list(&mut self, id: ConnectionId, mut update: EndpointListUpdate, can_reuse: bool) {
         self.list.is_reopened = false;
         // A restarted service counts its versions from the start again. Its complete list is the newest
-        // one, and a node that kept its higher version would never get an update again. Changes to a
-        // version older than the known one are ignored.
+        // one, and a node that kept its higher version would never get an update again. Changes whose
+        // version is lower than the known one are ignored.
         let is_complete = update.update == ListUpdate::Complete;
         let newer_index = self.list.index.filter(|known| !is_complete && update.index < *known);
         self.list.index = newer_index.or(Some(update.index));
--- a/crates/node/src/hash.rs
+++ b/crates/node/src/hash.rs
@@ -5,7 +5,8 @@
 
 /// The number that stands for the name of a host, subject, group or kind.
 ///
-/// Names are compared by this number only, so it must be wide enough that two names never collide by chance.
+/// Names are compared by this number only, so it must be wide enough that a collision of two names is
+/// practically impossible.
 pub(crate) fn hash_name(name: &str) -> u64 {
     hash_bytes(name.bytes())
 }
--- a/crates/node/src/hosts/attempts.rs
+++ b/crates/node/src/hosts/attempts.rs
@@ -73,7 +73,8 @@
             && !attempt.is_line_queued
         {
             // If the connection is established late or the intent is replicated late, the host may have
-            // started to drain, and must not get a new call. A returning call still goes to its host.
+            // started to drain, and must not get a new call. A returning call may still go there: its
+            // connection was open there, and no other host can take it.
             let is_host_closed = in_flight.stage == CallStage::Waiting && !self.hosts.is_ready(attempt.host);
             if is_host_closed || !self.is_client_waiting(call) {
                 self.end_attempt(call, AttemptOutcome::NeverSent, None);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Sends a returning call to its previous host.
+    /// Sends a returning call to the host where its connection was open before.
     pub(crate) fn return_to_host(&mut self, id: CallId) {
         let Some(InFlightCall {
             stage: CallStage::Returning,
--- a/crates/node/src/hosts/connections.rs
+++ b/crates/node/src/hosts/connections.rs
@@ -10,9 +10,9 @@
 use crate::timers::TimerEvent;
 
 /// Time limit for a host to send something after the client has sent a line. A healthy host answers within
-/// milliseconds even under load; the limit leaves time for three TCP retransmissions (after 0.2, 0.4 and
-/// 0.8 s). Clients send a line every 2 s, so the clients of a vanished host are migrated within 4 s; 7 s are
-/// allowed.
+/// milliseconds even under load; the limit leaves time for three TCP retransmissions (after 0.2, 0.4 and 0.8
+/// s). Clients send a line every 2 s, so the clients of a vanished host are migrated within 4 s, below the
+/// limit of 7 s.
 const HOST_SILENCE: Span = Span::ms(2_000);
 
 /// How the socket to a host is closed.
@@ -25,7 +25,8 @@
 }
 
 impl Service {
-    /// Ends the client's side of an open connection in the same way as the host's side has ended.
+    /// Ends the client's side of an open connection in the same way as the host's side has ended; after `BYE`
+    /// or `MOVE` always in order.
     pub(crate) fn host_ended(&mut self, id: CallId, is_broken: bool) {
         let Some(in_flight) = self.calls.get_mut(id.0) else { return };
         let outcome = match (in_flight.final_message, in_flight.stage) {
@@ -90,7 +91,8 @@
         self.close_attempt(id, outcome, HostClose::Graceful);
     }
 
-    /// Spreads the migration of a draining host's clients over [`MIGRATION_PERIOD`].
+    /// Spreads the migration of a draining host's clients over [`MIGRATION_PERIOD`], so that they have left
+    /// before the host exits.
     pub(crate) fn migrate_from(&mut self, host: HostId) {
         let calls = self.hosts.open_calls(host);
         let count = calls.len().max(1) as f64;
@@ -104,7 +106,7 @@
 impl InFlightCall {
     /// Notes that the client has sent a line and waits for the host. Returns when to check for the host's
     /// silence, or `None` if a timer is set already.
-    pub(crate) fn note_client_spoke(&mut self, now: Time) -> Option<Time> {
+    pub(crate) fn note_line_from_client(&mut self, now: Time) -> Option<Time> {
         self.awaiting_host_since.get_or_insert(now);
         let had_timer = std::mem::replace(&mut self.has_silence_timer, true);
         if had_timer { None } else { Some(now + HOST_SILENCE) }
--- a/crates/node/src/hosts/probes.rs
+++ b/crates/node/src/hosts/probes.rs
@@ -31,7 +31,7 @@
 
     /// Closes the connection of a finished probe and reports its outcome to the decision logic.
     pub(crate) fn finish_probe(&mut self, id: ConnectionId, host: HostId, outcome: AttemptOutcome) {
-        let opened_at = self.sockets.get(id.0).map_or(self.now, |socket| socket.quiet_since);
+        let opened_at = self.sockets.get(id.0).map_or(self.now, |socket| socket.opened_or_pinged_at);
         self.close_connection(id);
         let now = self.now;
         let took = now.since(opened_at);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`run`] is the whole program. It is a library so that the cluster harness can run it with
 //! [`InjectedFaults`]. `service` contains the event loop; `clients`, `hosts`, `endpoint_list`, `handover`,
-//! `peers` and `admin` each handle one kind of remote side.
+//! `peers` and `admin` each handle the connections of one kind of peer.
 
 mod admin;
 mod call;
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -5,7 +5,8 @@
 /// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The node listens, but is not ready to serve yet: it knows no ready host, or still waits for something.
+    /// The node listens, but is not ready to serve yet: it knows no ready host, or still waits for the
+    /// endpoint list or the fleet.
     Starting,
     /// The node accepts and serves clients.
     Serving,
--- a/crates/node/src/reactor.rs
+++ b/crates/node/src/reactor.rs
@@ -13,9 +13,9 @@
 /// The listening socket for clients.
 pub(crate) const LISTENER: u64 = u64::MAX;
 /// The stream that becomes readable on SIGTERM.
-pub(crate) const SIGNALS: u64 = u64::MAX - 1;
+pub(crate) const TERM_SIGNALS: u64 = u64::MAX - 1;
 /// The stream that becomes readable on SIGHUP.
-pub(crate) const RELOADS: u64 = u64::MAX - 2;
+pub(crate) const RELOAD_SIGNALS: u64 = u64::MAX - 2;
 /// The listening socket of the admin interface.
 pub(crate) const ADMIN: u64 = u64::MAX - 3;
 /// The Unix socket on which a successor connects.
@@ -58,7 +58,7 @@
     }
 
     /// Stops watching a descriptor whose socket another process holds too. Epoll watches the open socket, not
-    /// this process's descriptor: without this call, events would continue after it is closed here.
+    /// this process's descriptor: without this call, events would continue after the descriptor is closed.
     pub(crate) fn remove(&self, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
     }
--- a/crates/node/src/service/clock.rs
+++ b/crates/node/src/service/clock.rs
@@ -7,7 +7,7 @@
 const NANOSECONDS_PER_SECOND: i128 = 1_000_000_000;
 
 /// Wall time at the start plus the monotonic time since then. Wall time is needed because the start times of
-/// hosts are wall times; timers must not jump with it.
+/// hosts are wall times, but timers must not jump when the wall clock is set.
 pub(super) struct Clock {
     start: Instant,
     wall_start: Time,
--- a/crates/node/src/service/drain.rs
+++ b/crates/node/src/service/drain.rs
@@ -8,8 +8,8 @@
 use crate::lifecycle::Phase;
 use crate::timers::TimerEvent;
 
-/// Time until the front-end balancer has stopped sending new clients after the start of a drain: it checks
-/// the node within 0.1 s, and may send clients for another 0.2 s.
+/// Time from the start of a drain until the front-end balancer has stopped sending new clients: it checks the
+/// node within 0.1 s, and may send clients for another 0.2 s.
 pub(super) const NEW_CLIENTS_AFTER_DRAIN: Span = Span::ms(350);
 
 /// Time from the start of a drain until the clients that were connected when the front-end balancer stopped
--- a/crates/node/src/service/lifecycle.rs
+++ b/crates/node/src/service/lifecycle.rs
@@ -10,7 +10,9 @@
 impl Service {
     /// Starts to serve if a host is ready and the node need not wait for the list or the fleet.
     pub(crate) fn serve_if_ready(&mut self) {
-        // What the node's own agent has counts as known from the start, so the node waits for its answer.
+        // The node waits, for a limited time, for a first answer with the list: after a predecessor, which
+        // goes on accepting until then, and if the list is pushed, as the node is expected to know what the
+        // discovery agent on this machine has from the start.
         let needs_list = self.handover.has_predecessor() || self.config.list_is_pushed;
         let awaits_list = needs_list && !self.list.has_answered && !self.handover.is_list_wait_over;
         let must_wait = awaits_list || self.waits_for_fleet();
--- a/crates/node/src/service/mod.rs
+++ b/crates/node/src/service/mod.rs
@@ -35,7 +35,7 @@
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
 use crate::protocol::MAX_LINE_LENGTH;
-use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOADS, SIGNALS, STORE, SUCCESSORS};
+use crate::reactor::{ADMIN, Flags, LISTENER, PEERS, RELOAD_SIGNALS, STORE, SUCCESSORS, TERM_SIGNALS};
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::{TimerEvent, Timers};
 use clock::Clock;
@@ -95,9 +95,9 @@
     pub slowest_turn: Span,
     random: WyRand,
     /// Readable after SIGTERM.
-    signals: UnixStream,
+    term_signals: UnixStream,
     /// Readable after SIGHUP.
-    reloads: UnixStream,
+    reload_signals: UnixStream,
     /// All sockets except the listening ones.
     pub sockets: SocketTable,
     /// The in-flight calls.
@@ -167,13 +167,13 @@
             SUCCESSORS => self.accept_successor(),
             PEERS => self.accept_peers(),
             STORE => self.store_readable(),
-            SIGNALS => {
-                if read_signal(&mut self.signals) {
+            TERM_SIGNALS => {
+                if read_signal(&mut self.term_signals) {
                     self.leave();
                 }
             }
-            RELOADS => {
-                if read_signal(&mut self.reloads) {
+            RELOAD_SIGNALS => {
+                if read_signal(&mut self.reload_signals) {
                     self.reload();
                 }
             }
--- a/crates/node/src/service/port.rs
+++ b/crates/node/src/service/port.rs
@@ -12,7 +12,8 @@
 use crate::timers::TimerEvent;
 
 impl Service {
-    /// Passes an event to the decision logic, and then delivers the reports that its actions caused.
+    /// Runs `event` on the decision logic, and then delivers all pending reports. Does nothing while the
+    /// decision logic is running; see [`Service::is_deciding`].
     pub(crate) fn with_node(&mut self, event: impl FnOnce(&mut Node, &mut Service)) {
         if let Some(mut node) = self.node.take() {
             event(&mut node, self);
@@ -97,7 +98,8 @@
     }
 
     /// Does nothing: the watch reports every change, and a lost watch is reopened within its time bound. A
-    /// separate request would bring nothing new, and cost the list's service one request per node.
+    /// separate request would bring nothing new, and cost the list's service one request from each node that
+    /// doubts its list.
     fn fetch_endpoints(&mut self) {}
 
     fn watch_endpoints(&mut self) {
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -24,8 +24,8 @@
 /// Delay from the end of accepting to the exit of a drained node.
 const DRAINED_EXIT_DELAY: Span = Span::ms(50);
 
-/// Maximum part of the longest call deadline that the shutdown waits for. The platform kills the process no
-/// sooner than 0.7 s after the longest deadline, of which it counts at most 3 s.
+/// The shutdown waits for the longest call deadline, but at most this long. The platform kills the process no
+/// sooner than 0.7 s after the longest deadline, and it counts 3 s if that is longer.
 const MAX_DEADLINE_WAIT: Span = Span::ms(3_000);
 
 /// Time that the process goes on after the longest deadline.
@@ -64,8 +64,8 @@
         self.timers.set(self.now + STOP_ACCEPTING_DELAY, TimerEvent::StopAccepting);
         let is_replaced = self.handover.is_replaced();
         let first = if is_replaced {
-            // The successor serves already, so only connections that cannot be handed over are migrated,
-            // soon.
+            // The successor serves already, so migration need not wait until new clients stop: it starts
+            // after `HANDOVER_TIME`, for connections that are not handed over by their turn.
             self.now + HANDOVER_TIME
         } else {
             (until - LAST_MIGRATIONS_BEFORE_EXIT - MIGRATION_TIME).max(self.now + NEW_CLIENTS_AFTER_TERM)
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Schedules the migration of a call that opens while the node migrates its clients. It is migrated with
-    /// the last ones, at a random time: clients that are migrated together reconnect together.
+    /// Schedules the migration of a call that opens while the node migrates its clients, or hands it over if
+    /// the process is replaced. The time is random, in the last migrations of a shutdown or in the rest of a
+    /// drain: clients that are migrated together reconnect together.
     pub(crate) fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
--- a/crates/node/src/service/sockets.rs
+++ b/crates/node/src/service/sockets.rs
@@ -41,7 +41,8 @@
         role: SocketRole,
         now: Time,
     ) -> Option<ConnectionId> {
-        let entry = SocketEntry { connection, role, quiet_since: now, idle_since: now, queued_since: None };
+        let entry =
+            SocketEntry { connection, role, opened_or_pinged_at: now, idle_since: now, queued_since: None };
         let id = ConnectionId(self.entries.insert(entry));
         let connection = &self.entries.get(id.0)?.connection;
         if self.reactor.add(&connection.fd, id.0, connection.watched).is_err() {
@@ -125,7 +126,8 @@
         self.sockets.close(id);
     }
 
-    /// Leaves a socket to another process that holds it too.
+    /// Closes this process's descriptor of a socket that another process holds too; see
+    /// [`SocketTable::abandon`].
     pub(crate) fn abandon_connection(&mut self, id: ConnectionId) {
         self.sockets.abandon(id);
     }
@@ -172,8 +174,8 @@
         self.watch_listener(listener, SUCCESSORS)
     }
 
-    /// The number of descriptors in use or reserved, and of those that in-flight calls will need for
-    /// attempts.
+    /// The number of descriptors in use here or by the predecessor, reserved, or needed by in-flight calls
+    /// for attempts that are still to come.
     pub(crate) fn descriptors(&self) -> usize {
         let peer_links = self.membership.as_ref().map_or(0, |membership| membership.peers.links());
         let future_attempts = self.calls.len() - self.attempts_out.min(self.calls.len());
@@ -183,7 +185,8 @@
             + future_attempts
     }
 
-    /// The number of reserved descriptors, and of those that the in-flight calls need if each has an attempt.
+    /// The number of reserved descriptors, of the predecessor's, and of those that the in-flight calls need:
+    /// two each, for client and host.
     pub(crate) fn committed_descriptors(&self) -> usize {
         self.reserved_descriptors() + self.handover.predecessor_descriptors + 2 * self.calls.len()
     }
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -22,7 +22,7 @@
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
-use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
+use crate::reactor::{ADMIN, Flags, LISTENER, RELOAD_SIGNALS, Reactor, TERM_SIGNALS};
 use crate::timers::{TimerEvent, Timers};
 
 /// Time that the node waits for the list of an agent on its own machine. The agent answers within
@@ -34,8 +34,8 @@
     reactor: Reactor,
     listener: OwnedFd,
     admin: AdminServer,
-    signals: UnixStream,
-    reloads: UnixStream,
+    term_signals: UnixStream,
+    reload_signals: UnixStream,
 }
 
 /// The process that serves until this one is ready.
@@ -101,8 +101,8 @@
             slowest_turn: Span::ZERO,
             // The seed differs from that of the decision logic, so that the two sequences are independent.
             random: WyRand::new_seed(!config.seed),
-            signals: sources.signals,
-            reloads: sources.reloads,
+            term_signals: sources.term_signals,
+            reload_signals: sources.reload_signals,
             sockets: SocketTable::new(sources.reactor),
             calls: CallTable::default(),
             idle: VecDeque::new(),
@@ -152,12 +152,12 @@
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
-    let signals = signal_stream(signal_hook::consts::SIGTERM)?;
-    reactor.add(&signals, SIGNALS, Flags::IN)?;
+    let term_signals = signal_stream(signal_hook::consts::SIGTERM)?;
+    reactor.add(&term_signals, TERM_SIGNALS, Flags::IN)?;
     // Without a handler, SIGHUP would end the process and all its connections.
-    let reloads = signal_stream(signal_hook::consts::SIGHUP)?;
-    reactor.add(&reloads, RELOADS, Flags::IN)?;
-    Ok((EventSources { reactor, listener, admin, signals, reloads }, predecessor))
+    let reload_signals = signal_stream(signal_hook::consts::SIGHUP)?;
+    reactor.add(&reload_signals, RELOAD_SIGNALS, Flags::IN)?;
+    Ok((EventSources { reactor, listener, admin, term_signals, reload_signals }, predecessor))
 }
 
 fn listen(config: &NodeConfig) -> Result<OwnedFd, ServiceError> {
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -19,7 +19,7 @@
     Probe(HostId),
     /// The connection for endpoint list requests, with the deadline of the current request.
     EndpointList(Time),
-    /// The last bytes are being sent, and the connection stays until the peer ends it.
+    /// The last bytes are being sent, and the peer's end is awaited for a limited time.
     Closing,
     /// A client of the admin interface.
     Admin,
@@ -38,7 +38,7 @@
     /// What the socket is used for.
     pub role: SocketRole,
     /// When the socket was opened, or when its peer last sent `PING`.
-    pub quiet_since: Time,
+    pub opened_or_pinged_at: Time,
     /// Since when the socket has served no call: its client has not opened one yet, or it is closing.
     pub idle_since: Time,
     /// If the connection was not accepted at once: since when its first line may have been waiting.
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -40,7 +40,7 @@
     FirstLineTimeout(ConnectionId),
     /// Closes a closing connection even if its peer has not ended it.
     ClosingTimeout(ConnectionId),
-    /// Accepting is tried again after it failed.
+    /// The listening sockets of clients and of the admin interface are watched again after accepting failed.
     RetryAccept,
     /// The node stops waiting for the endpoint list before it serves.
     EndpointListOverdue,
@@ -63,8 +63,8 @@
 /// Timer events, ordered by time.
 ///
 /// Events with the same time expire in the order in which they were set. Timers are never cancelled: when an
-/// event expires, its handler finds that its object has ended or that nothing is due. This is safe because
-/// ids are never reused.
+/// event expires, its handler finds that its object has ended or that nothing is due. Ids are never reused;
+/// attempt numbers may be, so their handlers compare the times of the attempt.
 pub(crate) struct Timers<T> {
     heap: BinaryHeap<Reverse<(Time, u64, T)>>,
     /// Number of events set so far.
