--- a/crates/node/src/clients/requests.rs
+++ b/crates/node/src/clients/requests.rs
@@ -1,9 +1,9 @@
-//! What a connection begins with: the front's `PING`, or a client's request for a call.
+//! First lines of connections: `PING` of the front-end balancer, or a client's request for a call.
 
 use glendeck::domain::{Call, CallId, Span, Time};
 use tracing::debug;
 
-use super::{FIRST_LINE_TIMEOUT, MIN_IDLE};
+use super::{FIRST_LINE_TIMEOUT, MIN_IDLE_TIME};
 use crate::call::{CallStage, InFlightCall};
 use crate::connection::ReadOutcome;
 use crate::lifecycle::Phase;
@@ -14,18 +14,19 @@
 use crate::takeover::ReplicatedCall;
 use crate::timers::TimerEvent;
 
-/// Kept back of a client's time: the answer's way to it, and what a busy core adds.
+/// Subtracted from a client's waiting time, for sending the answer and for the delay of a busy core.
 const DEADLINE_MARGIN: Span = Span::ms(20);
 
-/// How long a connection from before may take to be up at its host again; then its client is better off anew.
+/// Maximum time for re-establishing a returning connection at its previous host; after that, a new call is
+/// better for the client.
 const MAX_RETURN_TIME: Span = Span::ms(10_000);
 
-/// Clients that are turned away for want of descriptors come back after this at the latest, where clients are
-/// told a time.
+/// Maximum retry delay that is told to clients rejected because descriptors are short or the node is leaving,
+/// if the settings allow telling a delay at all.
 const MAX_BUSY_RETRY: Span = Span::ms(500);
 
 impl Service {
-    /// A client has sent something, or ended its side.
+    /// Handles data from a client, or the end of its side.
     pub(crate) fn client_read(&mut self, id: ConnectionId, call: Option<CallId>, outcome: ReadOutcome) {
         let count = match outcome {
             ReadOutcome::NothingYet => return,
@@ -34,8 +35,9 @@
         };
         let Some(socket) = self.sockets.get_mut(id.0) else { return };
         socket.connection.inbox.extend_from_slice(&self.read_buffer[..count]);
-        // A client that was accepted late has waited all the while since its connection came.
-        let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE;
+        // A client that was accepted late has waited since its connection may have arrived. If its line comes
+        // `MIN_IDLE_TIME` or more after the accept, the line was not waiting, and the time counts from now.
+        let is_fresh = self.now.since(socket.idle_since) < MIN_IDLE_TIME;
         let queued_since = socket.queued_since.take().filter(|_| is_fresh);
         match call {
             None => self.handle_first_lines(id, queued_since.unwrap_or(self.now)),
@@ -55,10 +57,10 @@
                 return;
             };
             let line: Vec<u8> = inbox.drain(..length).collect();
-            // A client waits after its line. One that sends hundreds at once, or goes on before a host has
-            // it, would have hosts work for calls that are then refused.
+            // A client must wait for the answer to its line. If clients could send hundreds of lines at once,
+            // or more data before a host has the call, hosts would work for calls that are then refused.
             if !inbox.is_empty() {
-                debug!("client did not wait for its answer");
+                debug!("client sent data before it had an answer to its line");
                 return self.answer_client(id, Answer::Error);
             }
             match ClientMessage::parse(line, &self.config.names) {
@@ -66,37 +68,39 @@
                     let answer = if takes_clients { Answer::Pong } else { Answer::Error };
                     answer.encode(&mut socket.connection.outbox);
                     self.timers.set(self.now + FIRST_LINE_TIMEOUT, TimerEvent::FirstLineTimeout(id));
-                    socket.quiet_since = self.now;
+                    socket.opened_or_pinged_at = self.now;
                     self.flush_connection(id);
                 }
-                Ok(ClientMessage::Open(request)) => return self.take_call(id, sent_at, request),
+                Ok(ClientMessage::Open(request)) => return self.handle_open(id, sent_at, request),
                 Err(cause) => {
-                    debug!(%cause, "client line refused");
+                    debug!(%cause, "invalid client line");
                     return self.answer_client(id, Answer::Error);
                 }
             }
         }
     }
 
-    fn take_call(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
-        // Two connections of one id are one call to the hosts, and the owner's would be disturbed.
+    fn handle_open(&mut self, connection: ConnectionId, sent_at: Time, request: OpenRequest) {
+        // Hosts identify a call by its client id, so a second connection with the same id would disturb the
+        // first.
         if self.calls.has_client(request.id) {
-            debug!("client id is in use");
+            debug!("client id already has a call in flight");
             self.metrics.count(request.traffic, Outcome::Failure);
             return self.answer_client(connection, Answer::Error);
         }
         let is_leaving = self.is_leaving_without_successor();
         if is_leaving || !self.has_room_for_call() {
             let retry_after = self.config.settings.retry_after.map(|longest| longest.min(MAX_BUSY_RETRY));
-            debug!(is_leaving, "call refused");
+            debug!(is_leaving, "call refused: the node is leaving or short of descriptors");
             self.metrics.count(request.traffic, Outcome::Busy);
             return self.answer_client(connection, Answer::Busy(retry_after));
         }
         let work = self.replicated_work_id(&request);
         let must_look_up = work.is_some() && self.is_repeat(&request);
-        let kept = work.map(|work| ReplicatedCall { work_id: work, awaits_lookup: must_look_up, ran: None });
+        let replicated =
+            work.map(|work| ReplicatedCall { work_id: work, awaits_lookup: must_look_up, ran: None });
         let call = new_call(&request, sent_at);
-        let id = self.insert_call(connection, request, call, kept);
+        let id = self.insert_call(connection, request, call, replicated);
         self.place_call(id, must_look_up);
     }
 
@@ -109,12 +113,12 @@
         connection: ConnectionId,
         request: OpenRequest,
         call: Call,
-        kept: Option<ReplicatedCall>,
+        replicated: Option<ReplicatedCall>,
     ) -> CallId {
         let OpenRequest { id: client_id, line, previous_host, .. } = request;
         let stage = if previous_host.is_some() { CallStage::Returning } else { CallStage::Waiting };
         let mut in_flight = InFlightCall::new(client_id, connection, line, call, stage, previous_host);
-        in_flight.replicated = kept;
+        in_flight.replicated = replicated;
         let id = self.calls.insert(in_flight);
         if let Some(socket) = self.sockets.get_mut(connection.0) {
             socket.role = SocketRole::Client(Some(id));
@@ -132,7 +136,8 @@
         id
     }
 
-    /// Returns the call to its host, looks up what replicas know of it, or has it decided on.
+    /// Returns the call to its previous host, looks up what replicas know about it, or passes it to the
+    /// decision logic.
     fn place_call(&mut self, id: CallId, must_look_up: bool) {
         let Some(in_flight) = self.calls.get(id.0) else { return };
         let call = in_flight.call;
@@ -147,7 +152,7 @@
     }
 }
 
-/// What the decisions are told of a request that came at `sent_at`; its id is set once it has one.
+/// Creates the call for the decision logic from a request sent at `sent_at`; the call table sets its id.
 fn new_call(request: &OpenRequest, sent_at: Time) -> Call {
     let wait = match request.previous_host {
         Some(_) => request.wait.min(MAX_RETURN_TIME),
--- a/crates/node/src/service/shutdown.rs
+++ b/crates/node/src/service/shutdown.rs
@@ -1,69 +1,76 @@
-//! The end of the process: from SIGTERM until the last answers are sent.
+//! Shutdown of the process: from SIGTERM, or a request to exit after a drain, until the last answers are
+//! sent.
 
 use glendeck::domain::{AttemptOutcome, CallId, Span};
 use tracing::info;
 
 use super::Service;
-use super::drain::{ALL_GONE, CLIENTS_STILL_COME};
+use super::drain::{DRAIN_TIME, NEW_CLIENTS_AFTER_DRAIN};
 use crate::clients::ACCEPT_RETRY_DELAY;
 use crate::lifecycle::Phase;
 use crate::protocol::Answer;
 use crate::socket::{ConnectionId, SocketEntry, SocketRole};
 use crate::timers::TimerEvent;
 
-/// The front goes on sending new clients for up to 0.4 s after the node was told to leave.
-const CLIENTS_COME_AFTER_TERM: Span = Span::ms(450);
+/// Time from the start of the shutdown until new clients no longer arrive: the front-end balancer goes on
+/// sending them for up to 0.4 s.
+const NEW_CLIENTS_AFTER_TERM: Span = Span::ms(450);
 
-/// After this nobody comes, and the listening socket closes. Where the successor listens beside this process,
-/// the kernel would go on dealing connections to both.
-const STOP_ACCEPTING: Span = Span::ms(600);
+/// Delay from the start of the shutdown to closing the listening socket; no clients arrive any more by then.
+/// If it stayed open and the successor had its own socket on the address, the kernel would go on giving
+/// connections to both.
+const STOP_ACCEPTING_DELAY: Span = Span::ms(600);
 
-/// A drained node exits this long after it stops accepting.
-const EXIT_AFTER_STOP: Span = Span::ms(50);
+/// Delay from the end of accepting to the exit of a drained node.
+const DRAINED_EXIT_DELAY: Span = Span::ms(50);
 
-/// The platform kills no sooner than the longest deadline, 3 s at most, and 0.7 s after that.
+/// The shutdown waits for the longest call deadline, but at most this long. The platform kills the process no
+/// sooner than 0.7 s after the longest deadline, and it counts 3 s if that is longer.
 const MAX_DEADLINE_WAIT: Span = Span::ms(3_000);
 
-/// How long the process goes on after the longest deadline.
-const AFTER_DEADLINES: Span = Span::ms(400);
+/// Time that the process goes on after the longest deadline.
+const TIME_AFTER_DEADLINES: Span = Span::ms(400);
 
-/// Clients that open while the node leaves are migrated within this long.
-const LATE_MIGRATIONS: Span = Span::ms(300);
+/// Time over which the migration of clients that open while the node is leaving is spread.
+const LATE_MIGRATION_TIME: Span = Span::ms(300);
 
-/// Connections go over to the successor within milliseconds; those that have not by then are migrated.
+/// Time for handing connections over to the successor. It takes milliseconds; connections that are left after
+/// this time are migrated.
 const HANDOVER_TIME: Span = Span::ms(200);
 
-/// The last clients are migrated this long before the exit, so that their connections can end in order.
-pub(super) const LAST_MIGRATIONS: Span = Span::ms(500);
+/// The last clients are migrated this long before the exit, so that their connections can be closed in order.
+pub(super) const LAST_MIGRATIONS_BEFORE_EXIT: Span = Span::ms(500);
 
-/// After its last answers the process waits this long for its clients to end: the platform kills 0.3 s after
-/// the last answers, at the soonest.
-const FLUSH: Span = Span::ms(150);
+/// Maximum time that the process waits after its last answers for its clients to close. The platform kills
+/// the process no sooner than 0.3 s after the last answers.
+const FLUSH_TIME: Span = Span::ms(150);
 
-/// All clients are migrated within this time before the last ones: as much as those of a leaving host get, so
-/// that setups elsewhere are spread. They do not go earlier, as in a rolling restart the node restarted
-/// before this one may not be back yet, and they would have nowhere to go.
-const MIGRATIONS: Span = Span::ms(1_000);
+/// Time before the last migrations over which the migration of all clients is spread. It is as long as for
+/// the clients of a draining host, so that their setups at other nodes are spread. They are not migrated
+/// earlier: in a rolling restart the node restarted before this one may not be back yet, and the clients
+/// would have nowhere to go.
+const MIGRATION_TIME: Span = Span::ms(1_000);
 
 impl Service {
-    /// Told to end: sets the time of the exit and spreads the migration of all clients over the time before.
+    /// Starts the shutdown: sets the time of the exit and spreads the migration of all clients before it.
     pub(super) fn leave(&mut self) {
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
             return;
         }
-        let until = self.now + self.config.longest_guard.min(MAX_DEADLINE_WAIT) + AFTER_DEADLINES;
+        let until = self.now + self.config.longest_guard.min(MAX_DEADLINE_WAIT) + TIME_AFTER_DEADLINES;
         self.phase = Phase::Leaving { until };
         info!(calls = self.calls.len(), "leaving");
         self.timers.set(until, TimerEvent::Exit);
-        self.timers.set(self.now + STOP_ACCEPTING, TimerEvent::StopAccepting);
+        self.timers.set(self.now + STOP_ACCEPTING_DELAY, TimerEvent::StopAccepting);
         let is_replaced = self.handover.is_replaced();
         let first = if is_replaced {
-            // The successor serves already, so only what cannot be handed over is migrated, without delay.
+            // The successor serves already, so migration need not wait until new clients stop: it starts
+            // after `HANDOVER_TIME`, for connections that are not handed over by their turn.
             self.now + HANDOVER_TIME
         } else {
-            (until - LAST_MIGRATIONS - MIGRATIONS).max(self.now + CLIENTS_COME_AFTER_TERM)
+            (until - LAST_MIGRATIONS_BEFORE_EXIT - MIGRATION_TIME).max(self.now + NEW_CLIENTS_AFTER_TERM)
         };
-        let time_left = (until - LAST_MIGRATIONS).since(first);
+        let time_left = (until - LAST_MIGRATIONS_BEFORE_EXIT).since(first);
         let calls = self.call_ids();
         for (index, call) in calls.iter().enumerate() {
             let due = first + time_left.times(index as f64 / calls.len() as f64);
@@ -75,15 +82,16 @@
         }
     }
 
-    /// Leaves a drained node as SIGTERM does, and exits early if no client is left.
+    /// Shuts down a drained node as SIGTERM does, and exits early if no call is in flight.
     pub(crate) fn leave_drained(&mut self) {
         self.leave();
         if self.calls.is_empty() {
-            self.timers.set(self.now + STOP_ACCEPTING + EXIT_AFTER_STOP, TimerEvent::Exit);
+            self.timers.set(self.now + STOP_ACCEPTING_DELAY + DRAINED_EXIT_DELAY, TimerEvent::Exit);
         }
     }
 
-    /// A replaced process exits once its last call has ended or gone over.
+    /// Exits a replaced process once its last call has ended or has been handed over and no socket of a
+    /// client or host is left; otherwise checks again after [`HANDOVER_TIME`].
     pub(super) fn check_idle_exit(&mut self) {
         let is_used = |socket: &SocketEntry| {
             matches!(socket.role, SocketRole::Client(_) | SocketRole::Host(_) | SocketRole::Closing)
@@ -96,14 +104,18 @@
         }
     }
 
-    /// A call that opens while the node sends its clients away is migrated with the last ones, each at a
-    /// random moment: those that are sent away together come back together.
+    /// Schedules the migration of a call that opens while the node migrates its clients, or hands it over if
+    /// the process is replaced. The time is random, in the last migrations of a shutdown or in the rest of a
+    /// drain: clients that are migrated together reconnect together.
     pub(crate) fn schedule_late_migration(&mut self, call: CallId) {
         let (first, last) = match self.phase {
             Phase::Leaving { .. } if self.handover.is_replaced() => return self.hand_over_call(call),
-            Phase::Leaving { until } => (until - LAST_MIGRATIONS - LATE_MIGRATIONS, until - LAST_MIGRATIONS),
-            Phase::Draining { since } if self.now >= since + CLIENTS_STILL_COME => {
-                (self.now, since + ALL_GONE)
+            Phase::Leaving { until } => (
+                until - LAST_MIGRATIONS_BEFORE_EXIT - LATE_MIGRATION_TIME,
+                until - LAST_MIGRATIONS_BEFORE_EXIT,
+            ),
+            Phase::Draining { since } if self.now >= since + NEW_CLIENTS_AFTER_DRAIN => {
+                (self.now, since + DRAIN_TIME)
             }
             _ => return,
         };
@@ -116,8 +128,8 @@
         self.timers.set(due, event);
     }
 
-    /// The front sends nobody any more. Connections that wait in the listening socket's queue would be reset
-    /// by its close, so all of them are accepted first, as descriptors become free.
+    /// Closes the listening socket, as the front-end balancer sends no more clients. The close resets the
+    /// connections in the accept queue, so all of them are accepted first, as descriptors become free.
     pub(super) fn stop_accepting(&mut self) {
         if !matches!(self.phase, Phase::Leaving { .. }) || self.handover.is_replaced() {
             return;
@@ -129,8 +141,9 @@
         self.listener = None;
     }
 
-    /// Answers all calls. When the process ends, bytes that are not sent are lost, and bytes that are not
-    /// read reset their connection and with that the answer before them; hence [`Phase::Flushing`].
+    /// Answers all calls and enters [`Phase::Flushing`]. The exit of the process loses unsent bytes; unread
+    /// bytes reset their connection, and the answer on it may be lost too. So the process exits only after
+    /// the flush.
     pub(super) fn exit(&mut self) {
         if matches!(self.phase, Phase::Flushing | Phase::Left) {
             return;
@@ -146,9 +159,9 @@
         let unopened: Vec<ConnectionId> = unopened.map(|(number, _)| ConnectionId(number)).collect();
         self.phase = Phase::Flushing;
         for id in unopened {
-            self.end_idle(id);
+            self.close_idle(id);
         }
-        self.timers.set(self.now + FLUSH, TimerEvent::FlushTimeout);
+        self.timers.set(self.now + FLUSH_TIME, TimerEvent::FlushTimeout);
     }
 
     fn answer_before_exit(&mut self, id: CallId) {
@@ -157,23 +170,23 @@
         if in_flight.stage.is_established() {
             return;
         }
-        // Its deadline is over by now, or it never had an attempt.
+        // The call's deadline has passed by now, or it never had an attempt.
         let never_ran = in_flight.attempt_count == 0 && !in_flight.awaits_lookup();
         self.answer_call(id, if never_ran { Answer::Busy(None) } else { Answer::Error });
     }
 
-    /// Whether a client may still have to receive its answer.
+    /// Whether a client may not have received its answer yet.
     pub(super) fn has_unsent_answers(&self) -> bool {
         let is_client =
             |socket: &SocketEntry| matches!(socket.role, SocketRole::Client(_) | SocketRole::Closing);
         self.sockets.iter().any(|(_, socket)| is_client(socket))
     }
 
-    /// All answers have been sent, or have had their time.
+    /// Ends the flush: all answers have been sent, or the time for that is over.
     pub(super) fn finish(&mut self) {
         if self.phase == Phase::Flushing {
             self.write_work_handover();
-            info!("left");
+            info!("shutdown complete");
             self.phase = Phase::Left;
         }
     }
--- a/crates/node/src/service/start.rs
+++ b/crates/node/src/service/start.rs
@@ -1,4 +1,4 @@
-//! The start of a node: from its configuration, and from its predecessor if one serves.
+//! Start of a node: from its configuration, and from the state of its predecessor if one is running.
 
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
@@ -22,31 +22,31 @@
 use crate::hosts::HostTable;
 use crate::lifecycle::Phase;
 use crate::metrics::Metrics;
-use crate::reactor::{ADMIN, Flags, LISTENER, RELOADS, Reactor, SIGNALS};
+use crate::reactor::{ADMIN, Flags, LISTENER, RELOAD_SIGNALS, Reactor, TERM_SIGNALS};
 use crate::timers::{TimerEvent, Timers};
 
-/// An agent on the node's own machine answers within milliseconds, or its service is down and it knows
-/// nothing new.
+/// Time that the node waits for the list of an agent on its own machine. The agent answers within
+/// milliseconds, or its service is down and it knows nothing new.
 const AGENT_TIMEOUT: Span = Span::ms(1_000);
 
-/// The listening sockets and the signals, watched by a reactor.
+/// The listening sockets and the signal streams, with the reactor that watches them.
 struct EventSources {
     reactor: Reactor,
     listener: OwnedFd,
     admin: AdminServer,
-    signals: UnixStream,
-    reloads: UnixStream,
+    term_signals: UnixStream,
+    reload_signals: UnixStream,
 }
 
-/// The process that serves until this one can.
+/// The process that serves until this one is ready.
 struct Predecessor {
-    line: UnixStream,
-    /// What it has told, if that could be read.
+    connection: UnixStream,
+    /// The state that it has handed over, if it could be decoded.
     state: Option<HandoverState>,
 }
 
-/// What is known before the endpoint list has been heard.
-struct KnownBefore {
+/// What the node knows before it has received the endpoint list.
+struct InitialState {
     list: Option<EndpointListUpdate>,
     node: Option<PredecessorState>,
 }
@@ -57,27 +57,27 @@
 }
 
 impl Service {
-    /// Listens, takes over what a predecessor tells, and joins the fleet.
+    /// Opens the listening sockets, takes over the state of a predecessor, and joins the fleet.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound, the system refuses epoll or signals, or the fleet cannot be
+    /// Fails if an address cannot be bound, epoll or signal handlers cannot be set up, or the fleet cannot be
     /// joined.
     pub(crate) fn start(
         mut config: NodeConfig,
-        machine: crate::InjectedFaults,
+        faults: crate::InjectedFaults,
     ) -> Result<Service, ServiceError> {
         let inherited = Inherited::request(&config);
         let configured_list = config.known.take();
         let (sources, mut predecessor) = open_sources(&config, inherited)?;
-        let mut service = Service::new(config, sources, Clock::start(machine.clock_ahead_s));
+        let mut service = Service::new(config, sources, Clock::start(faults.clock_ahead_s));
         let state = predecessor.as_mut().and_then(|predecessor| predecessor.state.take());
-        service.start_decisions(merge_known(configured_list, state));
+        service.start_decision_logic(merge_initial_state(configured_list, state));
         if let Some(predecessor) = predecessor {
-            service.follow_predecessor(predecessor.line);
+            service.follow_predecessor(predecessor.connection);
         }
         service.deliver_reports();
-        service.join_fleet(machine.disk)?;
+        service.join_fleet(faults.disk)?;
         if service.config.list_is_pushed {
             service.timers.set(service.now + AGENT_TIMEOUT, TimerEvent::EndpointListOverdue);
         }
@@ -99,10 +99,10 @@
             metrics: Metrics::new(&config.names.traffic),
             drain_number: 0,
             slowest_turn: Span::ZERO,
-            // Another seed than the decisions', so that the two sequences are independent.
+            // The seed differs from that of the decision logic, so that the two sequences are independent.
             random: WyRand::new_seed(!config.seed),
-            signals: sources.signals,
-            reloads: sources.reloads,
+            term_signals: sources.term_signals,
+            reload_signals: sources.reload_signals,
             sockets: SocketTable::new(sources.reactor),
             calls: CallTable::default(),
             idle: VecDeque::new(),
@@ -116,8 +116,8 @@
         }
     }
 
-    fn start_decisions(&mut self, known: KnownBefore) {
-        // The known list's index stands before the first request, which then asks for what came after it.
+    fn start_decision_logic(&mut self, known: InitialState) {
+        // The index of the known list is set before the first request, which then asks for later changes.
         if let Some(list) = &known.list {
             self.list.set_index(list.index);
         }
@@ -125,7 +125,7 @@
         let node = Node::start(settings, self.config.seed, self.now, self);
         self.node = Some(Box::new(node));
         if let Some(list) = known.list {
-            self.remember_list(list);
+            self.apply_cached_list(list);
         }
         if let Some(PredecessorState { snapshot, was_drained }) = known.node {
             self.handover.was_drained = was_drained;
@@ -134,19 +134,19 @@
     }
 }
 
-/// Opens what the node waits for, with the listening socket of its predecessor if there is one.
+/// Opens the node's event sources, with the listening socket of its predecessor if there is one.
 fn open_sources(
     config: &NodeConfig,
     inherited: Option<Inherited>,
 ) -> Result<(EventSources, Option<Predecessor>), ServiceError> {
     let (listener, predecessor) = match inherited {
-        Some(Inherited { listener, connection: line, state }) => {
-            (listener, Some(Predecessor { line, state }))
+        Some(Inherited { listener, connection, state }) => {
+            (listener, Some(Predecessor { connection, state }))
         }
         None => (listen(config)?, None),
     };
     let reactor = Reactor::new()?;
-    // A predecessor goes on accepting until this process can serve.
+    // A predecessor goes on accepting until this process is ready to serve.
     let listener_flags = if predecessor.is_none() { Flags::IN } else { Flags::empty() };
     reactor.add(&listener, LISTENER, listener_flags)?;
     let admin = AdminServer::open(config.admin)
@@ -154,12 +154,12 @@
     if let Some(listener) = &admin.listener {
         reactor.add(listener, ADMIN, Flags::IN)?;
     }
-    let signals = signal_stream(signal_hook::consts::SIGTERM)?;
-    reactor.add(&signals, SIGNALS, Flags::IN)?;
-    // Unhandled, SIGHUP would end the process and all its connections.
-    let reloads = signal_stream(signal_hook::consts::SIGHUP)?;
-    reactor.add(&reloads, RELOADS, Flags::IN)?;
-    Ok((EventSources { reactor, listener, admin, signals, reloads }, predecessor))
+    let term_signals = signal_stream(signal_hook::consts::SIGTERM)?;
+    reactor.add(&term_signals, TERM_SIGNALS, Flags::IN)?;
+    // Without a handler, SIGHUP would end the process and all its connections.
+    let reload_signals = signal_stream(signal_hook::consts::SIGHUP)?;
+    reactor.add(&reload_signals, RELOAD_SIGNALS, Flags::IN)?;
+    Ok((EventSources { reactor, listener, admin, term_signals, reload_signals }, predecessor))
 }
 
 fn listen(config: &NodeConfig) -> Result<OwnedFd, ServiceError> {
@@ -167,7 +167,7 @@
     connection::listen(address).map_err(|source| ServiceError::Listen { address, source })
 }
 
-/// A stream that becomes readable with each signal of this number.
+/// Returns a stream that becomes readable whenever this signal arrives.
 fn signal_stream(signal: i32) -> Result<UnixStream, std::io::Error> {
     let (receiver, sender) = UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
@@ -175,13 +175,14 @@
     Ok(receiver)
 }
 
-/// The newer one of the configured list and the predecessor's counts, the predecessor's among equals.
-fn merge_known(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> KnownBefore {
-    let Some(state) = state else { return KnownBefore { list: configured, node: None } };
+/// Merges the configured list and the predecessor's state: the list with the higher index is used, the
+/// predecessor's if they are equal.
+fn merge_initial_state(configured: Option<EndpointListUpdate>, state: Option<HandoverState>) -> InitialState {
+    let Some(state) = state else { return InitialState { list: configured, node: None } };
     let list = match configured {
         Some(configured) if configured.index > state.list.index => configured,
         _ => state.list,
     };
     let node = PredecessorState { snapshot: state.node, was_drained: state.drained };
-    KnownBefore { list: Some(list), node: Some(node) }
+    InitialState { list: Some(list), node: Some(node) }
 }
