--- a/crates/takeover/src/fault_injection.rs
+++ b/crates/takeover/src/fault_injection.rs
@@ -1,16 +1,16 @@
 //! Faults that tests inject to show that their checkers notice them.
 //!
-//! Without the feature `fault-injection`, which only tests switch on, there are none; with it, none is injected until a
-//! test says so. `glendeck_fleet` has a switch of the same form for its own faults.
+//! Without the feature `fault-injection`, which only tests enable, no fault can be injected. With it, none is
+//! injected until a test calls `inject`. `glendeck_fleet` injects its own faults in the same way.
 
 /// A fault that a test can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An attempt is sent together with its intent.
+    /// An attempt is sent together with its intent, without waiting for replication.
     SendBeforeReplicated,
-    /// One replica's reply counts as a majority.
+    /// The reply of a single replica counts as a majority.
     SingleReplicaSuffices,
-    /// An intent that was replicated long ago still lets its attempt be sent.
+    /// An attempt is sent although its send window is over.
     SendAfterWindow,
     /// Replicas accept intents of older terms, and of calls whose record was superseded.
     NoFencing,
@@ -18,23 +18,23 @@
     RecordDroppedOnAnswer,
     /// A replica that has just started answers queries.
     AnswersWithoutHistory,
-    /// A replica accepts a repeat's intent whatever else it stores of the work.
+    /// A replica accepts an intent even if it stores conflicting records of the same work item.
     ConflictAccepted,
-    /// A repeat does not wait until a record is over.
+    /// A repeat does not wait until the other records of its work item are over.
     OpenRecordTakenOver,
-    /// The window in which hosts recognise a key counts from the repeat.
+    /// The time for which hosts recognise a key is counted from the repeat instead of the first attempt.
     WindowFromRepeat,
-    /// Changes of hints are applied whatever they are based on.
+    /// Changes of hints are applied whatever sequence number they are based on.
     AnyBaseAccepted,
-    /// The hints of one process are added to those of the process before.
+    /// The hints of a process are merged with those of the previous process of its node.
     IncarnationsMixed,
-    /// A replica that missed an update is never sent the whole.
+    /// A replica that missed an update is never sent all hints.
     NeverResynchronized,
-    /// A late update undoes a later one.
+    /// A delayed update overwrites a newer one.
     StaleUpdateAccepted,
-    /// The notices of both replicas count.
+    /// The second notice of the same lost process, which its other replica sends, is accepted as well.
     DuplicateNoticeAccepted,
-    /// The hints of a node that stays away are never removed.
+    /// The hints of a node that does not come back are never removed.
     HintsNeverExpire,
 }
 
@@ -43,7 +43,7 @@
     static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Injects a fault on this thread, or none.
+/// Sets the fault that is injected on this thread; `None` stops the injection.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.set(fault);
--- a/crates/takeover/src/handover.rs
+++ b/crates/takeover/src/handover.rs
@@ -1,20 +1,20 @@
-//! What a replica hands to the next process of its node at a planned end.
+//! The records that a replica hands over to the next process of its node at a planned end.
 //!
-//! The form is stored by `postcard`, which is positional: the order of fields is part of it.
+//! They are stored with `postcard`, which is positional: the order of fields is part of the format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{RecordId, WorkId};
 
-/// All that a replica stores, for its successor.
+/// Everything that a replica stores, for its successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaHandover {
-    /// Whether the replica answered queries.
+    /// Whether the replica had its full history and so answered queries.
     pub(crate) has_full_history: bool,
     pub(crate) records: Vec<RecordHandover>,
 }
 
-/// One record. Times when things happened are left out: the successor has another clock.
+/// One record. It holds no points in time, as the successor has another clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordHandover {
     pub(crate) work: WorkId,
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,8 +1,10 @@
-//! What becomes of an in-flight call when its node is lost: the intent that is replicated before an attempt is sent, and
-//! what a repeat of the call at another node may still do. Design and guarantees: `docs/takeover.md`.
+//! Takeover of in-flight calls after the loss of their node. A node replicates an intent before it sends an
+//! attempt. When a client repeats the call at another node, that node queries the replicas and decides what
+//! the repeat may still do. Design and guarantees: `docs/takeover.md`.
 //!
-//! There is no I/O and no clock here. A [`Takeover`] is told what happened and when, and returns [`Action`]s; the same
-//! events give the same actions. [`warm_state`] does the same for hints that may be lost without harm.
+//! This crate has no I/O and no clock. A [`Takeover`] is told what happened and when, and returns
+//! [`Action`]s; the same events give the same actions. [`warm_state`] works the same way for hints that may
+//! be lost without harm.
 
 mod action;
 pub mod fault_injection;
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -1,6 +1,7 @@
 //! Messages between the owner of a call and the replicas of its record.
 //!
-//! They are encoded by `postcard`, which is positional: the order of fields and of variants is part of the wire format.
+//! They are encoded with `postcard`, which is positional: the order of fields and of variants is part of the
+//! wire format.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,27 +10,28 @@
 /// How a call ended, as far as its record is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// No attempt of the call ran and none is out: the record can go.
+    /// No attempt of the call ran and none is in flight: the record can be removed.
     NeverRan,
     /// The call has its final answer, and an attempt of it ran or may have run.
     Answered,
 }
 
-/// The first attempt of a work that may have run.
+/// The first attempt of a work item that may have run. It has an age instead of a time, as the clocks of
+/// nodes differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FirstAttempt {
-    /// The host that it was sent to, by a number that means the same at all nodes.
+    /// The host that the attempt was sent to, as a number that means the same at all nodes.
     pub host: u64,
-    /// How long ago it was sent, in ms, or [`UNKNOWN_AGE_MS`](crate::UNKNOWN_AGE_MS).
+    /// How long ago the attempt was sent, in ms, or [`UNKNOWN_AGE_MS`](crate::UNKNOWN_AGE_MS).
     pub age_ms: u64,
 }
 
-/// A record that a repeat has seen and goes on from.
+/// A record that a repeat has seen and supersedes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupersededRecord {
     /// The record.
     pub id: RecordId,
-    /// The sequence number that it had when it was seen: a record that has gone on since was not seen.
+    /// The record's sequence number when it was seen. A record with a higher number by now counts as unseen.
     pub sequence: u32,
 }
 
@@ -38,7 +40,7 @@
 pub struct Intent {
     /// The call's record.
     pub id: RecordId,
-    /// What the call concerns.
+    /// The work item of the call.
     pub work: WorkId,
     /// The owner's term, by which replicas fence off a node that was declared lost.
     pub term: u64,
@@ -46,30 +48,30 @@
     pub version: u32,
     /// Whether the call is a repeat.
     pub is_repeat: bool,
-    /// The records that a repeat goes on from.
+    /// The records that a repeat supersedes.
     pub supersedes: Vec<SupersededRecord>,
-    /// The work's first attempt that may have run; this one, if there was none before.
+    /// The first attempt of the work item that may have run; this attempt, if there was none before.
     pub first: FirstAttempt,
-    /// Counts the call's intents and queries: a reply to another one says nothing of this one.
+    /// Counts the call's intents and queries. The reply carries it too, and applies to this intent only.
     pub sequence: u32,
     /// Time until the call's deadline, in ms.
     pub remaining_ms: u64,
 }
 
-/// A record as a replica shows it to a repeat.
+/// A record as a replica reports it in the reply to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordView {
     /// The record.
     pub id: RecordId,
     /// The owner's term when the last intent was stored.
     pub term: u64,
-    /// The work's first attempt that may have run.
+    /// The first attempt of the work item that may have run.
     pub first: FirstAttempt,
     /// The sequence number of the last intent.
     pub sequence: u32,
     /// How long ago the last intent was stored, in ms.
     pub age_ms: u64,
-    /// Time in ms until the call's deadline is over and its owner sends nothing more.
+    /// Time in ms until the call's deadline has passed and its owner sends nothing more.
     pub open_ms: u64,
     /// Whether the call has its final answer.
     pub is_answered: bool,
@@ -80,9 +82,10 @@
 pub enum IntentVerdict {
     /// The intent is stored.
     Accepted,
-    /// The replica holds records of the work that the intent does not supersede.
+    /// The replica holds records of the work item that the intent does not supersede, or the call's own
+    /// record is superseded.
     Conflict,
-    /// The replica stores nothing for this intent now.
+    /// The replica does not store the intent now.
     Unavailable,
 }
 
@@ -100,33 +103,33 @@
         /// Whether it is stored.
         verdict: IntentVerdict,
     },
-    /// Owner to replica: show what is stored of a work.
+    /// Owner to replica: report the records of a work item.
     Query {
-        /// The record of the call that asks; it is left out of the reply.
+        /// The record of the querying call; it is left out of the reply.
         id: RecordId,
         /// The query's sequence number.
         sequence: u32,
-        /// The work that is asked about.
+        /// The queried work item.
         work: WorkId,
         /// The version of the owner's view.
         version: u32,
     },
     /// Replica to owner: the reply to [`ReplicaMessage::Query`].
     QueryReply {
-        /// The record of the call that asked.
+        /// The record of the querying call.
         id: RecordId,
         /// The query's sequence number.
         sequence: u32,
-        /// The work's records; `None` if the replica may have forgotten some.
+        /// The records of the work item; `None` if the replica may have forgotten some.
         records: Option<Vec<RecordView>>,
     },
     /// Owner to replica: the call is over.
     CallEnded {
-        /// The last sequence number of the call: a late message says nothing of a later intent.
+        /// The call's last sequence number: a late message does not apply to a later intent.
         sequence: u32,
         /// The call's record.
         id: RecordId,
-        /// What the call concerned.
+        /// The work item of the call.
         work: WorkId,
         /// How it ended.
         outcome: Outcome,
--- a/crates/takeover/src/owner/intent_round.rs
+++ b/crates/takeover/src/owner/intent_round.rs
@@ -1,4 +1,4 @@
-//! The replication of one intent: who was asked, and what they replied.
+//! The replication of one intent: the replicas that were asked, and their verdicts.
 
 use std::collections::BTreeMap;
 
@@ -19,13 +19,14 @@
     Pending,
     /// A majority has stored the intent in time.
     Replicated,
-    /// A majority cannot store it any more, and no replica holds an unseen record.
+    /// A majority can no longer store the intent, or has stored it too late; no replica reported a conflict.
     NotReplicated,
-    /// A majority cannot store it any more, and some replica holds an unseen record of the work.
+    /// As [`IntentDecision::NotReplicated`], but a replica reported a conflict: it holds a record of the work
+    /// item that the intent does not supersede.
     Conflict,
 }
 
-/// An intent that waits for its replicas.
+/// An intent that waits for the verdicts of its replicas.
 #[derive(Clone, Debug)]
 pub(super) struct IntentRound {
     started_at: Timestamp,
@@ -65,14 +66,14 @@
         self.has_prior
     }
 
-    /// The intent for each replica that has not replied.
+    /// The requests to store the intent, one for each replica that has not replied.
     pub(super) fn requests(&self) -> Vec<Action> {
-        let silent = self.replicas.iter().filter(|replica| !self.verdicts.contains_key(*replica));
+        let unanswered = self.replicas.iter().filter(|replica| !self.verdicts.contains_key(*replica));
         let request = ReplicaMessage::StoreIntent(self.intent.clone());
-        silent.map(|replica| Action::Send(replica.clone(), request.clone())).collect()
+        unanswered.map(|replica| Action::Send(replica.clone(), request.clone())).collect()
     }
 
-    /// As [`IntentRound::requests`], if they were sent some time ago.
+    /// As [`IntentRound::requests`], but empty before the resend interval has passed.
     pub(super) fn requests_due(&mut self, now: Timestamp) -> Vec<Action> {
         if now.ms_since(self.sent_at) < RESEND_MS {
             return vec![];
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Whether the attempt would be sent too late, were the intent replicated at the next moment.
+    /// Whether it is too late to send the attempt even if the intent were replicated right away.
     pub(super) fn has_expired(&self, now: Timestamp) -> bool {
         let is_late = now.ms_since(self.started_at) > SEND_WINDOW_MS || now >= self.send_before;
         is_late && !is_injected(InjectedFault::SendAfterWindow)
@@ -101,8 +102,8 @@
         if is_replicated && self.may_send(now) {
             return IntentDecision::Replicated;
         }
-        let is_out_of_reach = self.replicas.len() - refusals < needed;
-        match (is_replicated || is_out_of_reach, conflicts) {
+        let is_majority_impossible = self.replicas.len() - refusals < needed;
+        match (is_replicated || is_majority_impossible, conflicts) {
             (false, _) => IntentDecision::Pending,
             (true, 0) => IntentDecision::NotReplicated,
             (true, _) => IntentDecision::Conflict,
--- a/crates/takeover/src/owner/mod.rs
+++ b/crates/takeover/src/owner/mod.rs
@@ -1,5 +1,5 @@
-//! A node's own calls: intents to be replicated before an attempt is sent, and queries for what has been before a
-//! repeated call.
+//! The owner side of the protocol, for a node's own calls: intents are replicated before an attempt is sent,
+//! and the records of earlier calls are queried before a repeated call is placed.
 
 mod intent_round;
 mod query_round;
@@ -20,42 +20,42 @@
 use intent_round::{IntentDecision, IntentRound};
 use query_round::{QueryDecision, QueryRound};
 
-/// A query that met an open record is repeated after this and up to twice as long, at random: two calls that met must not
-/// meet again.
+/// The shortest delay before the retry of a query that found an open record. The delay is random, up to twice
+/// this value, so that two calls that conflicted do not conflict again.
 const QUERY_RETRY_MS: u64 = 100;
 
-/// Reserved of a repeated call's time for its answer.
+/// The part of a repeated call's remaining time that is reserved for its answer; queries end before it.
 const ANSWER_RESERVE_MS: u64 = 150;
 
-/// A call that has asked for an intent to be replicated, or for what has been before it.
+/// A call that has replicated an intent or queried the records of earlier calls.
 #[derive(Clone, Debug)]
 struct OwnedCall {
-    /// Its number in [`RecordId`].
+    /// The call's number in its [`RecordId`].
     call_number: u64,
     work: WorkId,
     is_repeat: bool,
-    /// What the last query has shown.
+    /// The records that the last query found.
     supersedes: Vec<SupersededRecord>,
     prior: Option<PriorAttempt>,
-    /// It may ask until then.
+    /// When queries end and the call fails.
     query_deadline: Timestamp,
-    /// Counts its intents and queries.
+    /// Counts the call's intents and queries.
     sequence: u32,
     intent_round: Option<IntentRound>,
     query_round: Option<QueryRound>,
     has_sent_intent: bool,
 }
 
-/// The owner of this node's calls, towards the replicas of their records.
+/// The state of this node's own calls, and its exchange with the replicas of their records.
 #[derive(Clone, Debug)]
 pub struct Owner {
     me: UnitName,
     incarnation: Incarnation,
     random: WyRand,
     last_call_number: u64,
-    /// By the node's number of the call.
+    /// By the node's own call id.
     calls: BTreeMap<u64, OwnedCall>,
-    /// The node's number of the call, by [`RecordId::call_number`].
+    /// The node's own call id, by [`RecordId::call_number`].
     call_by_number: BTreeMap<u64, u64>,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The number of calls that have asked for an intent to be replicated, or for what has been before them.
+    /// The number of unfinished calls that have replicated an intent or queried the records of earlier calls.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
@@ -127,7 +127,7 @@
         self.end_record(&owned, outcome, view)
     }
 
-    /// Handles a replica's reply; requests are not for the owner.
+    /// Handles a replica's reply; requests are ignored.
     pub(crate) fn handle_reply(
         &mut self,
         now: Timestamp,
@@ -313,7 +313,8 @@
         }
     }
 
-    /// Takes back the intent where it was stored: two calls that met would block each other for good.
+    /// Withdraws the intent where it was stored; otherwise two conflicting calls would block each other for
+    /// good.
     fn withdraw(&self, call: u64, view: &View) -> Vec<Action> {
         let Some(owned) = self.calls.get(&call) else { return vec![] };
         let mut actions = self.end_record(owned, Outcome::NeverRan, view);
--- a/crates/takeover/src/owner/query_round.rs
+++ b/crates/takeover/src/owner/query_round.rs
@@ -1,4 +1,5 @@
-//! A query for the records of a work: who was asked, what they showed, and what follows from it.
+//! A query for the records of a work item: the replicas that were asked, their replies, and the resulting
+//! decision.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -20,24 +21,24 @@
 pub(super) enum QueryDecision {
     /// Replies that may change the result are outstanding.
     Pending,
-    /// It cannot be told what came of the work.
+    /// The outcome of the work item cannot be determined.
     Unknown,
-    /// A record of the work is not over yet.
+    /// A record of the work item is not over yet.
     InFlight,
     /// All records are over: the call may be placed.
     Over(WorkHistory),
 }
 
-/// What has been before a repeated call.
+/// The records and the first attempt that precede a repeated call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct WorkHistory {
-    /// All records of the work, in the order of their ids.
+    /// All records of the work item, in the order of their ids.
     pub(super) records: Vec<SupersededRecord>,
     /// The first attempt that may have run.
     pub(super) first: Option<PriorAttempt>,
 }
 
-/// A query that waits for its replicas, or for the time to ask anew.
+/// A query that waits for the replies of its replicas, or for its next retry.
 #[derive(Clone, Debug)]
 pub(super) struct QueryRound {
     sequence: u32,
@@ -45,7 +46,7 @@
     sent_at: Timestamp,
     replicas: Vec<UnitName>,
     replies: BTreeMap<UnitName, Option<Vec<RecordView>>>,
-    /// If set, a record was not over, and the query is to be repeated then.
+    /// When to query again; set if a record was not over.
     retry_at: Option<Timestamp>,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether a reply with this number is one to this query.
+    /// Whether the query waits for a reply with this sequence number.
     pub(super) fn awaits(&self, sequence: u32) -> bool {
         self.sequence == sequence && self.retry_at.is_none()
     }
@@ -72,11 +73,12 @@
 
     /// The query for each replica that has not replied.
     pub(super) fn requests(&self, query: &ReplicaMessage) -> Vec<Action> {
-        let silent = self.replicas.iter().filter(|replica| !self.replies.contains_key(*replica));
-        silent.map(|replica| Action::Send(replica.clone(), query.clone())).collect()
+        let unanswered = self.replicas.iter().filter(|replica| !self.replies.contains_key(*replica));
+        unanswered.map(|replica| Action::Send(replica.clone(), query.clone())).collect()
     }
 
-    /// Whether the query is to be sent again to those who have not replied; notes that it is.
+    /// Returns whether the query is due to be sent again to the replicas that have not replied; if so,
+    /// restarts the resend interval.
     pub(super) fn take_resend_due(&mut self, now: Timestamp) -> bool {
         let is_due = self.retry_at.is_none() && now.ms_since(self.sent_at) >= RESEND_MS;
         if is_due {
@@ -101,12 +103,12 @@
 
     pub(super) fn decision(&self, now: Timestamp, view: &View) -> QueryDecision {
         let needed = majority(&self.replicas);
-        let informed = self.replies.values().flatten().count();
-        let uninformed = self.replies.len() - informed;
-        if informed < needed {
-            // Without a majority left that could tell, waiting would only hold the call up.
-            let is_out_of_reach = self.replicas.len() - uninformed < needed;
-            return if is_out_of_reach { QueryDecision::Unknown } else { QueryDecision::Pending };
+        let answered = self.replies.values().flatten().count();
+        let declined = self.replies.len() - answered;
+        if answered < needed {
+            // Once no majority can answer any more, waiting would only delay the call.
+            let is_majority_impossible = self.replicas.len() - declined < needed;
+            return if is_majority_impossible { QueryDecision::Unknown } else { QueryDecision::Pending };
         }
         let records = self.merged_records();
         if !records.values().all(|record| is_over(record, view)) {
@@ -120,11 +122,11 @@
 
     fn merged_records(&self) -> BTreeMap<RecordId, RecordView> {
         let mut records: BTreeMap<RecordId, RecordView> = BTreeMap::new();
-        for shown in self.replies.values().flatten().flatten() {
+        for reported in self.replies.values().flatten().flatten() {
             records
-                .entry(shown.id.clone())
-                .and_modify(|known| merge(known, shown))
-                .or_insert_with(|| shown.clone());
+                .entry(reported.id.clone())
+                .and_modify(|known| merge(known, reported))
+                .or_insert_with(|| reported.clone());
         }
         records
     }
@@ -132,7 +134,8 @@
     fn history(&self, now: Timestamp, records: BTreeMap<RecordId, RecordView>) -> WorkHistory {
         let oldest = records.values().max_by_key(|record| record.first.age_ms);
         let first = oldest.map(|record| {
-            // The replica computed the age after it was asked, so the attempt can only have been sent later than this.
+            // The replica computed the age after the query started, so the attempt was not sent earlier than
+            // this.
             let earliest = timestamp_before(self.started_at, record.first.age_ms);
             PriorAttempt {
                 host: record.first.host,
@@ -144,10 +147,10 @@
     }
 }
 
-/// Combines what two replicas show of one record.
+/// Merges what two replicas report of one record.
 ///
-/// A replica that was stopped, or behind a stalled link, has stored an intent late and takes the record for young. Of any
-/// majority one has stored the last intent in time, and shows the greater age.
+/// A replica that was paused, or whose link stalled, stores an intent late and reports too small an age. In
+/// any majority at least one replica stored the last intent in time and reports the greater age.
 fn merge(known: &mut RecordView, other: &RecordView) {
     if other.first.host == known.first.host {
         known.first.age_ms = known.first.age_ms.max(other.first.age_ms);
@@ -167,8 +170,8 @@
     known.open_ms = known.open_ms.min(other.open_ms);
 }
 
-/// Whether nothing more can be sent for a record: it is answered, its time is over, or its node was declared lost and what
-/// it had sent is out.
+/// Whether nothing more can be sent for a record: its call is answered, its time is over, or its owner was
+/// declared lost and the quiet period after the last intent is over.
 fn is_over(record: &RecordView, view: &View) -> bool {
     let is_owner_lost = view.term_of(&record.id.owner) > record.term && record.age_ms >= QUIET_PERIOD_MS;
     record.is_answered
@@ -179,8 +182,9 @@
 
 /// Whether all records agree on the host of the first attempt, and know when it was sent.
 ///
-/// A record that its node took back may still stand at one replica. It and another would name two hosts, only one of which
-/// ran the work, and nobody can tell which. Where the time is not known, no host can be expected to recognise the repeat.
+/// A record that its owner withdrew may still be stored at one replica. It and another record can name two
+/// hosts, of which only one ran the work item, and there is no way to tell which. If the time is not known,
+/// no host can be expected to recognise the repeat.
 fn has_known_first_attempt(records: &BTreeMap<RecordId, RecordView>) -> bool {
     let mut hosts = records.values().map(|record| record.first.host);
     let first_host = hosts.next();
--- a/crates/takeover/src/replica/mod.rs
+++ b/crates/takeover/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The records that a node stores for the calls of other nodes.
+//! The replica side of the protocol: the records that a node stores for other nodes' calls and its own.
 
 mod record;
 #[cfg(test)]
@@ -17,32 +17,32 @@
 use crate::view::View;
 use record::Record;
 
-/// The most records that a replica stores; it bounds its memory (measured by `cargo bench -p glendeck-takeover`).
+/// The most records that a replica stores, which bounds its memory (see `cargo bench -p glendeck-takeover`).
 const MAX_RECORDS: usize = 100_000;
 
-/// A work that may have records to expire.
+/// A work item that may have expired records at `due_at`.
 #[derive(Clone, Copy, Debug)]
 struct Expiry {
     due_at: Timestamp,
     work: WorkId,
 }
 
-/// The store of records.
+/// Stores records, and answers requests for them.
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// How long a record is kept after its call's answer.
     retention_ms: u64,
-    /// The longest time that any call has.
+    /// The longest time that any call may take.
     longest_call_ms: u64,
-    /// Every intent that was accepted since then is stored.
+    /// Every intent that was accepted since this time is stored.
     history_since: Timestamp,
-    /// The process before had its full history and handed it over.
+    /// Whether the previous process had its full history and handed it over.
     has_inherited_history: bool,
-    /// It has handed its records to the next process, and stores nothing more.
+    /// Whether the records were handed over to the next process, so that nothing more is stored.
     is_handed_over: bool,
     records: BTreeMap<WorkId, Vec<Record>>,
     record_count: usize,
-    /// In the order of their times.
+    /// Ordered by `due_at`.
     expiries: VecDeque<Expiry>,
 }
 
@@ -65,13 +65,13 @@
         self.record_count
     }
 
-    /// Whether everything that this replica could have forgotten has expired, so that it may answer queries.
+    /// Whether every record that this replica may lack has expired by now, so that it may answer queries.
     pub fn has_full_history(&self, now: Timestamp) -> bool {
         let is_old_enough = now.ms_since(self.history_since) > self.lifetime_ms();
         is_old_enough || self.has_inherited_history || is_injected(InjectedFault::AnswersWithoutHistory)
     }
 
-    /// From now on intents are stored; of what was before, nothing may be known.
+    /// Starts the history anew: records of intents from before `now` may be missing.
     pub(crate) fn restart_history(&mut self, now: Timestamp) {
         self.history_since = now;
         self.has_inherited_history = false;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Handles an owner's request; replies are not for the replica.
+    /// Handles an owner's request; replies are ignored.
     pub(crate) fn handle_request(
         &mut self,
         now: Timestamp,
@@ -134,17 +134,18 @@
             }
             self.expiries.pop_front();
             let lifetime_ms = self.lifetime_ms();
-            // A record whose call was answered early is kept longer than it has to be: one date each is enough.
+            // One expiry time per record is enough: if the call was answered early, the record is only kept
+            // longer than necessary.
             self.retain(work, |record| record.created_at.plus_ms(lifetime_ms) > due_at);
         }
     }
 
-    /// How long a record is kept after it was created.
+    /// How long a record is kept after it was created, in ms.
     fn lifetime_ms(&self) -> u64 {
         self.longest_call_ms + QUIET_PERIOD_MS + self.retention_ms
     }
 
-    /// Whether this replica takes part at all, for an owner with this version of the view.
+    /// Whether this replica serves an owner with this version of the view.
     fn can_serve(&self, version: u32, view: &View) -> bool {
         !self.is_handed_over && view.hears_leader && version == view.version
     }
@@ -178,17 +179,19 @@
             && (!intent.is_repeat || self.has_full_history(now))
     }
 
-    /// Marks the records that a new call goes on from. Returns false, and marks none, if there are records of the same work
-    /// that stand against it.
+    /// Marks the records that the intent of a new call supersedes. Returns false, and marks none, if other
+    /// records of the same work item conflict with the intent.
     ///
-    /// Two repeats at the same moment have both seen nothing, so the second one has to be refused. A call that is no repeat is
-    /// other work, though it concerns the same; but where a repeat has been, it may be what that repeats, read late by a node
-    /// that was stopped. A record that has gone on since it was seen counts as unseen.
+    /// Two simultaneous repeats have both seen no record, so the second one has to be refused. Calls that are
+    /// not repeats do not conflict with each other: they are separate executions, although their work item is
+    /// the same. Such a call does conflict with the record of a repeat, because it may be the call that was
+    /// repeated, read late by a node that was paused. A record with a newer intent than the one that was seen
+    /// counts as unseen.
     fn supersede(&mut self, intent: &Intent) -> bool {
         let Some(records) = self.records.get_mut(&intent.work) else { return true };
-        let is_against =
+        let conflicts =
             |record: &Record| !record.is_superseded_by(intent) && (intent.is_repeat || record.is_repeat);
-        if records.iter().any(is_against) && !is_injected(InjectedFault::ConflictAccepted) {
+        if records.iter().any(conflicts) && !is_injected(InjectedFault::ConflictAccepted) {
             return false;
         }
         for record in records.iter_mut().filter(|record| record.is_superseded_by(intent)) {
@@ -198,33 +201,34 @@
     }
 
     fn insert(&mut self, now: Timestamp, work: WorkId, record: Record) {
-        // Most works have one record, and a list's default capacity of four would nearly triple the memory in use.
+        // Most work items have one record, and a vector's default capacity of four would nearly triple the
+        // memory in use.
         self.records.entry(work).or_insert_with(|| Vec::with_capacity(1)).push(record);
         self.record_count += 1;
-        // A record that is never reported to have ended expires all the same.
+        // A record expires even if the end of its call is never reported.
         self.expiries.push_back(Expiry { due_at: now.plus_ms(self.lifetime_ms()), work });
     }
 
-    /// A work's records, without the one of the call that asks.
-    fn views(&self, now: Timestamp, work: WorkId, asking: &RecordId) -> Vec<RecordView> {
+    /// The records of a work item, except the one of the querying call.
+    fn views(&self, now: Timestamp, work: WorkId, querying_id: &RecordId) -> Vec<RecordView> {
         let records = self.records.get(&work).into_iter().flatten();
-        records.filter(|record| record.id != *asking).map(|record| record.to_view(now)).collect()
+        records.filter(|record| record.id != *querying_id).map(|record| record.to_view(now)).collect()
     }
 
     fn end_call(&mut self, now: Timestamp, id: &RecordId, work: WorkId, sequence: u32, outcome: Outcome) {
-        let is_meant = |record: &Record| record.id == *id && record.sequence <= sequence;
+        let is_ended_call = |record: &Record| record.id == *id && record.sequence <= sequence;
         let is_kept = outcome == Outcome::Answered && !is_injected(InjectedFault::RecordDroppedOnAnswer);
         if !is_kept {
-            self.retain(work, |record| !is_meant(record));
+            self.retain(work, |record| !is_ended_call(record));
             return;
         }
         let Some(records) = self.records.get_mut(&work) else { return };
-        if let Some(record) = records.iter_mut().find(|record| is_meant(record)) {
+        if let Some(record) = records.iter_mut().find(|record| is_ended_call(record)) {
             record.answered_at = Some(now);
         }
     }
 
-    /// Removes the records of a work that do not satisfy the predicate.
+    /// Removes the records of a work item that do not satisfy the predicate.
     fn retain(&mut self, work: WorkId, is_retained: impl Fn(&Record) -> bool) {
         let Some(records) = self.records.get_mut(&work) else { return };
         let count_before = records.len();
--- a/crates/takeover/src/replica/record.rs
+++ b/crates/takeover/src/replica/record.rs
@@ -8,16 +8,16 @@
 use crate::message::{FirstAttempt, Intent, IntentVerdict, RecordView};
 use crate::timing::{QUIET_PERIOD_MS, UNKNOWN_AGE_MS, timestamp_before};
 
-/// The first attempt of a work that may have run, by the replica's clock.
+/// The first attempt of a work item that may have run, timed by the replica's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstAttemptTime {
     host: u64,
-    /// The latest time at which it may have been sent, where that is known.
+    /// The latest time at which the attempt may have been sent, if that is known.
     sent_at: Option<Timestamp>,
 }
 
 impl FirstAttemptTime {
-    /// Converts an age as of now into a time.
+    /// Converts an age as of `now` into a time.
     fn new(now: Timestamp, first: FirstAttempt) -> FirstAttemptTime {
         let is_known = first.age_ms < UNKNOWN_AGE_MS;
         let sent_at = is_known.then(|| timestamp_before(now, first.age_ms));
@@ -29,10 +29,10 @@
         FirstAttempt { host: self.host, age_ms }
     }
 
-    /// Combines it with what a later intent says.
+    /// Merges this with the first attempt that a later intent reports.
     ///
-    /// An age is as of when the intent was sent, which may itself be long ago: of two times for the same host the earlier
-    /// one holds, and an unknown time is earlier than all others.
+    /// An age is as of when the intent was sent, and the intent may arrive long after that. Of two times for
+    /// the same host the earlier one is therefore used, and an unknown time is earlier than all others.
     fn updated(self, later: FirstAttemptTime) -> FirstAttemptTime {
         if self.host != later.host {
             return later;
@@ -56,9 +56,9 @@
     pub(super) sequence: u32,
     /// The call's deadline.
     deadline: Timestamp,
-    /// When the call had its final answer.
+    /// When the call was reported to have its final answer.
     pub(super) answered_at: Option<Timestamp>,
-    /// Another call goes on from this record: its own call may begin nothing more.
+    /// Whether another call has superseded this record, so that its own call may start no more attempts.
     pub(super) is_superseded: bool,
 }
 
@@ -83,7 +83,7 @@
         if self.is_superseded && !is_injected(InjectedFault::NoFencing) {
             return IntentVerdict::Conflict;
         }
-        // An intent that comes twice or late says nothing new.
+        // A duplicate or late intent adds nothing new.
         if intent.sequence > self.sequence {
             self.term = intent.term;
             self.sequence = intent.sequence;
@@ -93,7 +93,7 @@
         IntentVerdict::Accepted
     }
 
-    /// Whether an intent goes on from this record as it is now.
+    /// Whether an intent supersedes this record in its current state.
     pub(super) fn is_superseded_by(&self, intent: &Intent) -> bool {
         intent.supersedes.iter().any(|seen| seen.id == self.id && seen.sequence >= self.sequence)
     }
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Time until the record is over; 0 only if it is, though the rest may be less than a millisecond.
+    /// Time in ms until the record is over. Until then it is at least 1, even if less than a millisecond is
+    /// left.
     fn open_ms(&self, now: Timestamp) -> u64 {
         let end = self.deadline.plus_ms(QUIET_PERIOD_MS);
         if now >= end { 0 } else { end.ms_since(now).max(1) }
@@ -130,9 +131,10 @@
         }
     }
 
-    /// The record as a successor takes it over.
+    /// Restores a record in the successor.
     ///
-    /// Nobody knows how long it took from one process to the next, so the time of the first attempt is unknown from here on.
+    /// It is not known how much time has passed between the two processes, so the time of the first attempt
+    /// is unknown from now on.
     pub(super) fn from_handover(now: Timestamp, record: RecordHandover) -> Record {
         Record {
             id: record.id,
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -12,7 +12,7 @@
 use crate::replica::Replica;
 use crate::view::View;
 
-/// What a node stores for others, and what others store for it.
+/// Both roles of a node: the owner of its own calls, and a replica for the records of others' calls.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     me: UnitName,
@@ -23,11 +23,12 @@
 }
 
 impl Takeover {
-    /// A node that stores nothing yet.
+    /// Creates a node that stores nothing yet.
     ///
-    /// `now` has to be a day or more: times before the start of the clock would look younger than they are.
-    /// `retention_ms` is how long a call's record is kept after its answer, `longest_call_ms` the longest time that any
-    /// call has, and `seed` that of the random waits.
+    /// `now` has to be a day or more after the clock's zero: times before zero are raised to zero, so that
+    /// old attempts would look younger than they are. `retention_ms` is how long a call's record is kept
+    /// after its answer, `longest_call_ms` the longest time that any call may take, and `seed` seeds the
+    /// random delays.
     pub fn new(
         now: Timestamp,
         me: UnitName,
@@ -45,12 +46,12 @@
         }
     }
 
-    /// This node's part as a replica.
+    /// This node's replica, which stores records.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// This node's part as the owner of its calls.
+    /// This node's owner, which tracks its own calls.
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
@@ -63,42 +64,44 @@
     /// Reports the membership that holds from now on.
     pub fn membership_changed(&mut self, now: Timestamp, view: View) {
         let is_voter = |view: &View| view.voter_slots.contains(&self.me);
-        // The first view is no change: it says what has been so.
+        // The first view is not a change: it describes the membership that was already in force.
         let is_first = self.view.voter_slots.is_empty();
         let has_changed = view.version != self.view.version || is_voter(&view) != is_voter(&self.view);
-        // A new voter has not heard of what was stored before, and must not answer as if it had.
+        // A new voter lacks the records that were stored before, and must not answer as if it had them.
         if !is_first && has_changed {
             self.replica.restart_history(now);
         }
         self.view = view;
     }
 
-    /// Ends this node's part as a replica before a planned end of the process; the result is for the next process.
+    /// Stops this node's replica before a planned end of the process, and returns its records for the next
+    /// process.
     pub fn hand_over(&mut self, now: Timestamp) -> ReplicaHandover {
         self.replica.hand_over(now)
     }
 
-    /// Takes over what the process before handed over. It must have ended as planned, and nobody else may have restored
-    /// the same handover.
+    /// Restores what the previous process handed over. That process must have ended as planned, and no other
+    /// process may have restored the same handover.
     pub fn restore(&mut self, now: Timestamp, handover: ReplicaHandover) {
         self.replica.restore(now, handover);
     }
 
-    /// Reports a repeated call: what came of its work has to be known before it is placed. [`Action::Admit`] or
-    /// [`Action::Fail`] follows within `remaining_ms`.
+    /// Reports a repeated call. The outcome of its work item has to be known before the call is placed, so
+    /// [`Action::Admit`] or [`Action::Fail`] follows within `remaining_ms`.
     pub fn call_repeated(&mut self, now: Timestamp, call: u64, work: WorkId, remaining_ms: u64) {
         let actions = self.owner.call_repeated(now, call, work, remaining_ms, &self.view);
         self.carry_out(now, actions);
     }
 
-    /// Asks for an attempt's intent to be replicated. [`Action::Proceed`], [`Action::NotReplicated`] or
+    /// Requests the replication of an attempt's intent. [`Action::Proceed`], [`Action::NotReplicated`] or
     /// [`Action::InFlightElsewhere`] follows.
     pub fn replicate_intent(&mut self, now: Timestamp, call: u64, attempt: Attempt) {
         let actions = self.owner.replicate_intent(now, call, attempt, &self.view);
         self.carry_out(now, actions);
     }
 
-    /// Reports the end of a call. Nothing happens if none of its intents was to be replicated.
+    /// Reports the end of a call. Replicas are informed only if the replication of an intent was requested
+    /// for it.
     pub fn call_ended(&mut self, now: Timestamp, call: u64, outcome: Outcome) {
         let actions = self.owner.call_ended(call, outcome, &self.view);
         self.carry_out(now, actions);
@@ -121,19 +124,19 @@
         }
     }
 
-    /// Lets time pass; to be called ten times a second at least.
+    /// Handles timeouts, resends and expiry. Has to be called at least ten times a second.
     pub fn tick(&mut self, now: Timestamp) {
         self.replica.tick(now);
         let actions = self.owner.tick(now, &self.view);
         self.carry_out(now, actions);
     }
 
-    /// Takes the actions that have come up since the last call, in their order.
+    /// Takes the actions that are due since this was last called, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Messages to this node's own replica are handled at once; all other actions are the node's.
+    /// Delivers messages to this node's own replica directly, and queues all other actions for the node.
     fn carry_out(&mut self, now: Timestamp, actions: Vec<Action>) {
         for action in actions {
             match action {
--- a/crates/takeover/src/view.rs
+++ b/crates/takeover/src/view.rs
@@ -1,4 +1,4 @@
-//! The fleet's membership as this node knows it, and the choice of replicas by it.
+//! The fleet's membership as this node knows it, and the placement of replicas that follows from it.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::id::WorkId;
 
-/// Replicas of one work, of which a majority has to agree.
+/// Number of replicas of one work item, of which a majority has to agree.
 pub const REPLICAS: usize = 3;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -19,7 +19,7 @@
     pub voter_slots: Vec<UnitName>,
     /// Counts the changes of `voter_slots`.
     pub version: u32,
-    /// Whether a leader was heard of late, so that this view is no older than that.
+    /// Whether the leader was heard recently, so that this view is recent as well.
     pub hears_leader: bool,
     /// How often each node was declared lost.
     pub terms: BTreeMap<UnitName, u64>,
@@ -31,9 +31,9 @@
         self.terms.get(node).copied().unwrap_or(0)
     }
 
-    /// The replicas of a work, the same at all nodes that know the same voters.
+    /// The replicas of a work item, the same at all nodes that know the same voters.
     ///
-    /// Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996.
+    /// Rendezvous hashing: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996.
     pub fn replicas(&self, work: WorkId) -> Vec<UnitName> {
         let mut ranked: Vec<(u64, &UnitName)> =
             self.voter_slots.iter().map(|name| (rendezvous_rank(work, name), name)).collect();
@@ -47,7 +47,7 @@
     name.0.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The hash of the name mixed with the work by the finisher of splitmix64 (Steele, Lea and Flood, 2014).
+/// The hash of the name, mixed with the work id by the finalizer of splitmix64 (Steele, Lea and Flood, 2014).
 fn rendezvous_rank(work: WorkId, name: &UnitName) -> u64 {
     let mut mixed = hash_of_name(name) ^ work.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
