--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -1,4 +1,4 @@
-//! Time and memory of the records of calls: `cargo bench -p glendeck-takeover`.
+//! Time and memory that the records of calls take: `cargo bench -p glendeck-takeover`.
 
 use divan::{AllocProfiler, Bencher, black_box};
 use glendeck_fleet::Timestamp;
@@ -17,23 +17,23 @@
     divan::main();
 }
 
-fn name(at: usize) -> UnitName {
-    UnitName(format!("node-{at}"))
+fn name(index: usize) -> UnitName {
+    UnitName(format!("node-{index}"))
 }
 
 fn timestamp(ms: u64) -> Timestamp {
     Timestamp((100_000_000 + ms) * 1_000_000)
 }
 
-fn node(at: usize) -> Takeover {
+fn node(index: usize) -> Takeover {
     let mut node =
-        Takeover::new(timestamp(0), name(at), Incarnation(at as u64), 7, RETENTION_MS, LONGEST_CALL_MS);
+        Takeover::new(timestamp(0), name(index), Incarnation(index as u64), 7, RETENTION_MS, LONGEST_CALL_MS);
     let view = View { voter_slots: (0..REPLICAS).map(name).collect(), hears_leader: true, ..View::default() };
     node.membership_changed(timestamp(0), view);
     node
 }
 
-/// Three replicas, and a node of its own that begins calls.
+/// Three replicas, and one more node that owns the calls.
 fn fleet() -> Vec<Takeover> {
     (0..=REPLICAS).map(node).collect()
 }
@@ -55,7 +55,7 @@
         }
         messages += sent.len() as u64;
         for (from, to, message) in sent {
-            let to = (0..fleet.len()).find(|at| name(*at) == to).unwrap();
+            let to = (0..fleet.len()).find(|index| name(*index) == to).unwrap();
             fleet[to].message_received(now, &name(from), message);
         }
     }
@@ -90,7 +90,8 @@
     fleet
 }
 
-/// One call: its intent replicated at three nodes, and its end, with so many records stored beside it.
+/// One call: its intent is replicated at three nodes and its end is reported, with `records` other records
+/// stored.
 #[divan::bench(args = [0, 1_000, 30_000])]
 fn a_call_with_three_replicas(bencher: Bencher, records: u64) {
     let mut fleet = fleet_with_records(records);
@@ -102,7 +103,7 @@
     });
 }
 
-/// A repeat: three queries, its intent, its end.
+/// A repeat of an answered call: three queries, the repeat's intent and its end.
 #[divan::bench]
 fn a_repeat_that_was_answered(bencher: Bencher) {
     let mut fleet = fleet_with_records(1_000);
@@ -116,19 +117,20 @@
     });
 }
 
-/// One replica with so many records: the bytes that it has allocated, divided by their number, are those of a record.
+/// One replica with `records` records. The allocated bytes divided by their number are the bytes of one
+/// record.
 #[divan::bench(args = [1_000, 10_000, 100_000], sample_count = 5)]
 fn memory_of_a_replica(bencher: Bencher, records: u64) {
-    // Sent by a node that is no replica itself.
+    // The messages come from a node that is not a replica itself.
     let mut fleet = fleet();
     let mut messages: Vec<ReplicaMessage> = Vec::new();
     for work in 0..records {
         fleet[REPLICAS].replicate_intent(timestamp(20_000), work, attempt(work));
-        let keeps = |action| match action {
+        let intent_for_first_replica = |action| match action {
             Action::Send(to, message @ ReplicaMessage::StoreIntent(_)) if to == name(0) => Some(message),
             _ => None,
         };
-        messages.extend(fleet[REPLICAS].take_actions().into_iter().filter_map(keeps));
+        messages.extend(fleet[REPLICAS].take_actions().into_iter().filter_map(intent_for_first_replica));
     }
     let owner = name(REPLICAS);
     bencher.bench_local(|| {
--- a/crates/takeover/src/warm_state/hint_store.rs
+++ b/crates/takeover/src/warm_state/hint_store.rs
@@ -11,26 +11,26 @@
 use super::message::{HintChange, HintUpdate, Hints};
 use super::placement::{EXPIRY_MS, MAX_HINTS};
 
-/// A node without a link for so long is taken for gone: late enough for a link that was only reset to be back, and early
-/// enough for the notice to be of use (`docs/takeover.md`).
+/// A node that has had no link for this long counts as gone. A link that was only reset is back before that,
+/// and the notice is still early enough to be useful (`docs/takeover.md`).
 const GONE_AFTER_MS: u64 = 300;
 
-/// What is stored of one node.
+/// What is stored for one node.
 #[derive(Clone, Debug)]
 pub(super) struct StoredHints {
     pub(super) incarnation: Incarnation,
-    /// The process before it, whose updates may still arrive late.
+    /// The node's previous process, whose updates may still arrive late.
     previous_incarnation: Option<Incarnation>,
     sequence: u32,
     pub(super) hints: Hints,
     /// When the node last had a link to this one.
     linked_at: Timestamp,
     pub(super) is_draining: bool,
-    /// All nodes were told that it is gone.
+    /// Whether all nodes were told that the node is gone.
     is_announced: bool,
 }
 
-/// A process that is gone.
+/// A process of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProcessId {
     pub(super) node: UnitName,
@@ -56,25 +56,25 @@
         self.by_node.values().map(|stored| stored.hints.len()).sum()
     }
 
-    /// Applies an update, and returns whether the store is in sync with the sender after it.
+    /// Applies an update, and returns whether the store is in sync with the sender afterwards.
     pub(super) fn apply(&mut self, now: Timestamp, from: &UnitName, update: HintUpdate) -> bool {
         let stored = self.by_node.get(from);
-        let is_of_process_before =
+        let is_from_previous_process =
             stored.is_some_and(|stored| stored.previous_incarnation == Some(update.incarnation));
-        if is_of_process_before {
+        if is_from_previous_process {
             return true;
         }
         let is_same_process = |stored: &&StoredHints| {
             stored.incarnation == update.incarnation || is_injected(InjectedFault::IncarnationsMixed)
         };
         let same_process = stored.filter(is_same_process);
-        // An update that comes twice or late would undo what came after it.
+        // A duplicate or late update would overwrite newer hints.
         let is_stale = same_process.is_some_and(|stored| update.sequence < stored.sequence);
         if is_stale && !is_injected(InjectedFault::StaleUpdateAccepted) {
             return true;
         }
         let Some(mut hints) = base_hints(same_process, update.base) else {
-            // The same update once more changes nothing.
+            // A repetition of the last update changes nothing.
             return same_process.is_some_and(|stored| stored.sequence == update.sequence);
         };
         apply_changes(&mut hints, &update.changes);
@@ -87,14 +87,14 @@
         true
     }
 
-    /// Removes what is stored of nodes that stay away.
+    /// Removes the hints of nodes that have not come back.
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.by_node.retain(|_, stored| {
             now.ms_since(stored.linked_at) < EXPIRY_MS || is_injected(InjectedFault::HintsNeverExpire)
         });
     }
 
-    /// The processes that are gone and were not announced before; from here on they count as announced.
+    /// Returns the processes that are gone and not yet announced, and marks them as announced.
     pub(super) fn take_gone(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<ProcessId> {
         let mut gone = Vec::new();
         for (node, stored) in &mut self.by_node {
@@ -116,12 +116,18 @@
 }
 
 impl StoredHints {
-    /// What is stored after an update that results in these hints.
-    fn after(now: Timestamp, before: Option<&StoredHints>, update: &HintUpdate, hints: Hints) -> StoredHints {
-        let was_announced = before.is_some_and(|before| before.is_draining && before.is_announced);
+    /// The state to store after an update that results in these hints.
+    fn after(
+        now: Timestamp,
+        previous: Option<&StoredHints>,
+        update: &HintUpdate,
+        hints: Hints,
+    ) -> StoredHints {
+        let was_announced = previous.is_some_and(|previous| previous.is_draining && previous.is_announced);
         StoredHints {
             incarnation: update.incarnation,
-            previous_incarnation: before.and_then(|before| before.process_before(update.incarnation)),
+            previous_incarnation: previous
+                .and_then(|previous| previous.process_preceding(update.incarnation)),
             sequence: update.sequence,
             hints,
             linked_at: now,
@@ -130,13 +136,13 @@
         }
     }
 
-    /// The process before this one, as seen from an update of `incarnation`.
-    fn process_before(&self, incarnation: Incarnation) -> Option<Incarnation> {
+    /// The process that preceded `incarnation`, whose update has arrived.
+    fn process_preceding(&self, incarnation: Incarnation) -> Option<Incarnation> {
         if self.incarnation == incarnation { self.previous_incarnation } else { Some(self.incarnation) }
     }
 }
 
-/// The hints that an update's changes apply to; `None` if they are not here.
+/// The hints that an update's changes apply to; `None` if they are not stored here.
 fn base_hints(stored: Option<&StoredHints>, base: Option<u32>) -> Option<Hints> {
     if base.is_none() {
         return Some(Hints::new());
--- a/crates/takeover/src/warm_state/message.rs
+++ b/crates/takeover/src/warm_state/message.rs
@@ -1,6 +1,7 @@
 //! Hints, and the messages that carry them.
 //!
-//! They are encoded by `postcard`, which is positional: the order of fields and of variants is part of the wire format.
+//! They are encoded with `postcard`, which is positional: the order of fields and of variants is part of the
+//! wire format.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,7 @@
 use glendeck_fleet::state::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// The subject of a hint, by any numbers that mean the same at all nodes.
+/// What a hint is about. Its numbers mean the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Hint {
     /// A host has connections of a group.
@@ -20,18 +21,18 @@
     },
     /// The load of a client's connection is known.
     Load {
-        /// What the connection concerns.
+        /// The subject of the connection.
         subject: u64,
     },
 }
 
-/// The value of each hint: a load in millionths of work a second, or 1 for a home.
+/// The value of each hint: a load in millionths of work per second, or 1 for [`Hint::GroupOnHost`].
 pub type Hints = BTreeMap<Hint, u32>;
 
 /// A hint with its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HintValue {
-    /// What is known.
+    /// The hint.
     pub hint: Hint,
     /// Its value, as in [`Hints`].
     pub value: u32,
@@ -40,9 +41,9 @@
 /// A change of one hint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HintChange {
-    /// What is known, or was.
+    /// The hint that has changed.
     pub hint: Hint,
-    /// Its new value, as in [`Hints`]; `None` if it is known no more.
+    /// Its new value, as in [`Hints`]; `None` if the hint was removed.
     pub value: Option<u32>,
 }
 
@@ -53,11 +54,11 @@
     pub incarnation: Incarnation,
     /// Counts the changes of the process's hints.
     pub sequence: u32,
-    /// The sequence number that the changes are based on; `None` if they are all hints there are.
+    /// The sequence number that the changes are based on; `None` if they contain all hints of the process.
     pub base: Option<u32>,
-    /// What has changed.
+    /// The changed hints.
     pub changes: Vec<HintChange>,
-    /// Whether the node sends its clients away for a planned end.
+    /// Whether the node is sending its clients away before a planned end.
     pub is_draining: bool,
 }
 
@@ -87,7 +88,7 @@
 pub enum WarmStateAction {
     /// Send this message to this node.
     Send(UnitName, WarmStateMessage),
-    /// The clients of a node that is gone come to this one and others: use its hints.
+    /// Use the hints of a node that is gone, as its clients reconnect to this node and others.
     Adopt {
         /// The node that is gone.
         node: UnitName,
@@ -96,7 +97,7 @@
     },
 }
 
-/// The hints in their order, as a message carries them.
+/// The hints in the form that messages carry, in order.
 pub(super) fn hint_values(hints: &Hints) -> Vec<HintValue> {
     hints.iter().map(|(hint, value)| HintValue { hint: *hint, value: *value }).collect()
 }
--- a/crates/takeover/src/warm_state/mod.rs
+++ b/crates/takeover/src/warm_state/mod.rs
@@ -1,9 +1,10 @@
-//! What a node's clients come back to after its loss: where its groups have connections, and which clients are heavy. Two
-//! other nodes store it, and tell all nodes when the node is gone, before it is declared lost: clients are back within a
-//! second. Design: `docs/takeover.md`.
+//! Warm state: hints that help the other nodes to place the clients of a lost node when they reconnect. They
+//! tell which hosts have connections of which groups, and which clients have a high load. Two other nodes
+//! store the hints and send them to all nodes when the node is gone. They do not wait until it is declared
+//! lost, since clients reconnect within a second. Design: `docs/takeover.md`.
 //!
-//! These are hints. Nothing that must not be done twice rests on them, so they are neither agreed nor fenced, a false
-//! alarm costs nothing, and whatever is lost on the way is only not known.
+//! Nothing that must not be done twice depends on hints. They therefore need neither consensus nor fencing, a
+//! false alarm does no harm, and a hint that is lost on the way is merely unknown.
 
 mod hint_store;
 mod message;
@@ -26,7 +27,7 @@
 pub use message::{Hint, HintChange, HintUpdate, HintValue, Hints, WarmStateAction, WarmStateMessage};
 pub use placement::{MAX_HINTS, replicas_of};
 
-/// One node's part: its own hints, the hints that it stores for others, and the notices that nodes are gone.
+/// A node's own hints, the hints that it stores for other nodes, and the notices that nodes are gone.
 #[derive(Clone, Debug)]
 pub struct WarmStateExchange {
     me: UnitName,
@@ -36,7 +37,7 @@
 }
 
 impl WarmStateExchange {
-    /// A node that has published and stored nothing.
+    /// Creates the exchange of a node that has published and stored nothing.
     pub fn new(now: Timestamp, me: UnitName, incarnation: Incarnation) -> WarmStateExchange {
         WarmStateExchange {
             publisher: Publisher::new(now, me.clone(), incarnation),
@@ -61,8 +62,8 @@
         self.store.get(node).map(|stored| &stored.hints)
     }
 
-    /// Reports this node's hints, once a second, and the nodes that it has a link to. `is_draining`: it sends its clients
-    /// away for a planned end.
+    /// Reports this node's hints, once a second, and the nodes that it has a link to. `is_draining` means
+    /// that it is sending its clients away before a planned end.
     pub fn publish(
         &mut self,
         now: Timestamp,
@@ -98,7 +99,7 @@
                 vec![]
             }
             WarmStateMessage::NodeGone { node, incarnation, hints } => {
-                // A node without a voter slot stores nothing, and has nothing to announce.
+                // A node without a voter slot stores no hints, so it has none to announce.
                 if node == self.me || !view.voter_slots.contains(from) {
                     return vec![];
                 }
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Lets time pass, and reports the nodes that this one has a link to; to be called ten times a second.
+    /// Handles expiry, detects nodes that are gone and sends notices. `linked` are the nodes that this one
+    /// has a link to. Has to be called ten times a second.
     pub fn tick(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<WarmStateAction> {
         self.store.expire(now);
         self.notices.expire(now);
@@ -119,8 +121,8 @@
         for process in self.store.take_gone(now, linked) {
             let node = process.node.clone();
             self.notices.enqueue(now, &node, linked);
-            let is_news = self.notices.receive(now, process);
-            let stored = self.store.get(&node).filter(|_| is_news);
+            let is_new = self.notices.receive(now, process);
+            let stored = self.store.get(&node).filter(|_| is_new);
             if let Some(stored) = stored {
                 let hints = message::hint_values(&stored.hints);
                 actions.push(WarmStateAction::Adopt { node, hints });
--- a/crates/takeover/src/warm_state/notices.rs
+++ b/crates/takeover/src/warm_state/notices.rs
@@ -11,15 +11,17 @@
 use super::message::{WarmStateAction, WarmStateMessage, hint_values};
 use super::placement::EXPIRY_MS;
 
-/// A notice that is sent later than this is of no use any more: the clients have come back before.
-const USEFUL_MS: u64 = 2_000;
+/// A notice that has been queued for longer than this is dropped: the clients have reconnected by then.
+const MAX_NOTICE_AGE_MS: u64 = 2_000;
 
-/// Without this limit, a replica would send the hints of all nodes to all nodes in one turn when many are lost at once.
+/// Without this limit, a replica would send the hints of all nodes to all nodes in one tick when many are
+/// lost at once.
 const MAX_NOTICES_PER_TICK: usize = 64;
 
-/// A second notice of the same process within this is the other replica's: that one is at most 2 s in its queue, and as much
-/// later as its link fell silent. If this were longer, nobody would be told of a node that is lost soon after a false alarm.
-const DUPLICATE_MS: u64 = 4_000;
+/// A second notice of the same process within this time comes from the other replica: it is queued there for
+/// 2 s at most, and is delayed further if that replica's link fell silent later. A longer time would suppress
+/// the notice of a node that is lost soon after a false alarm.
+const DUPLICATE_WINDOW_MS: u64 = 4_000;
 
 /// A notice that is still to be sent.
 #[derive(Clone, Debug)]
@@ -33,16 +35,16 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Notices {
     pending: VecDeque<PendingNotice>,
-    /// When each process was last announced. The process is part of the key, as a late notice of one process may come after
-    /// the end of the next one.
+    /// When each process was last announced as gone. The key contains the incarnation, as a late notice of
+    /// one process may arrive after the end of the next one.
     received: BTreeMap<ProcessId, Timestamp>,
 }
 
 impl Notices {
-    /// Notes a notice, and returns whether it is not the repetition of a recent one.
+    /// Records a notice and returns true, or returns false if the notice is a duplicate of a recent one.
     pub(super) fn receive(&mut self, now: Timestamp, process: ProcessId) -> bool {
         let last = self.received.get(&process);
-        let is_duplicate = last.is_some_and(|received_at| now.ms_since(*received_at) < DUPLICATE_MS);
+        let is_duplicate = last.is_some_and(|received_at| now.ms_since(*received_at) < DUPLICATE_WINDOW_MS);
         if is_duplicate && !is_injected(InjectedFault::DuplicateNoticeAccepted) {
             return false;
         }
@@ -73,7 +75,7 @@
             let Some(PendingNotice { queued_at, to, node }) = self.pending.pop_front() else { break };
             let Some(stored) = store.get(&node) else { continue };
             let is_back = linked.contains(&node) && !stored.is_draining;
-            if is_back || now.ms_since(queued_at) >= USEFUL_MS {
+            if is_back || now.ms_since(queued_at) >= MAX_NOTICE_AGE_MS {
                 continue;
             }
             let hints = hint_values(&stored.hints);
--- a/crates/takeover/src/warm_state/placement.rs
+++ b/crates/takeover/src/warm_state/placement.rs
@@ -5,14 +5,15 @@
 use crate::id::WorkId;
 use crate::view::{View, hash_of_name};
 
-/// The most hints that one node may have stored: some 24 bytes each at a replica.
+/// The most hints that are stored for one node; each takes about 24 bytes at a replica.
 pub const MAX_HINTS: usize = 4_096;
 
-/// Of the three replicas that rendezvous hashing gives for a node's name, so many store its hints: hints need no majority,
-/// and one replica may be lost.
+/// How many of the three replicas that rendezvous hashing gives for a node's name store its hints. Hints need
+/// no majority, and with two replicas one may be lost.
 const REPLICAS_PER_NODE: usize = 2;
 
-/// What is stored of a node that stays away is removed after this, and so is the memory of notices.
+/// The hints of a node that has not come back are removed after this time, and so are the records of received
+/// notices.
 pub(super) const EXPIRY_MS: u64 = 60_000;
 
 /// The nodes that store a node's hints: the same at all nodes that know the same voters.
--- a/crates/takeover/src/warm_state/publisher.rs
+++ b/crates/takeover/src/warm_state/publisher.rs
@@ -1,4 +1,4 @@
-//! A node's own hints, and what its replicas have been sent of them.
+//! A node's own hints, and which replicas have been sent all of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,8 +11,8 @@
 use super::message::{HintChange, HintUpdate, Hints, WarmStateAction, WarmStateMessage};
 use super::placement::{MAX_HINTS, replicas_of};
 
-/// A node whose hints do not change sends an empty update so often: a replica that missed the last update does not know it
-/// before.
+/// How often a node whose hints do not change sends an empty update. A replica that missed the last update
+/// notices it only then.
 const KEEPALIVE_MS: u64 = 5_000;
 
 /// Sends a node's hints to its replicas.
@@ -20,12 +20,12 @@
 pub(super) struct Publisher {
     me: UnitName,
     incarnation: Incarnation,
-    /// As last published.
+    /// The hints as last published.
     hints: Hints,
     sequence: u32,
     published_at: Timestamp,
     is_draining: bool,
-    /// The replicas, each with whether it has been sent everything there was.
+    /// Whether each linked replica has been sent all updates.
     is_in_sync: BTreeMap<UnitName, bool>,
 }
 
@@ -82,14 +82,15 @@
         actions
     }
 
-    /// The next update for this replica is to hold all hints.
+    /// Makes the next update for this replica contain all hints.
     pub(super) fn resynchronize(&mut self, replica: &UnitName) {
         if let Some(is_in_sync) = self.is_in_sync.get_mut(replica) {
             *is_in_sync = false;
         }
     }
 
-    /// Those that this node has a link to; all others have to be sent everything when they are back.
+    /// The replicas that this node has a link to. All others are forgotten, so that they are sent all hints
+    /// when their link is back.
     fn linked_replicas(&mut self, view: &View, linked: &BTreeSet<UnitName>) -> Vec<UnitName> {
         let mut replicas = replicas_of(view, &self.me);
         replicas.retain(|replica| linked.contains(replica));
