--- a/crates/takeover/src/timing.rs
+++ b/crates/takeover/src/timing.rs
@@ -6,8 +6,9 @@
 /// It allows two round trips over a congested link. A node that takes a record over waits longer than this.
 pub const SEND_WINDOW_MS: u64 = 500;
 
-/// How long no node takes a record over after its intent was stored, and after its call's deadline. By then
-/// the owner has sent everything that it may still send, even if clock rates differ by a tenth.
+/// How long a record is not taken over: after its last intent was stored if its owner was declared lost, else
+/// after its call's deadline. By then the owner has sent everything that it may still send, even if clock rates
+/// differ by a tenth.
 pub const QUIET_PERIOD_MS: u64 = 600;
 
 /// The age of an attempt whose send time is not known: longer than any host recognises a repeat by its key.
--- a/crates/takeover/tests/warm_state/checks.rs
+++ b/crates/takeover/tests/warm_state/checks.rs
@@ -27,7 +27,7 @@
                 let stored_marker = replica_hints.and_then(|hints| marker(hints.keys().copied()));
                 if let Some((incarnation, count)) = stored_marker {
                     let key = (index, self.nodes[index].incarnation, publisher, incarnation);
-                    let previous = self.highest_counts.insert(key, count);
+                    let previous = self.last_counts.insert(key, count);
                     if previous.is_some_and(|previous| previous > count) {
                         self.report_violation(format!(
                             "n{index} goes back from publication {previous:?} to {count} of n{publisher}"
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Checks that a replica of a killed node announces the loss to all other nodes in time.
+    /// Checks that a replica of a killed node announces the loss to all linked nodes in time.
     pub(super) fn check_kills(&mut self) {
         let due_kills: Vec<_> = self.kills.iter().copied().filter(|kill| self.now >= kill.0 + 600).collect();
         self.kills.retain(|kill| self.now < kill.0 + 600);
--- a/crates/takeover/tests/warm_state/main.rs
+++ b/crates/takeover/tests/warm_state/main.rs
@@ -64,7 +64,7 @@
     /// What was published, by node, incarnation and publish count.
     history: BTreeMap<(usize, u64, u64), Hints>,
     /// The publish count that a replica was last seen to store of a process.
-    highest_counts: BTreeMap<(usize, u64, usize, u64), u64>,
+    last_counts: BTreeMap<(usize, u64, usize, u64), u64>,
     /// When each process last adopted another one's hints.
     adopted_at: BTreeMap<(usize, u64, usize, u64), u64>,
     /// The time, the node and its incarnation.
@@ -118,7 +118,7 @@
             cuts: BTreeMap::new(),
             message_faults,
             history: BTreeMap::new(),
-            highest_counts: BTreeMap::new(),
+            last_counts: BTreeMap::new(),
             adopted_at: BTreeMap::new(),
             kills: Vec::new(),
             adoption_count: 0,
