--- a/crates/takeover/benches/records.rs
+++ b/crates/takeover/benches/records.rs
@@ -103,7 +103,8 @@
     });
 }
 
-/// A repeat of an answered call: three queries, the repeat's intent and its end.
+/// A repeat of an answered call: three queries with their replies, and the end of the call. No intent is
+/// sent.
 #[divan::bench]
 fn a_repeat_that_was_answered(bencher: Bencher) {
     let mut fleet = fleet_with_records(1_000);
@@ -117,8 +118,7 @@
     });
 }
 
-/// One replica with `records` records. The allocated bytes divided by their number are the bytes of one
-/// record.
+/// One replica with `records` records. The allocated bytes divided by `records` are the bytes of one record.
 #[divan::bench(args = [1_000, 10_000, 100_000], sample_count = 5)]
 fn memory_of_a_replica(bencher: Bencher, records: u64) {
     // The messages come from a node that is not a replica itself.
--- a/crates/takeover/src/action.rs
+++ b/crates/takeover/src/action.rs
@@ -40,8 +40,9 @@
     Proceed(u64),
     /// Do not send the attempt of this call: its intent cannot be replicated.
     NotReplicated(u64),
-    /// Do not send the attempt of this call: another call has the same work item in flight. Report this call
-    /// with [`Takeover::call_repeated`](crate::Takeover::call_repeated), even if that was done before.
+    /// Do not send the attempt of this call: a record of another call with the same work item conflicts with
+    /// it. Report this call with [`Takeover::call_repeated`](crate::Takeover::call_repeated), even if that
+    /// was done before.
     InFlightElsewhere(u64),
     /// Place this repeated call. Holds the first attempt of its work item that may have run, if there is one.
     Admit(u64, Option<PriorAttempt>),
--- a/crates/takeover/src/fault_injection.rs
+++ b/crates/takeover/src/fault_injection.rs
@@ -1,7 +1,7 @@
 //! Faults that tests inject to show that their checkers notice them.
 //!
-//! Without the feature `fault-injection`, which only tests enable, no fault can be injected. With it, none is
-//! injected until a test calls `inject`. `glendeck_fleet` injects its own faults in the same way.
+//! Without the feature `fault-injection`, which only tests and benches enable, no fault can be injected. With
+//! it, none is injected until a test calls `inject`. `glendeck_fleet` injects its own faults in the same way.
 
 /// A fault that a test can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     SendBeforeReplicated,
     /// The reply of a single replica counts as a majority.
     SingleReplicaSuffices,
-    /// An attempt is sent although its send window is over.
+    /// An attempt is sent although its send window or its `send_before` time is over.
     SendAfterWindow,
     /// Replicas accept intents of older terms, and of calls whose record was superseded.
     NoFencing,
--- a/crates/takeover/src/handover.rs
+++ b/crates/takeover/src/handover.rs
@@ -1,6 +1,6 @@
 //! The records that a replica hands over to the next process of its node at a planned end.
 //!
-//! They are stored with `postcard`, which is positional: the order of fields is part of the format.
+//! They are encoded with `postcard`, which is positional: the order of fields is part of the format.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/takeover/src/id.rs
+++ b/crates/takeover/src/id.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Identifies a work item: a hash of a call's subject, traffic class and tenant. Every repeat of the call has
-/// the same one.
+/// the same one, and so have separate calls with the same three values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkId(pub u64);
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -31,7 +31,8 @@
 pub struct SupersededRecord {
     /// The record.
     pub id: RecordId,
-    /// The record's sequence number when it was seen. A record with a higher number by now counts as unseen.
+    /// The record's sequence number when the repeat saw it. If the replica has a higher one, the record
+    /// counts as unseen.
     pub sequence: u32,
 }
 
@@ -42,7 +43,8 @@
     pub id: RecordId,
     /// The work item of the call.
     pub work: WorkId,
-    /// The owner's term, by which replicas fence off a node that was declared lost.
+    /// The owner's term: how often it was declared lost. Replicas use it to fence off a node that was
+    /// declared lost.
     pub term: u64,
     /// The version of the owner's view.
     pub version: u32,
@@ -58,7 +60,8 @@
     pub remaining_ms: u64,
 }
 
-/// A record as a replica reports it in the reply to a query.
+/// A record as a replica reports it in the reply to a query. A record is open while its owner may still send
+/// an attempt for it, and over afterwards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordView {
     /// The record.
@@ -71,7 +74,8 @@
     pub sequence: u32,
     /// How long ago the last intent was stored, in ms.
     pub age_ms: u64,
-    /// Time in ms until the call's deadline has passed and its owner sends nothing more.
+    /// Time in ms until the quiet period after the call's deadline is over and its owner sends nothing more;
+    /// 0 from then on.
     pub open_ms: u64,
     /// Whether the call has its final answer.
     pub is_answered: bool,
@@ -120,7 +124,8 @@
         id: RecordId,
         /// The query's sequence number.
         sequence: u32,
-        /// The records of the work item; `None` if the replica may have forgotten some.
+        /// The records of the work item; `None` if the replica cannot answer: it may have forgotten records,
+        /// its view differs or is not recent, or it has handed its records over.
         records: Option<Vec<RecordView>>,
     },
     /// Owner to replica: the call is over.
--- a/crates/takeover/src/owner/intent_round.rs
+++ b/crates/takeover/src/owner/intent_round.rs
@@ -21,8 +21,7 @@
     Replicated,
     /// A majority can no longer store the intent, or has stored it too late; no replica reported a conflict.
     NotReplicated,
-    /// As [`IntentDecision::NotReplicated`], but a replica reported a conflict: it holds a record of the work
-    /// item that the intent does not supersede.
+    /// As [`IntentDecision::NotReplicated`], but a replica reported [`IntentVerdict::Conflict`].
     Conflict,
 }
 
--- a/crates/takeover/src/owner/mod.rs
+++ b/crates/takeover/src/owner/mod.rs
@@ -20,14 +20,14 @@
 use intent_round::{IntentDecision, IntentRound};
 use query_round::{QueryDecision, QueryRound};
 
-/// The shortest delay before the retry of a query that found an open record. The delay is random, up to twice
-/// this value, so that two calls that conflicted do not conflict again.
+/// A query that found an open record is retried after a random delay between this value and twice this value,
+/// so that two calls that conflicted do not conflict again.
 const QUERY_RETRY_MS: u64 = 100;
 
 /// The part of a repeated call's remaining time that is reserved for its answer; queries end before it.
 const ANSWER_RESERVE_MS: u64 = 150;
 
-/// A call that has replicated an intent or queried the records of earlier calls.
+/// A call for which the replication of an intent or a query of earlier records was requested.
 #[derive(Clone, Debug)]
 struct OwnedCall {
     /// The call's number in its [`RecordId`].
@@ -37,7 +37,7 @@
     /// The records that the last query found.
     supersedes: Vec<SupersededRecord>,
     prior: Option<PriorAttempt>,
-    /// When queries end and the call fails.
+    /// When a query that is still undecided makes the call fail.
     query_deadline: Timestamp,
     /// Counts the call's intents and queries.
     sequence: u32,
@@ -71,7 +71,8 @@
         }
     }
 
-    /// The number of unfinished calls that have replicated an intent or queried the records of earlier calls.
+    /// The number of unfinished calls for which the replication of an intent or a query of earlier records
+    /// was requested.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
--- a/crates/takeover/src/owner/query_round.rs
+++ b/crates/takeover/src/owner/query_round.rs
@@ -103,11 +103,11 @@
 
     pub(super) fn decision(&self, now: Timestamp, view: &View) -> QueryDecision {
         let needed = majority(&self.replicas);
-        let answered = self.replies.values().flatten().count();
-        let declined = self.replies.len() - answered;
-        if answered < needed {
+        let with_records = self.replies.values().flatten().count();
+        let without_records = self.replies.len() - with_records;
+        if with_records < needed {
             // Once no majority can answer any more, waiting would only delay the call.
-            let is_majority_impossible = self.replicas.len() - declined < needed;
+            let is_majority_impossible = self.replicas.len() - without_records < needed;
             return if is_majority_impossible { QueryDecision::Unknown } else { QueryDecision::Pending };
         }
         let records = self.merged_records();
--- a/crates/takeover/src/replica/mod.rs
+++ b/crates/takeover/src/replica/mod.rs
@@ -30,7 +30,7 @@
 /// Stores records, and answers requests for them.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    /// How long a record is kept after its call's answer.
+    /// The least time that a record is kept after its call's answer.
     retention_ms: u64,
     /// The longest time that any call may take.
     longest_call_ms: u64,
--- a/crates/takeover/src/replica/record.rs
+++ b/crates/takeover/src/replica/record.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstAttemptTime {
     host: u64,
-    /// The latest time at which the attempt may have been sent, if that is known.
+    /// The earliest time at which the attempt may have been sent, plus the time that the intent took to
+    /// arrive; `None` if it is not known.
     sent_at: Option<Timestamp>,
 }
 
@@ -24,7 +25,7 @@
         FirstAttemptTime { host: first.host, sent_at }
     }
 
-    fn age(self, now: Timestamp) -> FirstAttempt {
+    fn to_first_attempt(self, now: Timestamp) -> FirstAttempt {
         let age_ms = self.sent_at.map_or(UNKNOWN_AGE_MS, |sent_at| now.ms_since(sent_at));
         FirstAttempt { host: self.host, age_ms }
     }
@@ -45,6 +46,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) id: RecordId,
+    /// The owner's term when the last intent was stored.
     term: u64,
     pub(super) is_repeat: bool,
     first: FirstAttemptTime,
@@ -102,7 +104,7 @@
         RecordView {
             id: self.id.clone(),
             term: self.term,
-            first: self.first.age(now),
+            first: self.first.to_first_attempt(now),
             sequence: self.sequence,
             age_ms: now.ms_since(self.updated_at),
             open_ms: self.open_ms(now),
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -12,7 +12,8 @@
 use crate::replica::Replica;
 use crate::view::View;
 
-/// Both roles of a node: the owner of its own calls, and a replica for the records of others' calls.
+/// Both roles of a node: the owner of its own calls, and a replica that stores records of calls, its own
+/// included.
 #[derive(Clone, Debug)]
 pub struct Takeover {
     me: UnitName,
@@ -26,9 +27,9 @@
     /// Creates a node that stores nothing yet.
     ///
     /// `now` has to be a day or more after the clock's zero: times before zero are raised to zero, so that
-    /// old attempts would look younger than they are. `retention_ms` is how long a call's record is kept
-    /// after its answer, `longest_call_ms` the longest time that any call may take, and `seed` seeds the
-    /// random delays.
+    /// old attempts would look younger than they are. `retention_ms` is the least time that a call's record
+    /// is kept after its answer, `longest_call_ms` the longest time that any call may take, and `seed` seeds
+    /// the random delays.
     pub fn new(
         now: Timestamp,
         me: UnitName,
@@ -131,7 +132,7 @@
         self.carry_out(now, actions);
     }
 
-    /// Takes the actions that are due since this was last called, in order.
+    /// Returns the actions that were queued since the last call of this method, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/crates/takeover/src/timing.rs
+++ b/crates/takeover/src/timing.rs
@@ -6,9 +6,9 @@
 /// It allows two round trips over a congested link. A node that takes a record over waits longer than this.
 pub const SEND_WINDOW_MS: u64 = 500;
 
-/// How long a record is not taken over: after its last intent was stored if its owner was declared lost, else
-/// after its call's deadline. By then the owner has sent everything that it may still send, even if clock rates
-/// differ by a tenth.
+/// An unanswered record is not taken over before this time has passed since its call's deadline or, if its
+/// owner was declared lost, since its last intent was stored. By then the owner has sent everything that it
+/// may still send, even if clock rates differ by a tenth.
 pub const QUIET_PERIOD_MS: u64 = 600;
 
 /// The age of an attempt whose send time is not known: longer than any host recognises a repeat by its key.
--- a/crates/takeover/src/view.rs
+++ b/crates/takeover/src/view.rs
@@ -19,7 +19,7 @@
     pub voter_slots: Vec<UnitName>,
     /// Counts the changes of `voter_slots`.
     pub version: u32,
-    /// Whether the leader was heard recently, so that this view is recent as well.
+    /// Whether the leader was heard recently; if not, this view may be out of date.
     pub hears_leader: bool,
     /// How often each node was declared lost.
     pub terms: BTreeMap<UnitName, u64>,
--- a/crates/takeover/src/warm_state/hint_store.rs
+++ b/crates/takeover/src/warm_state/hint_store.rs
@@ -26,7 +26,7 @@
     /// When the node last had a link to this one.
     linked_at: Timestamp,
     pub(super) is_draining: bool,
-    /// Whether all nodes were told that the node is gone.
+    /// Whether the node was announced as gone or draining.
     is_announced: bool,
 }
 
@@ -94,7 +94,8 @@
         });
     }
 
-    /// Returns the processes that are gone and not yet announced, and marks them as announced.
+    /// Returns the processes that are gone or draining, have hints and are not yet announced. Marks all gone
+    /// or draining processes as announced.
     pub(super) fn take_gone(&mut self, now: Timestamp, linked: &BTreeSet<UnitName>) -> Vec<ProcessId> {
         let mut gone = Vec::new();
         for (node, stored) in &mut self.by_node {
--- a/crates/takeover/src/warm_state/message.rs
+++ b/crates/takeover/src/warm_state/message.rs
@@ -9,7 +9,7 @@
 use glendeck_fleet::state::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// What a hint is about. Its numbers mean the same at all nodes.
+/// A hint without its value. Its numbers mean the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Hint {
     /// A host has connections of a group.
@@ -26,13 +26,13 @@
     },
 }
 
-/// The value of each hint: a load in millionths of work per second, or 1 for [`Hint::GroupOnHost`].
+/// The value of each hint: a load in microseconds of work per second, or 1 for [`Hint::GroupOnHost`].
 pub type Hints = BTreeMap<Hint, u32>;
 
 /// A hint with its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HintValue {
-    /// The hint.
+    /// What the value belongs to.
     pub hint: Hint,
     /// Its value, as in [`Hints`].
     pub value: u32,
--- a/crates/takeover/src/warm_state/mod.rs
+++ b/crates/takeover/src/warm_state/mod.rs
@@ -1,7 +1,7 @@
 //! Warm state: hints that help the other nodes to place the clients of a lost node when they reconnect. They
 //! tell which hosts have connections of which groups, and which clients have a high load. Two other nodes
-//! store the hints and send them to all nodes when the node is gone. They do not wait until it is declared
-//! lost, since clients reconnect within a second. Design: `docs/takeover.md`.
+//! store the hints and send them to all linked nodes when the node is gone. They do not wait until it is
+//! declared lost, since clients reconnect within a second. Design: `docs/takeover.md`.
 //!
 //! Nothing that must not be done twice depends on hints. They therefore need neither consensus nor fencing, a
 //! false alarm does no harm, and a hint that is lost on the way is merely unknown.
--- a/crates/takeover/src/warm_state/notices.rs
+++ b/crates/takeover/src/warm_state/notices.rs
@@ -56,7 +56,7 @@
         self.received.retain(|_, received_at| now.ms_since(*received_at) < EXPIRY_MS);
     }
 
-    /// Queues a notice that `node` is gone for all other nodes.
+    /// Queues, for every linked node but `node`, a notice that `node` is gone.
     pub(super) fn enqueue(&mut self, now: Timestamp, node: &UnitName, linked: &BTreeSet<UnitName>) {
         for to in linked.iter().filter(|to| *to != node) {
             self.pending.push_back(PendingNotice { queued_at: now, to: to.clone(), node: node.clone() });
--- a/crates/takeover/src/warm_state/placement.rs
+++ b/crates/takeover/src/warm_state/placement.rs
@@ -12,7 +12,7 @@
 /// no majority, and with two replicas one may be lost.
 const REPLICAS_PER_NODE: usize = 2;
 
-/// The hints of a node that has not come back are removed after this time, and so are the records of received
+/// The hints of a node that has not come back are removed after this time, and so are the times of received
 /// notices.
 pub(super) const EXPIRY_MS: u64 = 60_000;
 
--- a/crates/takeover/src/warm_state/publisher.rs
+++ b/crates/takeover/src/warm_state/publisher.rs
@@ -25,7 +25,7 @@
     sequence: u32,
     published_at: Timestamp,
     is_draining: bool,
-    /// Whether each linked replica has been sent all updates.
+    /// Whether each linked replica, as far as is known, has the hints as last published.
     is_in_sync: BTreeMap<UnitName, bool>,
 }
 
--- a/crates/takeover/tests/exhaustive.rs
+++ b/crates/takeover/tests/exhaustive.rs
@@ -1,7 +1,7 @@
 //! Model check of the protocol in all orders of events: two nodes, two replicas, one client with one
 //! non-idempotent work item. Messages arrive in any order, get lost or arrive twice. The first node dies, or
 //! its client leaves it too early. A replica restarts. The first node is declared lost, and each node learns
-//! of that at its own time. Time may pass between any two events.
+//! of that at its own time. Time may pass between any two events. Each test enables some of these events.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -34,6 +34,7 @@
     nodes: Vec<Option<Takeover>>,
     /// Sender, receiver, message.
     network: Vec<(usize, usize, ReplicaMessage)>,
+    /// How often the first node was declared lost.
     term: u64,
     /// The value of `term` that each node knows.
     known_terms: Vec<u64>,
@@ -292,7 +293,7 @@
                     state.carry_out(index);
                 }
             }
-            Event::FirstNodeAnswers => state.answer(A, "up"),
+            Event::FirstNodeAnswers => state.answer(A, "established"),
             Event::FirstNodeDies => {
                 state.nodes[A] = None;
                 state.open_calls.remove(&A);
@@ -328,10 +329,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("at most one run", |_, state: &State| state.run_count <= 1),
-            Property::sometimes("the second node serves it", |_, state: &State| {
+            Property::sometimes("the second node serves the call", |_, state: &State| {
                 state.run_count == 1 && state.open_calls.get(&B) == Some(&true)
             }),
-            Property::sometimes("the second node fails it", |_, state: &State| {
+            Property::sometimes("the second node fails the call", |_, state: &State| {
                 state.answered.contains(&(B, "failed"))
             }),
         ]
@@ -339,7 +340,7 @@
 }
 
 /// Returns the number of states, and whether one of them violates the property. The search is depth-first, so
-/// that few states are held at a time.
+/// that few states are held at a time. `STATES=n` sets the limit of explored states.
 fn states(model: ProtocolModel) -> (usize, bool) {
     // The search uses one thread, as faults are injected per thread.
     let max_states =
--- a/crates/takeover/tests/schedules.rs
+++ b/crates/takeover/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Random scenarios of faults in simulated time: nodes replicate intents, hosts run the attempts that they
-//! are sent, and clients repeat calls at other nodes. The checks look at what hosts ran and what clients were
-//! answered.
+//! are sent, and clients repeat calls at other nodes. The checks look at what hosts ran, at attempts in
+//! flight at two nodes and at calls past their deadline.
 
 mod world;
 
@@ -69,7 +69,7 @@
     let mut all = world::Totals::default();
     scenarios.iter().for_each(|(_, (_, seen))| all.add(seen));
     println!("{} scenarios: {all:?}", to - from);
-    // The checks prove nothing if no repeat met a record, conflicted, failed or was sent again.
+    // The checks prove nothing about a case that never occurred, so each of these has to occur.
     assert!(
         all.admitted_after_record > 0 && all.conflicted > 0 && all.failed > 0 && all.sent_after_record > 0,
         "{all:?}"
@@ -93,7 +93,7 @@
             return None;
         }
         inject(Some(fault));
-        // Only work items that run twice count here, not missed deadlines.
+        // Missed deadlines do not count here, only second runs and second attempts in flight.
         let broken = simulate(seed, false).violation.filter(|why| !why.contains("past its deadline"));
         inject(None);
         caught.fetch_or(broken.is_some(), std::sync::atomic::Ordering::Relaxed);
--- a/crates/takeover/tests/warm_state/checks.rs
+++ b/crates/takeover/tests/warm_state/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants that are checked at each tick.
+//! The invariants that are checked at each tick, and of adopted hints at each adoption.
 
 use glendeck_takeover::warm_state::{Hints, replicas_of};
 
@@ -54,14 +54,16 @@
                 {
                     let (incarnation, count) = (publisher_node.incarnation, publisher_node.publish_count);
                     self.report_violation(format!(
-                        "n{index} has {stored_marker:?} of n{publisher}, now at ({incarnation}, {count})"
+                        "n{index} has (incarnation, publish count) {stored_marker:?} of n{publisher}, \
+                         which is at ({incarnation}, {count})"
                     ));
                 }
             }
         }
     }
 
-    /// Checks that a replica of a killed node announces the loss to all linked nodes in time.
+    /// Checks that every linked node has adopted the hints of a killed node in time, if a running replica
+    /// stores them.
     pub(super) fn check_kills(&mut self) {
         let due_kills: Vec<_> = self.kills.iter().copied().filter(|kill| self.now >= kill.0 + 600).collect();
         self.kills.retain(|kill| self.now < kill.0 + 600);
@@ -86,7 +88,8 @@
                     .is_some_and(|told_at| *told_at >= killed_at);
                 if is_up && !was_told {
                     self.report_violation(format!(
-                        "n{index} is not told by n{replica} of n{killed}, killed at {killed_at}"
+                        "n{index} is not told that n{killed} was killed at {killed_at}, \
+                         though n{replica} stores its hints"
                     ));
                 }
             }
--- a/crates/takeover/tests/warm_state/main.rs
+++ b/crates/takeover/tests/warm_state/main.rs
@@ -19,8 +19,8 @@
 const VOTERS: usize = 3;
 /// A link that stays silent for this long is closed.
 const SILENT_LINK_MS: u64 = 3_500;
-/// The group of the marker hint, which identifies the set of hints that it belongs to: its host is the number
-/// of times that the process has published.
+/// The group of the marker hint, modulo 1 000. The marker identifies the set of hints that it belongs to: its
+/// host is the number of times that the process has published.
 const MARKER_GROUP: u64 = 999;
 
 enum Event {
@@ -34,8 +34,9 @@
     Kill(usize),
     Start(usize),
     Drain(usize),
-    /// No message passes between two nodes for this time in ms; `Reset` resets their link instead.
+    /// No message passes between the two nodes for this time in ms.
     Cut(usize, usize, u64),
+    /// The link between the two nodes is reset.
     Reset(usize, usize),
 }
 
@@ -57,7 +58,8 @@
     events: BTreeMap<u64, Event>,
     random: WyRand,
     nodes: Vec<Node>,
-    /// For each pair of nodes with a fault: when the cut ends, and when it began or the reset link is back.
+    /// For each pair of nodes with a fault: the end and the beginning of a cut, or 0 and when a reset link is
+    /// back.
     cuts: BTreeMap<(usize, usize), (u64, u64)>,
     /// Percentages of messages: lost, sent a second time with a delay.
     message_faults: [u64; 2],
@@ -85,7 +87,7 @@
     View { voter_slots: (0..VOTERS).map(name).collect(), hears_leader: true, ..View::default() }
 }
 
-/// The incarnation and the publish count that the marker among these hints tells.
+/// The incarnation and the publish count of the marker among these hints, if there is one.
 fn marker(hints: impl IntoIterator<Item = Hint>) -> Option<(u64, u64)> {
     hints.into_iter().find_map(|candidate| match candidate {
         Hint::GroupOnHost { group, host } if group % 1_000 == MARKER_GROUP => Some((group / 1_000, host)),
@@ -343,7 +345,7 @@
     let stored =
         world.nodes[0].exchange.as_ref().map(|exchange| (exchange.node_count(), exchange.hint_count()));
     if stored != Some((0, 0)) {
-        world.report_violation(format!("n0 still stores hints, counts of nodes and hints {stored:?}"));
+        world.report_violation(format!("n0 still stores hints or is down, (nodes, hints) = {stored:?}"));
     }
     world
 }
--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -13,6 +13,7 @@
     SupersededRecord, Takeover, View, WorkId,
 };
 
+/// The labels of the frames, also in the tables below, are those of this recorded file.
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
 const START: Timestamp = Timestamp(86_400_000_000_000);
@@ -69,7 +70,7 @@
 }
 
 fn warm_state_messages() -> Vec<(&'static str, WarmStateMessage)> {
-    let home = Hint::GroupOnHost { group: 4, host: 5 };
+    let group_on_host = Hint::GroupOnHost { group: 4, host: 5 };
     let load = Hint::Load { subject: 6 };
     vec![
         (
@@ -79,7 +80,7 @@
                 sequence: 2,
                 base: Some(1),
                 changes: vec![
-                    HintChange { hint: home, value: Some(1) },
+                    HintChange { hint: group_on_host, value: Some(1) },
                     HintChange { hint: load, value: None },
                 ],
                 is_draining: true,
@@ -91,7 +92,10 @@
             WarmStateMessage::NodeGone {
                 node: UnitName::from("a"),
                 incarnation: Incarnation(77),
-                hints: vec![HintValue { hint: home, value: 1 }, HintValue { hint: load, value: 250_000 }],
+                hints: vec![
+                    HintValue { hint: group_on_host, value: 1 },
+                    HintValue { hint: load, value: 250_000 },
+                ],
             },
         ),
     ]
@@ -117,7 +121,7 @@
 }
 
 fn write_frame(text: &mut String, name: &str, value: &impl serde::Serialize) {
-    let bytes = postcard::to_stdvec(value).expect("plain values are encoded");
+    let bytes = postcard::to_stdvec(value).expect("plain values can be encoded");
     let digits = bytes.iter().fold(String::new(), |digits, byte| digits + &format!("{byte:02x}"));
     writeln!(text, "{name} {digits}").expect("writing to a string does not fail");
 }
@@ -158,6 +162,6 @@
             }
             _ => postcard::to_stdvec(&postcard::from_bytes::<(u64, ReplicaHandover)>(&bytes).expect(name)),
         };
-        assert_eq!(written.expect("a decoded value is encoded"), bytes, "{name}");
+        assert_eq!(written.expect("a decoded value can be encoded"), bytes, "{name}");
     }
 }
--- a/crates/takeover/tests/world/clients.rs
+++ b/crates/takeover/tests/world/clients.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The client leaves a node, which notices that after a delay and sends nothing more for the call.
+    /// The client leaves a node, which sends nothing more for the call once it has noticed that. It notices
+    /// at once in scenarios without early give-ups, else after a delay.
     pub(super) fn client_leaves(&mut self, node: usize, work: usize, repeat: u32) {
         let is_same_call = |owned: &InFlightCall| owned.work == work && owned.repeat == repeat;
         let Some(call) =
@@ -72,8 +73,8 @@
     pub(super) fn schedule_repeat(&mut self, work: usize) {
         let now = self.now;
         let item = &mut self.work_items[work];
-        // A repeat after the retention of the record is not recognised. The time that the repeated call may
-        // take counts as well.
+        // No repeat is sent if it could outlast the retention of the record, the time of the repeated call
+        // included: it would not be recognised.
         let is_too_late =
             now + 600 + CALL_TIMEOUT_MS + 200 > *item.first_end_at.get_or_insert(now) + RETENTION_MS;
         if item.is_done || item.repeat_count >= 5 || is_too_late {
--- a/crates/takeover/tests/world/mod.rs
+++ b/crates/takeover/tests/world/mod.rs
@@ -30,6 +30,7 @@
 /// The fleet declares a node lost after this long without contact to the leader, and back after as long with
 /// it.
 const LOST_AFTER_MS: u64 = 5_000;
+/// A node counts as in contact with the leader for this long after its last link to it.
 const LEADER_CONTACT_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -38,14 +39,18 @@
     Keyed,
 }
 
+/// Events at nodes hold, in this order, the node, its incarnation, the call, the attempt and the host, as far
+/// as they apply.
 #[derive(Clone, Debug)]
 enum Event {
     Tick,
     /// A client arrives at a node with a work item; the last number counts its repeats so far.
     ClientArrives(usize, usize, u32),
+    /// A message reaches a node; the third field is the sender.
     MessageArrives(usize, u64, usize, ReplicaMessage),
-    /// A node reads a client's request, or notices that the client has gone.
+    /// A node reads a client's request.
     RequestRead(usize, u64, u64),
+    /// A node notices that the client has gone.
     ClientClosed(usize, u64, u64),
     /// An attempt of a node's call reaches its host.
     AttemptArrives(usize, u64, u64, u32, u64),
@@ -107,7 +112,7 @@
     /// When, and in which cell, hosts ran the work item.
     executions: Vec<(u64, u64)>,
     repeat_count: u32,
-    /// When the client first received an answer, lost its connection or gave up.
+    /// When the client first had a reason to repeat the call.
     first_end_at: Option<u64>,
     /// The node of each call that has not ended, by repeat number.
     open_calls: BTreeMap<u32, usize>,
@@ -122,9 +127,9 @@
     pub unanswered: u64,
     /// Repeats that were admitted although an earlier attempt may have run.
     pub admitted_after_record: u64,
-    /// Attempts that were not sent, as another call had the same work item in flight.
+    /// Attempts that were not sent, as a record of another call with the same work item conflicted.
     pub conflicted: u64,
-    /// Attempts that were sent although an earlier one may have run.
+    /// Attempts that were sent although an attempt of an earlier call may have run.
     pub sent_after_record: u64,
 }
 
@@ -212,10 +217,10 @@
                 open_calls: BTreeMap::new(),
                 is_done: false,
             });
-            // The first clients arrive while the replicas, which have just started, do not answer queries
-            // yet.
             let (due_at, node) = match world.scenario.burst {
                 Some((node, from, to)) => (from + world.roll(to - from), node),
+                // The first clients arrive while the replicas, which have just started, do not answer queries
+                // yet.
                 None => (1_000 + world.roll(32_000), world.roll(NODES as u64) as usize),
             };
             world.schedule(due_at, Event::ClientArrives(node, work, 0));
@@ -299,7 +304,7 @@
         }
         node.takeover = Some(takeover);
         (node.is_paused, node.deferred_events) = (false, vec![]);
-        // Its view of the membership stays empty until it has contact to the leader.
+        // Its view holds no voters until the node is linked to the leader.
         self.log(|| format!("n{index} starts"));
     }
 
@@ -311,8 +316,9 @@
         self.nodes[index].takeover.is_some() && !self.nodes[index].is_paused
     }
 
-    /// Updates the fleet: the leader is the first voter with links in both directions to a majority of the
-    /// voters. Nodes are declared lost or back by their links to the leader.
+    /// Updates the fleet: the leader is the first running voter with links in both directions to enough
+    /// running voters for a majority of all voters, itself included. Nodes are declared lost or back by their
+    /// links to the leader. Each running node then gets its view and a tick.
     fn update_membership(&mut self) {
         let is_linked = |one: usize, other: usize| {
             one == other || (self.link(one, other) != Link::Cut && self.link(other, one) != Link::Cut)
--- a/crates/takeover/tests/world/scenario.rs
+++ b/crates/takeover/tests/world/scenario.rs
@@ -83,10 +83,11 @@
                 5 => {
                     // A node is cut off from its peers in both directions or one, but not from clients and
                     // hosts.
+                    // 0 cuts both directions, 1 only messages to the node, 2 only messages from it.
                     let cut_direction = roll(3);
                     for to in (0..NODES).filter(|to| *to != one) {
-                        for (skipped_by, from, to) in [(1, one, to), (2, to, one)] {
-                            if cut_direction != skipped_by {
+                        for (uncut_in, from, to) in [(1, one, to), (2, to, one)] {
+                            if cut_direction != uncut_in {
                                 faults.push((at, Fault::Link(from, to, Link::Cut)));
                                 faults.push((ends_at, Fault::Link(from, to, Link::Up)));
                             }
@@ -104,8 +105,8 @@
                 _ => {
                     // Several nodes are killed at once: replicas together with the owner, a zone, or all
                     // nodes.
-                    let killed_nodes = 1 + roll((1 << NODES) - 1);
-                    for killed in (0..NODES).filter(|node| killed_nodes >> node & 1 == 1) {
+                    let killed_mask = 1 + roll((1 << NODES) - 1);
+                    for killed in (0..NODES).filter(|node| killed_mask >> node & 1 == 1) {
                         faults.push((at, Fault::Kill(killed)));
                         faults.push((ends_at, Fault::Start(killed)));
                     }
