--- a/crates/takeover/tests/wire_format.rs
+++ b/crates/takeover/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes that nodes send each other about in-flight calls, and those that a process hands over to the next one, as
-//! recorded in `tests/fixtures/frames.txt`. `postcard` is positional: the order of fields and of variants is part of the form.
+//! The bytes of messages between nodes, and of the handover between two processes of a node, match those
+//! recorded in `tests/fixtures/frames.txt`. `postcard` is positional: the order of fields and of variants is
+//! part of the format.
 
 use std::fmt::Write as _;
 
@@ -12,6 +13,7 @@
     SupersededRecord, Takeover, View, WorkId,
 };
 
+/// The labels of the frames, also in the tables below, are those of this recorded file.
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
 const START: Timestamp = Timestamp(86_400_000_000_000);
@@ -68,7 +70,7 @@
 }
 
 fn warm_state_messages() -> Vec<(&'static str, WarmStateMessage)> {
-    let home = Hint::GroupOnHost { group: 4, host: 5 };
+    let group_on_host = Hint::GroupOnHost { group: 4, host: 5 };
     let load = Hint::Load { subject: 6 };
     vec![
         (
@@ -78,7 +80,7 @@
                 sequence: 2,
                 base: Some(1),
                 changes: vec![
-                    HintChange { hint: home, value: Some(1) },
+                    HintChange { hint: group_on_host, value: Some(1) },
                     HintChange { hint: load, value: None },
                 ],
                 is_draining: true,
@@ -90,7 +92,10 @@
             WarmStateMessage::NodeGone {
                 node: UnitName::from("a"),
                 incarnation: Incarnation(77),
-                hints: vec![HintValue { hint: home, value: 1 }, HintValue { hint: load, value: 250_000 }],
+                hints: vec![
+                    HintValue { hint: group_on_host, value: 1 },
+                    HintValue { hint: load, value: 250_000 },
+                ],
             },
         ),
     ]
@@ -116,7 +121,7 @@
 }
 
 fn write_frame(text: &mut String, name: &str, value: &impl serde::Serialize) {
-    let bytes = postcard::to_stdvec(value).expect("plain values are encoded");
+    let bytes = postcard::to_stdvec(value).expect("plain values can be encoded");
     let digits = bytes.iter().fold(String::new(), |digits, byte| digits + &format!("{byte:02x}"));
     writeln!(text, "{name} {digits}").expect("writing to a string does not fail");
 }
@@ -135,15 +140,15 @@
 
 #[test]
 fn frames_are_the_recorded_bytes() {
-    let now = frames();
-    for (recorded, now) in FRAMES.lines().zip(now.lines()) {
-        assert_eq!(recorded, now);
+    let encoded = frames();
+    for (recorded, encoded) in FRAMES.lines().zip(encoded.lines()) {
+        assert_eq!(recorded, encoded);
     }
-    assert_eq!(FRAMES.lines().count(), now.lines().count(), "as played now:\n{now}");
+    assert_eq!(FRAMES.lines().count(), encoded.lines().count(), "frames as encoded now:\n{encoded}");
 }
 
 #[test]
-fn recorded_bytes_are_read_and_written_again() {
+fn recorded_bytes_are_decoded_and_encoded_unchanged() {
     for recorded in FRAMES.lines() {
         let (name, digits) = recorded.split_once(' ').expect("a name and digits");
         let bytes: Vec<u8> = (0..digits.len())
@@ -157,6 +162,6 @@
             }
             _ => postcard::to_stdvec(&postcard::from_bytes::<(u64, ReplicaHandover)>(&bytes).expect(name)),
         };
-        assert_eq!(written.expect("what was read is written"), bytes, "{name}");
+        assert_eq!(written.expect("a decoded value can be encoded"), bytes, "{name}");
     }
 }
