--- a/crates/node/src/handover/hex.rs
+++ b/crates/node/src/handover/hex.rs
@@ -1,31 +1,31 @@
-//! Bytes as hexadecimal text, for messages that are lines of words.
+//! Bytes as hexadecimal text, for line-based messages whose words are separated by spaces.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Stands before the digits, so that a text for no bytes at all is still a word.
+/// Precedes the digits, so that the encoding of an empty byte string is not an empty word.
 const PREFIX: char = 'x';
 
-/// Bytes that are written as `x` and two lower-case hexadecimal digits a byte.
+/// Bytes, written as `x` followed by two lower-case hexadecimal digits per byte.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct HexBytes(Vec<u8>);
 
-/// Why a text is not [`HexBytes`].
+/// Error from parsing [`HexBytes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HexError {
     /// The prefix is missing.
-    #[error("hexadecimal bytes begin with {PREFIX}")]
+    #[error("hexadecimal bytes lack the prefix {PREFIX}")]
     Prefix,
-    /// A byte has one digit, or a character is not a digit.
-    #[error("not pairs of hexadecimal digits")]
+    /// The number of digits is odd, or a character is not a digit.
+    #[error("expected pairs of hexadecimal digits")]
     Digits,
 }
 
 impl HexBytes {
-    /// The bytes themselves.
+    /// Returns the bytes.
     pub fn into_bytes(self) -> Vec<u8> {
         self.0
     }
@@ -49,7 +49,7 @@
 
     fn from_str(text: &str) -> Result<HexBytes, HexError> {
         let digits = text.strip_prefix(PREFIX).ok_or(HexError::Prefix)?;
-        // Without the check for ASCII, a slice of two bytes could cut a character in two.
+        // In a text that is not ASCII, a slice of two bytes could split a character and panic.
         if digits.len() % 2 != 0 || !digits.is_ascii() {
             return Err(HexError::Digits);
         }
--- a/crates/node/src/handover/message.rs
+++ b/crates/node/src/handover/message.rs
@@ -1,8 +1,8 @@
 //! The lines that two processes of one node exchange on the Unix socket between them.
 //!
-//! The successor sends [`SuccessorMessage`]s. Its predecessor answers the first with a [`StateHeader`], the
-//! state of that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of them ends. Each
-//! line ends with LF.
+//! The successor sends [`SuccessorMessage`]s. Its predecessor replies to the first with a [`StateHeader`], the
+//! state of that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of the processes
+//! exits. Each line ends with LF.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -12,28 +12,28 @@
 
 use super::hex::{HexBytes, HexError};
 
-/// Why a line of the other process is not a message.
+/// Error from parsing a line of the other process.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MessageError {
-    /// Another version sends it, or it is damaged.
+    /// The line is from another version, or damaged.
     #[error("unknown message")]
     Unknown,
-    /// The state is longer than any that this version sends.
-    #[error("a state of {0} bytes is too long")]
+    /// The state is longer than the maximum.
+    #[error("a state of {0} bytes exceeds the maximum length")]
     TooLong(usize),
-    /// A message names no number where it should.
-    #[error("not a number: {0}")]
+    /// A message has something else where a number is expected.
+    #[error("invalid number: {0}")]
     Number(#[from] std::num::ParseIntError),
-    /// An open call cannot be read.
-    #[error("unreadable call: {0}")]
+    /// The JSON of an open call cannot be decoded.
+    #[error("invalid call: {0}")]
     Call(serde_json::Error),
-    /// What an idle client has sent cannot be read.
-    #[error("unreadable idle client: {0}")]
+    /// The bytes received from an idle client cannot be decoded.
+    #[error("invalid bytes of an idle client: {0}")]
     IdleClient(HexError),
 }
 
 impl MessageError {
-    /// How many sockets came with the line, which are to be closed.
+    /// Number of sockets that came with the line and have to be closed.
     pub(super) fn sockets(&self) -> usize {
         match self {
             MessageError::Call(_) => CallHandover::SOCKETS,
@@ -43,14 +43,14 @@
     }
 }
 
-/// What a successor tells its predecessor.
+/// A message from a successor to its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SuccessorMessage {
-    /// Its first line, which asks for the state. The number is the version of this protocol.
+    /// The first line, which requests the state. Its number is the protocol version.
     Hello,
-    /// It takes the clients from here on.
+    /// The successor accepts clients from now on.
     Serving,
-    /// It has been replaced in its turn: when it ends, its clients are another process's.
+    /// The successor was itself replaced: after its exit, another process accepts clients.
     Succeeded,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// The predecessor's first line, which comes with the listening socket; the state follows it.
+/// The predecessor's first line. It comes with the listening socket, and the state follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StateHeader {
     /// Length of the state in bytes.
@@ -85,10 +85,10 @@
 }
 
 impl StateHeader {
-    /// Longest state that is read, in bytes. A host takes some 250 bytes of it, a client's load 40.
-    pub(super) const LONGEST_STATE: usize = 4 << 20;
+    /// Maximum length of a state, in bytes. A host takes about 250 bytes, a client's load 40.
+    pub(super) const MAX_STATE_LENGTH: usize = 4 << 20;
 
-    /// Its first words; another version says another number.
+    /// First words of the line; the number is the protocol version.
     const PREFIX: &str = "STANDING 1";
 }
 
@@ -104,28 +104,28 @@
     fn from_str(line: &str) -> Result<StateHeader, MessageError> {
         let length = line.strip_prefix(StateHeader::PREFIX).ok_or(MessageError::Unknown)?;
         let length = length.trim().parse()?;
-        if length > StateHeader::LONGEST_STATE {
+        if length > StateHeader::MAX_STATE_LENGTH {
             return Err(MessageError::TooLong(length));
         }
         Ok(StateHeader { length })
     }
 }
 
-/// What a predecessor tells its successor after the state.
+/// A message from a predecessor to its successor after the state.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PredecessorMessage {
-    /// How many connections it has open at a host.
+    /// Number of connections that the predecessor has open to a host.
     OpenConnections {
         /// The host.
         host: HostId,
-        /// Connections of the predecessor's there.
+        /// Number of connections.
         connections: u32,
     },
-    /// How many file descriptors it holds.
+    /// Number of file descriptors that the predecessor has open.
     Descriptors(usize),
-    /// An open call, which comes with [`CallHandover::SOCKETS`] sockets: the client's and the host's.
+    /// An open call. It comes with [`CallHandover::SOCKETS`] sockets: the client's and the host's.
     Call(Box<CallHandover>),
-    /// A client that has not opened a call yet, which comes with its socket, and what it has sent.
+    /// A client that has not opened a call yet, with the bytes that it has sent. It comes with its socket.
     IdleClient(HexBytes),
 }
 
@@ -155,7 +155,7 @@
                 let host = HostId(u64::from_str_radix(host, 16)?);
                 Ok(PredecessorMessage::OpenConnections { host, connections: connections.parse()? })
             }
-            // Better to count no descriptors than to go on with an old count.
+            // An invalid number counts as 0: no count is better than an outdated one.
             ["USES", count] => Ok(PredecessorMessage::Descriptors(count.parse().unwrap_or(0))),
             ["CALL", json] => {
                 serde_json::from_str(json).map(PredecessorMessage::Call).map_err(MessageError::Call)
@@ -168,49 +168,49 @@
     }
 }
 
-/// An open call that goes over to the successor, with what has been read and not yet written on both sides.
+/// An open call that is handed to the successor, with the bytes buffered for both sides.
 ///
-/// The fields stand in the alphabetical order of their names on the wire, in which they are written.
+/// The fields are in the alphabetical order of their names on the wire, in which they are written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct CallHandover {
-    /// Nanoseconds for which the host has owed the client a line, if it owes one.
+    /// Nanoseconds for which the client has waited for a line of the host, if it waits for one.
     #[serde(rename = "asked")]
     pub waiting_for_host_ns: Option<u64>,
-    /// What was read from the client and not relayed.
+    /// Bytes read from the client and not relayed yet.
     #[serde(rename = "client_in")]
     pub client_inbox: HexBytes,
-    /// What is still to be written to the client.
+    /// Bytes still to be written to the client.
     #[serde(rename = "client_out")]
     pub client_outbox: HexBytes,
     /// The call's affinity group.
     pub group: Option<u64>,
     /// The host where the call is open.
     pub host: u64,
-    /// What was read from the host and not relayed.
+    /// Bytes read from the host and not relayed yet.
     #[serde(rename = "host_in")]
     pub host_inbox: HexBytes,
-    /// What is still to be written to the host.
+    /// Bytes still to be written to the host.
     #[serde(rename = "host_out")]
     pub host_outbox: HexBytes,
     /// The client's own id of the call.
     #[serde(rename = "id")]
     pub client_id: u64,
-    /// The load that the client has announced.
+    /// The load that the client announced.
     pub load: Option<f64>,
     /// The subject that the call is about.
     pub subject: Option<u64>,
     /// Number of the tenant in the predecessor's settings.
     pub tenant: u32,
-    /// Number of the class in the predecessor's settings; counts only without a name.
+    /// Number of the class in the predecessor's settings; used only if the name is missing.
     #[serde(rename = "traffic")]
     pub class: u8,
-    /// Name of the class. Numbers may differ between two processes whose settings were changed while they
-    /// served.
+    /// Name of the class. Its number may differ between two processes, as settings can be reloaded while a
+    /// process serves.
     #[serde(rename = "type")]
     pub class_name: Option<String>,
 }
 
 impl CallHandover {
-    /// Sockets that come with a call: first its client's, then its host's.
+    /// Number of sockets that come with a call: first the client's, then the host's.
     pub(super) const SOCKETS: usize = 2;
 }
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -1,12 +1,12 @@
-//! Handover from one process of this node to the next: the listening socket, what is known, and what is still
-//! open.
+//! Handover from one process of this node to the next: the listening socket, the known state and the open
+//! connections.
 //!
-//! The successor connects to a Unix socket in the node's folder. There it receives the listening socket and
-//! the [`state::HandoverState`], tells when it serves, and then receives open connections until its
-//! predecessor ends, which it sees by the end of the connection.
+//! The successor connects to a Unix socket in the node's folder. It receives the listening socket and the
+//! [`state::HandoverState`], reports when it serves, and then receives open connections until its predecessor
+//! exits and the Unix socket closes.
 //!
-//! [`state`] and [`message`] are what goes over, [`socket`] sends and receives it; [`successor`] is the part
-//! of the older process and [`predecessor`] that of the younger one.
+//! [`state`] and [`message`] define what is sent, and [`socket`] passes sockets between the processes.
+//! [`successor`] has what a process does for its successor, [`predecessor`] what it does with its predecessor.
 
 mod hex;
 mod message;
@@ -29,53 +29,52 @@
 pub(crate) use self::socket::Inherited;
 pub(crate) use self::state::HandoverState;
 
-/// How this process stands to its predecessor and its successor.
+/// State of the handover from the predecessor and to the successor.
 #[derive(Default)]
 pub(crate) struct Handover {
-    /// Where a successor connects.
+    /// Unix socket to which a successor connects.
     listener: Option<UnixListener>,
     successor: Option<ConnectionId>,
-    /// The successor has the state; from then on it is told of changes.
+    /// The successor was sent the state, and is sent changes from then on.
     successor_has_state: bool,
-    /// The successor has said that it serves.
+    /// The successor has reported that it serves.
     successor_serves: bool,
-    /// The successor has a successor that serves in its place.
+    /// The successor has reported that its own successor serves in its place.
     successor_was_replaced: bool,
     predecessor: Option<ConnectionId>,
-    /// The predecessor was told that this process serves.
+    /// This process accepts clients; the predecessor, if there is one, was told.
     took_over: bool,
-    /// The service of the endpoint list had its time to answer before this process takes over.
+    /// The time that this process waits for the endpoint list before it takes over has passed.
     pub is_list_wait_over: bool,
-    /// File descriptors that the predecessor holds.
+    /// Number of file descriptors that the predecessor has open.
     pub predecessor_descriptors: usize,
-    /// Open calls that are still to go to the successor.
+    /// Open calls that are still to be handed to the successor.
     pending_calls: VecDeque<CallId>,
-    /// Clients without a call that are still to go to the successor.
+    /// Clients without a call that are still to be handed to the successor.
     pending_idle_clients: VecDeque<ConnectionId>,
-    /// Sockets of the predecessor's whose line has not come whole.
+    /// Sockets received from the predecessor whose message line is not complete yet.
     received_sockets: VecDeque<OwnedFd>,
-    /// The node was drained when this process was started.
+    /// The predecessor was draining when this process started.
     pub was_drained: bool,
 }
 
 impl Handover {
-    /// Whether the successor takes the clients.
+    /// Whether the successor accepts clients instead of this process.
     pub(crate) fn is_replaced(&self) -> bool {
         self.successor_serves
     }
 
-    /// Whether the predecessor still runs.
+    /// Whether the predecessor is still connected.
     pub(crate) fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Whether the predecessor still takes the clients.
+    /// Whether the predecessor still accepts clients.
     pub(crate) fn predecessor_serves(&self) -> bool {
         self.predecessor.is_some() && !self.took_over
     }
 
-    /// Takes the next connection off the queues of those that are still to go to the successor; calls go
-    /// first.
+    /// Removes the next connection to be handed over from its queue; calls come before idle clients.
     fn remove_first_pending(&mut self) {
         if self.pending_calls.pop_front().is_none() {
             self.pending_idle_clients.pop_front();
@@ -84,7 +83,7 @@
 }
 
 impl Service {
-    /// Sends text to the other process; what the socket does not take now goes when it has room.
+    /// Sends text to the other process. What does not fit into the socket now is sent once it has room.
     fn send_text(&mut self, id: ConnectionId, text: &str) {
         if let Some(entry) = self.sockets.get_mut(id.0) {
             entry.connection.outbox.extend_from_slice(text.as_bytes());
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -1,5 +1,5 @@
-//! The younger process's part: it follows its predecessor until that ends, and adopts the connections it
-//! hands over.
+//! The newer process's side of a handover: it stays connected to its predecessor until that exits, and adopts
+//! the connections that it hands over.
 
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -18,35 +18,36 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// The service of the endpoint list answers within milliseconds or is overloaded. A process that has taken in
-/// everything else serves without it after this, well within the 6 s that an upgrade may take.
+/// Maximum wait for the endpoint list at a handover. The discovery service answers within milliseconds unless
+/// it is overloaded. After this time a process that has everything else serves without the list, well within
+/// the 6 s that an upgrade may take.
 const LIST_TIMEOUT: Span = Span::ms(2_000);
 
-/// Reads from the predecessor in one turn of the event loop.
-const READS_PER_TURN: usize = 64;
+/// Maximum number of reads from the predecessor in one turn of the event loop.
+const MAX_READS_PER_TURN: usize = 64;
 
-/// Why a call of the predecessor's ends here.
+/// Why a call of the predecessor cannot be adopted, so that its connections are closed.
 #[derive(Debug, thiserror::Error)]
 enum AdoptError {
-    #[error("its sockets did not come with it")]
+    #[error("the message came without the sockets of its client and host")]
     NoSockets,
     #[error("the settings have no class {name:?} with number {number}")]
     UnknownClass { name: Option<String>, number: u8 },
-    #[error("cannot watch its connections")]
+    #[error("the event loop cannot watch its connections")]
     Reactor,
 }
 
 impl Service {
-    /// Listens to the predecessor from now on.
-    pub(crate) fn follow_predecessor(&mut self, line: UnixStream) {
-        let connection = Connection::new(line.into(), false);
+    /// Reads messages of the predecessor from now on.
+    pub(crate) fn follow_predecessor(&mut self, stream: UnixStream) {
+        let connection = Connection::new(stream.into(), false);
         self.handover.predecessor = self.add_connection(connection, SocketRole::Predecessor);
         info!("connected to the predecessor");
         self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::EndpointListOverdue);
     }
 
-    /// Takes the clients, as this process can serve. Told any earlier, the predecessor would stop accepting
-    /// while nobody else does.
+    /// Accepts clients instead of the predecessor. Called only once this process can serve: a predecessor that
+    /// is told earlier stops accepting while no other process accepts.
     pub(crate) fn take_over(&mut self) {
         if self.handover.listener.is_some() {
             return;
@@ -61,7 +62,7 @@
 
     /// Reads what the predecessor sends.
     pub(crate) fn predecessor_readable(&mut self, id: ConnectionId) {
-        for _ in 0..READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_TURN {
             let Some(entry) = self.sockets.get_mut(id.0) else { return };
             let length = match receive_with_sockets(&entry.connection.fd, &mut self.read_buffer) {
                 Ok((length, sockets)) if length > 0 => {
@@ -81,7 +82,7 @@
         while let Some(entry) = self.sockets.get_mut(id.0) {
             let inbox = &mut entry.connection.inbox;
             let Some(length) = first_line_length(inbox) else {
-                if inbox.len() > StateHeader::LONGEST_STATE {
+                if inbox.len() > StateHeader::MAX_STATE_LENGTH {
                     self.disconnect_predecessor(id);
                 }
                 return;
@@ -107,7 +108,7 @@
                 let client = self.handover.received_sockets.pop_front();
                 let host = self.handover.received_sockets.pop_front();
                 if let Err(cause) = self.adopt_call(*call, client, host) {
-                    warn!(%cause, "cannot adopt a call of the predecessor: its connections end");
+                    warn!(%cause, "cannot adopt a call of the predecessor, closing its connections");
                 }
             }
             PredecessorMessage::IdleClient(received) => {
@@ -118,20 +119,20 @@
         }
     }
 
-    /// Closes the sockets of a line that cannot be read, as those of the next line must not be taken for
-    /// them.
+    /// Closes the sockets of an invalid line, as the next line would otherwise be given them instead of its
+    /// own.
     fn skip_predecessor_message(&mut self, cause: &MessageError) {
         for _ in 0..cause.sockets() {
             self.handover.received_sockets.pop_front();
         }
         if matches!(cause, MessageError::Call(_)) {
-            warn!(%cause, "cannot adopt a call of the predecessor: its connections end");
+            warn!(%cause, "cannot adopt a call of the predecessor, closing its connections");
         } else {
-            debug!(%cause, "cannot understand the predecessor: skipping a line");
+            debug!(%cause, "skipping an invalid message of the predecessor");
         }
     }
 
-    /// Goes on with a call that the predecessor had open, from where it stood there.
+    /// Continues a call that the predecessor had open, with the bytes that were buffered there.
     fn adopt_call(
         &mut self,
         handover: CallHandover,
@@ -142,7 +143,7 @@
         let call = self.adopted_call(&handover)?;
         let client_id = ClientId(handover.client_id);
         let host_id = HostId(handover.host);
-        let asked = handover.waiting_for_host_ns.map(|waiting| self.now - Span(waiting));
+        let awaiting_host_since = handover.waiting_for_host_ns.map(|waiting| self.now - Span(waiting));
         let mut client = Connection::new(client, false);
         client.inbox = handover.client_inbox.into_bytes();
         client.outbox = handover.client_outbox.into_bytes();
@@ -164,16 +165,16 @@
             is_line_queued: true,
             is_line_sent: true,
         });
-        in_flight.awaiting_host_since = asked;
-        in_flight.has_silence_timer = asked.is_some();
+        in_flight.awaiting_host_since = awaiting_host_since;
+        in_flight.has_silence_timer = awaiting_host_since.is_some();
         let id = self.insert_adopted_call(in_flight);
-        self.start_adopted_call(Call { id, ..call }, host_id, asked.is_some());
+        self.start_adopted_call(Call { id, ..call }, host_id, awaiting_host_since.is_some());
         self.flush_connection(client);
         self.flush_connection(host);
         Ok(())
     }
 
-    /// The call as the decisions see it, without its number here.
+    /// The call for the decision logic; its id in this process is assigned later.
     fn adopted_call(&self, handover: &CallHandover) -> Result<Call, AdoptError> {
         Ok(Call {
             id: CallId(0),
@@ -183,14 +184,15 @@
             group: handover.group.map(GroupId),
             deadline: self.now,
             load: handover.load,
-            // It did not come from elsewhere.
+            // The client neither retried nor reconnected: its connection has stayed open.
             is_returning: false,
             is_mid_flow: false,
             prior_attempt: None,
         })
     }
 
-    /// The call's class in this process's settings. One that they do not have would be counted out of bounds.
+    /// The call's class in this process's settings. An unknown class is an error, as its number would be out
+    /// of bounds where calls are counted by class.
     fn adopted_class(&self, handover: &CallHandover) -> Result<ClassId, AdoptError> {
         let names = &self.config.names.traffic;
         let number = handover.class;
@@ -204,7 +206,7 @@
             .ok_or_else(|| AdoptError::UnknownClass { name: handover.class_name.clone(), number })
     }
 
-    /// Both connections, or neither.
+    /// Adds both connections to the socket table, or neither.
     fn add_adopted_connections(
         &mut self,
         client: Connection,
@@ -218,7 +220,7 @@
         Ok((client, host))
     }
 
-    /// Gives the call its number, and its connections their roles.
+    /// Adds the call to the table of calls, and gives its connections their roles.
     fn insert_adopted_call(&mut self, in_flight: InFlightCall) -> CallId {
         let client = in_flight.client;
         let host = in_flight.attempt.as_ref().map(|attempt| attempt.connection);
@@ -232,7 +234,7 @@
         id
     }
 
-    /// Tells the decisions of the call, and sets the timers that an open call needs.
+    /// Reports the call to the decision logic, and sets the timers that an open call needs.
     fn start_adopted_call(&mut self, call: Call, host: HostId, host_owes_line: bool) {
         self.hosts.opened(host, call.id);
         let now = self.now;
@@ -245,11 +247,11 @@
         }
     }
 
-    /// The predecessor has ended, or sends what cannot be read: it holds nothing more, and this process
-    /// accepts alone.
+    /// Closes the connection to a predecessor that has exited or sent too long a line. From now on its
+    /// connections and descriptors count as 0, and it no longer accepts clients beside this process.
     pub(crate) fn disconnect_predecessor(&mut self, id: ConnectionId) {
         self.close_connection(id);
-        info!("the predecessor has gone");
+        info!("disconnected from the predecessor");
         self.handover.predecessor = None;
         self.handover.predecessor_descriptors = 0;
         self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -1,4 +1,4 @@
-//! What a process knows of its hosts and clients, as JSON for its successor.
+//! A process's knowledge of its hosts and clients, encoded as JSON for its successor.
 
 use std::net::SocketAddr;
 
@@ -10,34 +10,34 @@
 
 use crate::endpoint_list::EndpointListUpdate;
 
-/// Clients whose loads go over at most.
+/// Maximum number of clients whose loads are handed over.
 const MAX_LOADS: usize = 10_000;
 
-/// All that a process tells its successor, but for the sockets.
+/// Everything that a process hands to its successor, except the sockets.
 #[derive(Debug)]
 pub(crate) struct HandoverState {
-    /// The endpoint list as the process knows it.
+    /// The endpoint list as the process last received it.
     pub list: EndpointListUpdate,
-    /// What the decisions know.
+    /// Snapshot of the decision logic.
     pub node: NodeSnapshot,
-    /// Operators have drained the node.
+    /// The node is draining.
     pub drained: bool,
-    /// Names of the zones by their numbers in `list`. A process whose settings were changed while it served
-    /// has them in another order than its file.
+    /// Names of the zones, indexed by their numbers in `list`. After the settings of a serving process have
+    /// been reloaded, its order can differ from that in its file.
     pub zones: Vec<String>,
-    /// Names of the classes by their numbers in `node`, in another order than the file's for the same reason.
+    /// Names of the classes, indexed by their numbers in `node`; their order can differ from the file's too.
     pub classes: Vec<String>,
 }
 
-/// Why a state is not taken over. A state counts whole or not at all: hosts that half a message leaves out
-/// would be taken for empty.
+/// Error from encoding or decoding a state. A state is used whole or not at all, as hosts that are missing
+/// from a partial one would count as having no connections.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StateError {
     /// The message is not the JSON of a state.
-    #[error("unreadable state: {0}")]
+    #[error("invalid state: {0}")]
     Json(#[from] serde_json::Error),
     /// A host's weight is negative.
-    #[error("host {host:x} has the weight {weight}")]
+    #[error("host {host:x} has the negative weight {weight}")]
     Weight {
         /// The host's id.
         host: u64,
@@ -51,16 +51,16 @@
     ///
     /// # Errors
     ///
-    /// Fails only where memory does.
+    /// Fails only if memory cannot be allocated.
     pub(crate) fn encode(&self) -> Result<String, StateError> {
         Ok(serde_json::to_string(&StateMessage::from(self))?)
     }
 
-    /// Reads a state, with the numbers of zones and classes mapped to those of this process's settings.
+    /// Decodes a state, and maps the numbers of its zones and classes to those of this process's settings.
     ///
     /// # Errors
     ///
-    /// Fails if anything in it is missing or cannot be read.
+    /// Fails if the message is not valid JSON, lacks a required key, or has a negative weight.
     pub(crate) fn decode(
         message: &[u8],
         zones: &[String],
@@ -71,29 +71,34 @@
     }
 }
 
-/// The JSON of a state. The fields of this struct and of those below stand in alphabetical order, in which
-/// they are written.
+/// The JSON of a state. The fields of this struct and of those below are in the alphabetical order of their
+/// JSON keys, in which they are written.
 #[derive(Serialize, Deserialize)]
 struct StateMessage {
-    arrival: f64,
+    #[serde(rename = "arrival")]
+    new_client_rate: f64,
     drained: bool,
-    held: f64,
+    #[serde(rename = "held")]
+    connections_per_size: f64,
     hosts: Vec<HostMessage>,
     index: u64,
     list: Vec<EndpointMessage>,
     loads: Vec<(u64, f64)>,
     mean_load: f64,
     #[serde(rename = "of_type")]
-    class_loads: Vec<f64>,
-    setup: f64,
-    size: f64,
-    /// Predecessors of an early version send no names: their numbers are those of the file.
+    mean_load_by_class: Vec<f64>,
+    #[serde(rename = "setup")]
+    setup_time: f64,
+    #[serde(rename = "size")]
+    ready_size: f64,
+    /// Predecessors of an early version send no names: their numbers follow the order in the file.
     #[serde(rename = "types")]
     classes: Option<Vec<String>>,
     #[serde(rename = "usual_conns")]
     usual_connections: f64,
-    usual_size: f64,
-    /// As with `classes`.
+    #[serde(rename = "usual_size")]
+    usual_ready_size: f64,
+    /// Not sent by predecessors of an early version, as with `classes`.
     zones: Option<Vec<String>>,
 }
 
@@ -103,13 +108,13 @@
     cell: u16,
     condition: ConditionMessage,
     host: u64,
-    /// Predecessors of an early version send none.
+    /// Not sent by predecessors of an early version.
     kind: Option<u64>,
     #[serde(rename = "share")]
     weight: f64,
-    /// Start of the host, in nanoseconds of Unix time.
+    /// When the host started, in nanoseconds of Unix time.
     #[serde(rename = "up", deserialize_with = "required")]
-    up_since: Option<u64>,
+    started_at: Option<u64>,
     zone: u16,
 }
 
@@ -122,21 +127,29 @@
 
 #[derive(Serialize, Deserialize)]
 struct HostMessage {
-    answers: f64,
-    aside: bool,
-    budget: f64,
-    held: f64,
+    #[serde(rename = "answers")]
+    usual_probe_time: f64,
+    #[serde(rename = "aside")]
+    is_ejected: bool,
+    #[serde(rename = "budget")]
+    slow_start_budget: f64,
+    #[serde(rename = "held")]
+    remote_load: f64,
     host: u64,
-    #[serde(deserialize_with = "required")]
-    limit: Option<f64>,
-    /// Predecessors of an early version send none.
-    nominal: Option<f64>,
-    open: f64,
-    smoothed: f64,
-    strain: f64,
+    #[serde(rename = "limit", deserialize_with = "required")]
+    load_limit: Option<f64>,
+    /// Not sent by predecessors of an early version.
+    #[serde(rename = "nominal")]
+    size: Option<f64>,
+    #[serde(rename = "open")]
+    connections: f64,
+    #[serde(rename = "smoothed")]
+    smoothed_load: f64,
+    #[serde(rename = "strain")]
+    overload_penalty: f64,
 }
 
-/// Reads an optional value whose key must be there; `serde` takes a missing key for none otherwise.
+/// Deserializes an optional value whose key must be present; by default `serde` reads a missing key as `None`.
 fn required<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<Option<T>, D::Error> {
     Option::deserialize(deserializer)
 }
@@ -148,20 +161,20 @@
         let endpoints = state.list.endpoints.iter().zip(addresses);
         let loads = node.loads.iter().take(MAX_LOADS);
         StateMessage {
-            arrival: node.new_client_rate,
+            new_client_rate: node.new_client_rate,
             drained: state.drained,
-            held: node.connections_per_size,
+            connections_per_size: node.connections_per_size,
             hosts: node.hosts.iter().map(HostMessage::from).collect(),
             index: state.list.index,
             list: endpoints.map(|(endpoint, address)| EndpointMessage::new(endpoint, address)).collect(),
             loads: loads.map(|(subject, load)| (subject.0, *load)).collect(),
             mean_load: node.mean_load,
-            class_loads: node.mean_load_by_class.clone(),
-            setup: node.setup_time,
-            size: node.ready_size,
+            mean_load_by_class: node.mean_load_by_class.clone(),
+            setup_time: node.setup_time,
+            ready_size: node.ready_size,
             classes: Some(state.classes.clone()),
             usual_connections: node.usual_connections,
-            usual_size: node.usual_ready_size,
+            usual_ready_size: node.usual_ready_size,
             zones: Some(state.zones.clone()),
         }
     }
@@ -178,21 +191,21 @@
             endpoints: endpoints.collect::<Result<_, _>>()?,
             addresses,
         };
-        let of_type = match &self.classes {
-            Some(sent) => reorder_by_name(&self.class_loads, sent, classes),
-            None => self.class_loads,
+        let mean_load_by_class = match &self.classes {
+            Some(sent) => reorder_by_name(&self.mean_load_by_class, sent, classes),
+            None => self.mean_load_by_class,
         };
         let node = NodeSnapshot {
             hosts: self.hosts.into_iter().map(HostSnapshot::from).collect(),
             loads: self.loads.into_iter().map(|(subject, load)| (SubjectId(subject), load)).collect(),
             mean_load: self.mean_load,
-            mean_load_by_class: of_type,
-            new_client_rate: self.arrival,
-            connections_per_size: self.held,
+            mean_load_by_class,
+            new_client_rate: self.new_client_rate,
+            connections_per_size: self.connections_per_size,
             usual_connections: self.usual_connections,
-            ready_size: self.size,
-            usual_ready_size: self.usual_size,
-            setup_time: self.setup,
+            ready_size: self.ready_size,
+            usual_ready_size: self.usual_ready_size,
+            setup_time: self.setup_time,
         };
         Ok(HandoverState {
             list,
@@ -204,7 +217,8 @@
     }
 }
 
-/// Values in the order of `names`, from values in the order of `sent`; zero for a name that was not sent.
+/// Reorders values from the order of the names `sent` to that of `names`; the value is 0 for a name that was
+/// not sent.
 fn reorder_by_name(values: &[f64], sent: &[String], names: &[String]) -> Vec<f64> {
     let value = |name: &String| {
         let index = sent.iter().position(|known| known == name)?;
@@ -225,7 +239,7 @@
             host: endpoint.host.0,
             kind: endpoint.kind.map(|kind| kind.0),
             weight: endpoint.weight.0,
-            up_since: endpoint.started_at.map(|up_since| up_since.0),
+            started_at: endpoint.started_at.map(|started_at| started_at.0),
             zone: endpoint.zone.0,
         }
     }
@@ -244,13 +258,13 @@
             },
             weight: Weight(self.weight),
             kind: self.kind.map(Kind),
-            started_at: self.up_since.map(Time),
+            started_at: self.started_at.map(Time),
         })
     }
 }
 
-/// A zone's number in `zones`; one past the last for a zone that the settings do not name, which is no zone
-/// of ours.
+/// The number in `zones` of a zone. A zone that is not in the settings gets the number after the last, which
+/// stands for no known zone.
 fn map_zone(zone: u16, sent_zones: Option<&[String]>, zones: &[String]) -> Zone {
     let Some(sent_zones) = sent_zones else {
         return Zone(zone.min(zones.len() as u16));
@@ -263,16 +277,16 @@
 impl From<&HostSnapshot> for HostMessage {
     fn from(host: &HostSnapshot) -> HostMessage {
         HostMessage {
-            answers: host.usual_probe_time,
-            aside: host.is_ejected,
-            budget: host.slow_start_budget,
-            held: host.remote_load,
+            usual_probe_time: host.usual_probe_time,
+            is_ejected: host.is_ejected,
+            slow_start_budget: host.slow_start_budget,
+            remote_load: host.remote_load,
             host: host.host.0,
-            limit: host.load_limit,
-            nominal: host.size.map(|size| size.0),
-            open: host.connections,
-            smoothed: host.smoothed_load,
-            strain: host.overload_penalty,
+            load_limit: host.load_limit,
+            size: host.size.map(|size| size.0),
+            connections: host.connections,
+            smoothed_load: host.smoothed_load,
+            overload_penalty: host.overload_penalty,
         }
     }
 }
@@ -281,15 +295,15 @@
     fn from(message: HostMessage) -> HostSnapshot {
         HostSnapshot {
             host: HostId(message.host),
-            connections: message.open,
-            smoothed_load: message.smoothed,
-            load_limit: message.limit,
-            overload_penalty: message.strain,
-            is_ejected: message.aside,
-            slow_start_budget: message.budget,
-            remote_load: message.held,
-            usual_probe_time: message.answers,
-            size: message.nominal.map(Size),
+            connections: message.connections,
+            smoothed_load: message.smoothed_load,
+            load_limit: message.load_limit,
+            overload_penalty: message.overload_penalty,
+            is_ejected: message.is_ejected,
+            slow_start_budget: message.slow_start_budget,
+            remote_load: message.remote_load,
+            usual_probe_time: message.usual_probe_time,
+            size: message.size.map(Size),
         }
     }
 }
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -1,5 +1,5 @@
-//! The older process's part: it listens for its successor, sends it what it knows, and hands its connections
-//! over.
+//! The older process's side of a handover: it listens for its successor, sends it its state, and hands over
+//! its connections.
 
 use std::os::fd::{AsFd, BorrowedFd};
 use std::os::unix::net::UnixListener;
@@ -20,10 +20,10 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// When the socket is full it is tried again after this: the successor reads it in each turn of its loop.
-const RETRY_FULL_SOCKET: Span = Span::ms(5);
+/// Delay before sending again on a full socket; the successor reads it in each turn of its event loop.
+const FULL_SOCKET_RETRY_DELAY: Span = Span::ms(5);
 
-/// An open call that can go over: the message, and the connections that go with it.
+/// An open call that can be handed over: its message, and the connections that are sent with it.
 struct OutgoingCall {
     message: PredecessorMessage,
     client: ConnectionId,
@@ -31,17 +31,17 @@
 }
 
 impl Service {
-    /// Opens the Unix socket at which a successor connects.
+    /// Opens the Unix socket to which a successor connects.
     pub(crate) fn listen_for_successor(&mut self) {
         match self.bind_successor_socket() {
             Ok(listener) => self.handover.listener = listener,
-            // The successor then opens a listening socket of its own beside this one.
+            // The successor then opens its own listening socket beside this process's.
             Err(cause) => info!(%cause, "cannot listen for a successor"),
         }
     }
 
-    /// A process that was killed leaves its file in the way, and one that serves must not be cut off before
-    /// the new socket listens: so the socket is bound under another name, which then replaces the old one.
+    /// Binds the socket under a temporary name and renames it. `bind` fails if a killed process has left its
+    /// file, and the socket of a process that still serves must stay reachable until the new one listens.
     fn bind_successor_socket(&mut self) -> std::io::Result<Option<UnixListener>> {
         let Some(folder) = self.config.folder.as_deref() else { return Ok(None) };
         let path = socket_path(folder, self.config.listen);
@@ -54,19 +54,19 @@
         Ok(Some(listener))
     }
 
-    /// Accepts a successor's connection; a second one at a time is closed at once.
+    /// Accepts a successor's connection. While one is connected, any other is closed at once.
     pub(crate) fn accept_successor(&mut self) {
         let accepted = self.handover.listener.as_ref().map(UnixListener::accept);
-        let Some(Ok((line, _))) = accepted else { return };
-        if self.handover.successor.is_none() && line.set_nonblocking(true).is_ok() {
-            let connection = Connection::new(line.into(), false);
+        let Some(Ok((stream, _))) = accepted else { return };
+        if self.handover.successor.is_none() && stream.set_nonblocking(true).is_ok() {
+            let connection = Connection::new(stream.into(), false);
             self.handover.successor = self.add_connection(connection, SocketRole::Successor);
         }
     }
 
-    /// Handles what the successor has sent, or the end of its connection.
-    pub(crate) fn successor_readable(&mut self, id: ConnectionId, got: ReadOutcome) {
-        let length = match got {
+    /// Handles bytes received from the successor, or the end of its connection.
+    pub(crate) fn successor_readable(&mut self, id: ConnectionId, outcome: ReadOutcome) {
+        let length = match outcome {
             ReadOutcome::NothingYet => return,
             ReadOutcome::End => return self.disconnect_successor(id),
             ReadOutcome::Bytes(length) => length,
@@ -86,7 +86,7 @@
             match line.trim_ascii_end().parse() {
                 Ok(message) => self.handle_successor_message(id, message),
                 Err(cause) => {
-                    warn!(%cause, "cannot understand the successor: closing its connection");
+                    warn!(%cause, "invalid message of the successor, closing its connection");
                     return self.disconnect_successor(id);
                 }
             }
@@ -125,7 +125,7 @@
         self.send_text(id, &format!("{unsent}{state}{descriptors}\n"));
     }
 
-    /// None before the endpoint list is known.
+    /// `None` before the endpoint list is known.
     fn handover_state(&self) -> Option<HandoverState> {
         Some(HandoverState {
             node: self.snapshot()?,
@@ -136,9 +136,9 @@
         })
     }
 
-    /// From here on the successor takes the clients.
+    /// Leaves accepting clients to the successor.
     fn successor_is_serving(&mut self) {
-        info!(calls = self.calls.len(), "replaced: the successor takes the clients");
+        info!(calls = self.calls.len(), "replaced: the successor accepts clients");
         self.handover.successor_serves = true;
         if let Some(predecessor) = self.handover.predecessor {
             self.send_text(predecessor, &format!("{}\n", SuccessorMessage::Succeeded));
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The successor may end before it serves, or after; then nobody would take the clients if this process
-    /// did not.
+    /// Closes the connection to the successor. If the successor was serving and has no successor of its own,
+    /// this process accepts clients again, as no other process does.
     pub(crate) fn disconnect_successor(&mut self, id: ConnectionId) {
         self.close_connection(id);
         if self.handover.successor != Some(id) {
@@ -159,17 +159,17 @@
         }
         self.handover.successor = None;
         self.handover.successor_has_state = false;
-        // After two upgrades in a row this process would take clients beside the last one.
+        // After two upgrades in a row the newest process accepts clients, and this one must not do so too.
         if self.handover.successor_was_replaced {
             return;
         }
         if !std::mem::take(&mut self.handover.successor_serves) {
-            return info!("the successor has gone before it served");
+            return info!("the successor disconnected before it served");
         }
         if matches!(self.phase, Phase::Leaving { .. } | Phase::Flushing | Phase::Left) {
             return;
         }
-        warn!("the successor has gone: this process takes the clients again");
+        warn!("the successor disconnected: this process accepts clients again");
         if self.phase == Phase::Replaced {
             self.phase = Phase::Serving;
         }
@@ -186,13 +186,13 @@
         self.continue_handover();
     }
 
-    /// Hands over one call that has opened since.
+    /// Hands over one call that was opened after the others were handed over.
     pub(crate) fn hand_over_call(&mut self, call: CallId) {
         self.handover.pending_calls.push_back(call);
         self.continue_handover();
     }
 
-    /// Hands over as much as the socket takes; the rest follows when it has room again.
+    /// Hands over as many connections as fit into the socket; the rest follow once it has room again.
     pub(crate) fn continue_handover(&mut self) {
         let Some(id) = self.handover.successor.filter(|_| self.handover.successor_serves) else { return };
         while self.sockets.get(id.0).is_some_and(|entry| entry.connection.unsent() == 0) {
@@ -206,10 +206,10 @@
             match result {
                 Ok(()) => self.handover.remove_first_pending(),
                 Err(Errno::AGAIN) => {
-                    return self.timers.set(self.now + RETRY_FULL_SOCKET, TimerEvent::ContinueHandover);
+                    return self.timers.set(self.now + FULL_SOCKET_RETRY_DELAY, TimerEvent::ContinueHandover);
                 }
                 Err(cause) => {
-                    warn!(%cause, "cannot hand over connections: their clients are migrated");
+                    warn!(%cause, "cannot hand over the remaining connections, migrating their clients instead");
                     self.handover.pending_calls.clear();
                     self.handover.pending_idle_clients.clear();
                     return;
@@ -233,8 +233,8 @@
         Ok(())
     }
 
-    /// None for a call that ends here: one side's end, seen by this process, would never be seen by the
-    /// successor.
+    /// Returns `None` for a call that has to end in this process: once it has seen the end of one side, the
+    /// successor would never see it.
     fn prepare_call(&self, call: CallId) -> Option<OutgoingCall> {
         let in_flight = self.calls.get(call.0).filter(|call| call.stage == CallStage::Open)?;
         let client_id = in_flight.client?;
@@ -246,7 +246,7 @@
         }
         let call = &in_flight.call;
         let handover = CallHandover {
-            waiting_for_host_ns: in_flight.awaiting_host_since.map(|asked| self.now.since(asked).0),
+            waiting_for_host_ns: in_flight.awaiting_host_since.map(|start| self.now.since(start).0),
             client_inbox: HexBytes::from(client.inbox.as_slice()),
             client_outbox: HexBytes::from(client.unsent_bytes()),
             group: call.group.map(|group| group.0),
@@ -267,8 +267,8 @@
         })
     }
 
-    /// Forgets a call that is the successor's now, without ending its connections. Returns the host where it
-    /// is open.
+    /// Removes a call that was handed to the successor without ending its connections. Returns the host where
+    /// it is open.
     fn release_call(&mut self, call: CallId, outgoing: &OutgoingCall) -> Option<HostId> {
         self.abandon_connection(outgoing.client);
         self.abandon_connection(outgoing.host_connection);
@@ -294,7 +294,7 @@
         Ok(())
     }
 
-    /// Sends text with the sockets that belong to it, and returns what did not fit.
+    /// Sends text with the sockets that belong to it, and returns the part that did not fit.
     fn send_to_successor(
         &self,
         id: ConnectionId,
@@ -306,7 +306,7 @@
         Ok(text[sent..].to_owned())
     }
 
-    /// Tells the successor how many connections are open at a host, which has changed.
+    /// Reports to the successor a changed number of connections to a host.
     pub(crate) fn notify_successor(&mut self, host: HostId) {
         let Some(id) = self.handover.successor.filter(|_| self.handover.successor_has_state) else { return };
         let connections = self.hosts.open_at(host) as u32;
--- a/crates/node/src/handover/tests.rs
+++ b/crates/node/src/handover/tests.rs
@@ -8,10 +8,10 @@
 use super::state::HandoverState;
 use crate::endpoint_list::EndpointListUpdate;
 
-/// What a process tells its successor, as recorded.
+/// The recorded encoding of a state.
 const STATE: &str = include_str!("fixtures/state.json");
 
-/// The lines that two processes of a node exchange, as recorded.
+/// The recorded lines that two processes of a node exchange.
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
 
 fn names<const COUNT: usize>(names: [&str; COUNT]) -> Vec<String> {
@@ -54,7 +54,7 @@
     HandoverState { list, node, drained: true, zones: names(["x", "y"]), classes: names(["chat", "pay"]) }
 }
 
-/// A state whose every field has a value that shows it, with and without its optional parts.
+/// A state with a recognisable value in every field, and with hosts that have or lack the optional fields.
 fn recorded_state() -> HandoverState {
     let mut state = sample_state();
     let host = HostId(u64::MAX);
@@ -136,9 +136,9 @@
     assert_eq!(recorded.next(), None);
 }
 
-/// The sockets of an unreadable line are closed: those of the next line would be taken for them otherwise.
+/// The sockets of an invalid line have to be closed, as the next line would otherwise be given them.
 #[test]
-fn unreadable_messages_say_how_many_sockets_came_with_them() {
+fn invalid_messages_report_how_many_sockets_came_with_them() {
     let sockets = |line: &str| line.parse::<PredecessorMessage>().unwrap_err().sockets();
     assert_eq!(sockets("CALL {}"), 2);
     assert_eq!(sockets("IDLE 00"), 1);
@@ -148,15 +148,15 @@
 }
 
 #[test]
-fn state_longer_than_any_of_ours_is_refused() {
+fn oversized_state_and_other_version_are_refused() {
     let header = |length: usize| StateHeader { length }.to_string().parse::<StateHeader>();
-    assert!(header(StateHeader::LONGEST_STATE).is_ok());
-    assert!(matches!(header(StateHeader::LONGEST_STATE + 1), Err(MessageError::TooLong(_))));
+    assert!(header(StateHeader::MAX_STATE_LENGTH).is_ok());
+    assert!(matches!(header(StateHeader::MAX_STATE_LENGTH + 1), Err(MessageError::TooLong(_))));
     assert!(matches!("STANDING 2 7".parse::<StateHeader>(), Err(MessageError::Unknown)));
 }
 
 #[test]
-fn decoded_state_equals_the_encoded_one() {
+fn state_round_trips() {
     let state = sample_state();
     let text = state.encode().unwrap();
     let read = HandoverState::decode(text.as_bytes(), &state.zones, &state.classes).unwrap();
@@ -173,20 +173,20 @@
     let decode = |zones: &[String], classes: &[String]| {
         HandoverState::decode(text.as_bytes(), zones, classes).unwrap()
     };
-    // A zone that the settings do not name any more is none of ours.
+    // A zone that is no longer in the settings gets the number after the last known zone.
     assert_eq!(decode(&[], &names(["chat", "pay"])).list.endpoints[0].zone, Zone(0));
-    // Another order, and more of them.
+    // The settings have more names, in another order.
     let read = decode(&names(["y", "z", "x"]), &names(["fax", "pay", "chat"]));
     assert_eq!((read.list.endpoints[0].zone, read.node.mean_load_by_class), (Zone(0), vec![0.0, 0.2, 0.1]));
 }
 
-/// Half a message taken for a whole one would be hosts taken for empty.
+/// Hosts that are missing from an incomplete state would count as having no connections.
 #[test]
 fn incomplete_state_is_refused_as_a_whole() {
     let text = sample_state().encode().unwrap();
-    let is_refused = |text: &[u8]| HandoverState::decode(text, &[], &[]).is_err();
+    let fails_to_decode = |text: &[u8]| HandoverState::decode(text, &[], &[]).is_err();
     for end in 0..text.len() {
-        assert!(is_refused(&text.as_bytes()[..end]));
+        assert!(fails_to_decode(&text.as_bytes()[..end]));
     }
     let keys = [
         "index",
@@ -204,16 +204,16 @@
     ];
     for key in keys {
         let other = text.replace(&format!("\"{key}\":"), "\"other\":");
-        assert!(is_refused(other.as_bytes()), "without {key}");
+        assert!(fails_to_decode(other.as_bytes()), "without {key}");
     }
     for (valid, invalid) in [("\"draining\"", "\"well\""), ("\"share\":1.5", "\"share\":-1.5")] {
         assert!(text.contains(valid));
-        assert!(is_refused(text.replace(valid, invalid).as_bytes()), "with {invalid}");
+        assert!(fails_to_decode(text.replace(valid, invalid).as_bytes()), "with {invalid}");
     }
 }
 
 #[test]
-fn hexadecimal_bytes_are_read_as_they_were_written() {
+fn hexadecimal_bytes_round_trip() {
     let all: Vec<u8> = (0..=255).collect();
     for bytes in [all.as_slice(), b""] {
         let hex = HexBytes::from(bytes);
