--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -1,4 +1,5 @@
-//! Hosts in the fleet's eyes: the endpoint list goes to the decisions, and hosts that they want out are left.
+//! Hosts as the fleet knows them: reports the endpoint list to the fleet logic, and migrates connections from
+//! the hosts that the fleet drains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,33 +10,33 @@
 use serde_json::Value;
 use tracing::info;
 
-use super::START;
+use super::START_OFFSET;
 use crate::config::host_id;
 use crate::endpoint_list::{self, EndpointListUpdate};
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// A node that has just started waits so long for a voter. A leader answers within a round trip once a link
-/// is up, and links come up within a tick or two. Where none does: what the predecessor told last counts at
-/// the leader for 3.5 s, and until then a host may be called empty because of it.
-const FIRST_CONTACT: Span = Span::ms(4_000);
+/// Maximum wait of a new process for the fleet's state. Links come up within two ticks, and a leader then
+/// replies within a round trip. Without a reply the wait has to exceed 3.5 s: for so long the leader counts
+/// the predecessor's last report, and by that it may declare a host empty.
+const FIRST_CONTACT_TIMEOUT: Span = Span::ms(4_000);
 
-/// What a member knows of hosts.
+/// A member's knowledge of hosts.
 #[derive(Default)]
 pub(super) struct FleetHosts {
-    /// The endpoint list, by the names that the fleet knows hosts by.
+    /// The endpoint list, by the hosts' names in the fleet.
     endpoints: BTreeMap<UnitName, (Place, EndpointState)>,
-    /// Hosts that the fleet wants out.
+    /// Hosts that the fleet drains.
     avoided: BTreeMap<HostId, UnitName>,
-    /// One connection leaves the avoided hosts so often.
+    /// Interval between migrations of single connections from the avoided hosts.
     migration_interval: Span,
-    /// The timer for the next of them is set.
-    is_migrating: bool,
+    /// The timer for the next migration is set.
+    is_migration_scheduled: bool,
 }
 
 impl Service {
-    /// Connections and attempts at hosts that the fleet wants out. All calls are gone through, but only while
-    /// there are such hosts.
+    /// Number of connections and attempts at each host that the fleet drains. Iterates over all calls, but only
+    /// while there are such hosts.
     pub(super) fn connections_at_avoided_hosts(&self) -> Vec<(UnitName, u32)> {
         let Some(membership) = &self.membership else { return vec![] };
         let avoided = &membership.hosts.avoided;
@@ -52,16 +53,17 @@
         counts.into_iter().map(|(name, count)| (name.clone(), count)).collect()
     }
 
-    /// Whether the node waits for a voter before it serves. From its list alone it knows which hosts are
-    /// ready, and would go to one that the fleet has called empty. It does not wait for long: calls are
+    /// Whether the node waits for the fleet's state before it serves. By its endpoint list alone it would send
+    /// attempts to a host that is ready but that the fleet has found empty. The wait is limited, as calls are
     /// served without a fleet too.
     pub(crate) fn waits_for_fleet(&self) -> bool {
         let Some(membership) = &self.membership else { return false };
-        let is_recent = self.now.since(membership.began) < Span(START.0 + FIRST_CONTACT.0);
+        let is_recent =
+            self.now.since(membership.time_origin) < Span(START_OFFSET.0 + FIRST_CONTACT_TIMEOUT.0);
         !membership.fleet.is_current() && is_recent
     }
 
-    /// Tells the decisions of an update of the endpoint list, which comes with its JSON for the hosts' names.
+    /// Reports an update of the endpoint list to the fleet logic. The hosts' names are read from its JSON.
     pub(crate) fn update_fleet_hosts(&mut self, update: &EndpointListUpdate, json: &Value) {
         let Some(membership) = &mut self.membership else { return };
         let endpoints = &mut membership.hosts.endpoints;
@@ -73,11 +75,11 @@
                 endpoints.insert(name, (place, state));
             }
         }
-        self.tell_endpoints();
+        self.report_endpoints();
     }
 
-    /// Tells the decisions the whole list as it is known.
-    pub(super) fn tell_endpoints(&mut self) {
+    /// Reports the whole known endpoint list to the fleet logic.
+    pub(super) fn report_endpoints(&mut self) {
         let Some(membership) = &self.membership else { return };
         let endpoints = &membership.hosts.endpoints;
         if endpoints.is_empty() {
@@ -85,26 +87,26 @@
         }
         let endpoints = endpoints.iter().map(|(name, (place, state))| (name.clone(), place.clone(), *state));
         let endpoints: Vec<_> = endpoints.collect();
-        self.tell_fleet(|fleet, now| fleet.hosts_listed(now, endpoints));
+        self.with_fleet(|fleet, now| fleet.hosts_listed(now, endpoints));
     }
 
-    /// The list can no longer be had.
+    /// Reports that the discovery service no longer answers.
     pub(crate) fn endpoint_list_lost(&mut self) {
-        self.tell_fleet(|fleet, now| fleet.list_lost(now));
+        self.with_fleet(|fleet, now| fleet.list_lost(now));
     }
 
-    /// Opens nothing new at these hosts, and migrates one connection from them in each interval.
+    /// Stops opening connections to these hosts, and migrates one connection from them per interval.
     pub(super) fn avoid_hosts(&mut self, names: BTreeSet<UnitName>, interval: Span) {
         let Some(membership) = &mut self.membership else { return };
-        info!(hosts = ?names, interval_ms = interval.0 / 1_000_000, "avoiding the hosts that the fleet wants out");
+        info!(hosts = ?names, interval_ms = interval.0 / 1_000_000, "avoiding the hosts that the fleet drains");
         let hosts = &mut membership.hosts;
         hosts.avoided = names.into_iter().map(|name| (host_id(&name.0), name)).collect();
         hosts.migration_interval = interval;
         let host_ids = hosts.avoided.keys().copied().collect();
-        // Nodes that hear of it at once would migrate their first client at once.
-        let first = interval.times(f64::from(membership.chance.generate::<f32>()));
-        if !hosts.avoided.is_empty() && !hosts.is_migrating {
-            hosts.is_migrating = true;
+        // The first delay is random: all nodes learn of it at the same time, and must not migrate in step.
+        let first = interval.times(f64::from(membership.rng.generate::<f32>()));
+        if !hosts.avoided.is_empty() && !hosts.is_migration_scheduled {
+            hosts.is_migration_scheduled = true;
             self.timers.set(self.now + first, TimerEvent::MigrateFromDraining);
         }
         let now = self.now;
@@ -112,12 +114,12 @@
         self.tell(|node, port| node.endpoints_changed(now, ListUpdate::Delta, &endpoints, port));
     }
 
-    /// Migrates one connection from the hosts that the fleet wants out.
+    /// Migrates one connection from the hosts that the fleet drains.
     pub(crate) fn migrate_from_avoided_hosts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let hosts = &mut membership.hosts;
         if hosts.avoided.is_empty() {
-            hosts.is_migrating = false;
+            hosts.is_migration_scheduled = false;
             return;
         }
         self.timers.set(self.now + hosts.migration_interval, TimerEvent::MigrateFromDraining);
@@ -127,7 +129,7 @@
     }
 }
 
-/// None for an entry of an unknown condition.
+/// Returns `None` for an entry of an unknown condition.
 fn decode_endpoint(entry: &Value) -> Option<(UnitName, Place, EndpointState)> {
     let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
     let state = match endpoint_list::condition(entry)? {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The node's membership in its fleet: it tells the decisions of `glendeck_fleet` what happened, and carries
-//! out their actions through the phases of the node.
+//! The node's membership in its fleet: reports events to [`glendeck_fleet::Fleet`], the fleet logic, and
+//! carries out its actions.
 //!
-//! [`store`] is the thread that writes to disk, [`hosts`] the endpoint list and the hosts that the fleet
-//! wants out, [`requests`] what operators ask for.
+//! [`store`] runs the thread that writes to disk, [`hosts`] handles the endpoint list and the hosts that the
+//! fleet drains, and [`requests`] handles operators' requests.
 
 mod hosts;
 pub(crate) mod requests;
@@ -40,40 +40,39 @@
 /// Why a node cannot join its fleet.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FleetError {
-    /// Its address for other nodes is in use, or is not one of this machine's.
+    /// The address on which it listens for peers is in use, or not an address of this machine.
     #[error("cannot listen for peers on {address}: {fault}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         fault: Errno,
     },
-    /// Its store cannot be opened.
+    /// The store cannot be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// The store's thread cannot be started.
     #[error("cannot start the store's thread: {0}")]
     Thread(#[from] std::io::Error),
     /// The event loop cannot watch the store's thread.
-    #[error("cannot watch the store: {0}")]
+    #[error("cannot watch the store's thread: {0}")]
     Watch(#[from] Errno),
 }
 
-/// The timestamp at a process's start. Without it, what other nodes tell of the time before the start would
-/// look younger than it is.
-const START: Span = Span::ms(86_400_000);
+/// The fleet's time at the start of this process. If it were 0, events that other nodes report from before the
+/// start would seem more recent than they are.
+const START_OFFSET: Span = Span::ms(86_400_000);
 
-/// The decisions get a turn this often: what must be quick arrives as a message, and the rest is counted in
-/// seconds.
-const TICK: Span = Span::ms(100);
+/// Interval between ticks of the fleet logic. Urgent events arrive as messages; all other times are in seconds.
+const TICK_INTERVAL: Span = Span::ms(100);
 
-/// Descriptors besides those of links: the listener, the store's file and lock, both ends of its wake-up
-/// pair, and one to accept with.
+/// File descriptors other than those of links: the listener, the store's file and lock, both ends of the
+/// socket pair that wakes the event loop, and one for accepting.
 const OWN_DESCRIPTORS: usize = 6;
 
 /// This node as a member of its fleet.
 pub(crate) struct Membership {
-    /// The decisions.
+    /// The fleet logic.
     pub fleet: Fleet,
     /// The connections to other nodes.
     pub peers: Peers,
@@ -81,25 +80,25 @@
     pub name: UnitName,
     /// The fleet's name.
     pub group: String,
-    /// This process among all processes of the node.
+    /// Distinguishes this process from all other processes of the node.
     pub incarnation: Incarnation,
-    /// Random draws that are not the decisions'.
-    pub chance: WyRand,
-    /// When timestamps of this process are 0.
-    pub began: Time,
-    /// The store's folder. A node without one never votes.
+    /// Random numbers for everything but the fleet logic, which has its own.
+    pub rng: WyRand,
+    /// The moment at which this process's timestamps are 0.
+    pub time_origin: Time,
+    /// The store's folder. A node without a folder never votes.
     pub folder: Option<PathBuf>,
     /// Replicated work, if the fleet's policy asks for it.
     pub work: Option<Work>,
     /// Warm state of other nodes, if the fleet's policy asks for it.
     pub warm_state: Option<WarmState>,
     store: Option<StoreThread>,
-    /// The store was in use at the start: ticks until it is tried again.
-    store_retry: Option<u32>,
+    /// Ticks until opening the store is tried again, if it was in use at the start.
+    store_retry_ticks: Option<u32>,
     faults: Option<Arc<dyn DiskFaults>>,
     pending: PendingRequests,
     hosts: FleetHosts,
-    most_links: usize,
+    max_links: usize,
 }
 
 impl Membership {
@@ -111,55 +110,55 @@
         now: Time,
         longest_wait: Span,
     ) -> Membership {
-        let start = Timestamp(START.0);
+        let start = Timestamp(START_OFFSET.0);
         let policy = &settings.policy;
         let work = policy.work.as_ref().map(|work| {
             let recall_ms = u64::from(work.recall_s) * 1_000;
             let longest_ms = longest_wait.0 / 1_000_000;
             Work::new(start, name.clone(), incarnation, recall_ms, longest_ms)
         });
-        // Both go together: what clients come back to is sent along the same view of the fleet.
+        // Warm state is enabled together with replicated work, whose view of the fleet it uses.
         let warm_state = policy.work.as_ref().map(|_| WarmState::new(now, start, name.clone(), incarnation));
-        // Each node dials the voters, and voters are dialled by all; an old link may stand beside a new one.
+        // Every node dials the voters. Each link counts twice, as an old one may still exist beside a new one.
         let accepted_links = if policy.voters.contains(&name) { 2 * policy.units.len() } else { 0 };
         Membership {
             fleet,
             peers: Peers::default(),
             group: policy.group.clone(),
             incarnation,
-            chance: WyRand::new_seed(incarnation.0),
-            began: now - START,
+            rng: WyRand::new_seed(incarnation.0),
+            time_origin: now - START_OFFSET,
             folder: settings.folder.clone(),
             work,
             warm_state,
             store: None,
-            store_retry: None,
+            store_retry_ticks: None,
             faults: None,
             pending: PendingRequests::new(now),
             hosts: FleetHosts::default(),
-            most_links: 2 * policy.voters.len() + accepted_links,
+            max_links: 2 * policy.voters.len() + accepted_links,
             name,
         }
     }
 
-    /// Links to other nodes at most.
-    pub(crate) fn most_links(&self) -> usize {
-        self.most_links
+    /// Maximum number of links to other nodes.
+    pub(crate) fn max_links(&self) -> usize {
+        self.max_links
     }
 
-    /// File descriptors that the membership may take.
+    /// Maximum number of file descriptors of the membership.
     pub(crate) fn descriptors(&self) -> usize {
-        OWN_DESCRIPTORS + self.most_links
+        OWN_DESCRIPTORS + self.max_links
     }
 
     fn draw_request_id(&mut self) -> RequestId {
-        RequestId(format!("{:016x}", self.chance.generate::<u64>()))
+        RequestId(format!("{:016x}", self.rng.generate::<u64>()))
     }
 }
 
-/// An incarnation that no other process of the node has.
+/// Draws an incarnation that differs from those of the node's other processes.
 fn draw_incarnation(seed: u64) -> Incarnation {
-    // The standard library draws the keys of its hash maps from the system, for each process anew.
+    // The standard library seeds its hash maps from the system's random numbers, anew in each process.
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u64(seed);
@@ -168,12 +167,12 @@
 }
 
 impl Service {
-    /// Makes the node a member of the fleet that its configuration names, if any.
+    /// Joins the fleet that the configuration names, if any.
     ///
     /// # Errors
     ///
-    /// Fails if the node cannot listen for its peers, or its store cannot be opened. A store that another
-    /// process still uses is no error: the node waits for it, and does not vote meanwhile.
+    /// Fails if the node cannot listen for its peers, or its store cannot be opened. It is no error if another
+    /// process still uses the store: the node retries, and does not vote until it succeeds.
     pub(crate) fn join_fleet(&mut self, faults: Option<Arc<dyn DiskFaults>>) -> Result<(), FleetError> {
         let Some(settings) = self.config.fleet.clone() else { return Ok(()) };
         let name = UnitName(self.config.name.clone());
@@ -182,11 +181,11 @@
         if let Some(store) = &opened.store {
             self.watch_listener(&store.wake, STORE)?;
         }
-        let fleet = Fleet::new(opened.config, Timestamp(START.0));
+        let fleet = Fleet::new(opened.config, Timestamp(START_OFFSET.0));
         let longest_wait = self.config.longest_guard;
         let mut membership = Membership::new(fleet, &settings, name, incarnation, self.now, longest_wait);
         membership.store = opened.store;
-        membership.store_retry = opened.retry;
+        membership.store_retry_ticks = opened.retry_ticks;
         membership.faults = faults;
         self.membership = Some(Box::new(membership));
         self.read_work_handover();
@@ -196,14 +195,16 @@
         Ok(())
     }
 
-    /// Now, in the fleet's time of this process.
+    /// The current time as a timestamp of this process.
     pub(crate) fn timestamp(&self) -> Timestamp {
         self.timestamp_of(self.now)
     }
 
-    /// A moment in the fleet's time of this process.
+    /// Converts a time to a timestamp of this process.
     pub(crate) fn timestamp_of(&self, time: Time) -> Timestamp {
-        self.membership.as_ref().map_or(Timestamp(0), |membership| Timestamp(time.since(membership.began).0))
+        self.membership
+            .as_ref()
+            .map_or(Timestamp(0), |membership| Timestamp(time.since(membership.time_origin).0))
     }
 
     fn node_status(&self) -> NodeStatus {
@@ -220,42 +221,43 @@
         }
     }
 
-    /// Tells the decisions something, and carries out what comes of it.
-    fn tell_fleet(&mut self, tell: impl FnOnce(&mut Fleet, Timestamp)) {
+    /// Calls the fleet logic, and performs the actions that it returns.
+    fn with_fleet(&mut self, call: impl FnOnce(&mut Fleet, Timestamp)) {
         let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
-        tell(&mut membership.fleet, now);
+        call(&mut membership.fleet, now);
         let actions = membership.fleet.take_actions();
         for action in actions {
             self.perform_fleet_action(action);
         }
     }
 
-    /// What is due with time: links, the store, requests, and the decisions' own turn.
+    /// Does the periodic work: links, the store, status requests, the fleet logic, replicated work and warm
+    /// state.
     pub(crate) fn fleet_tick(&mut self) {
         if self.phase == Phase::Left {
             return;
         }
-        self.timers.set(self.now + TICK, TimerEvent::FleetTick);
-        self.tend_links();
+        self.timers.set(self.now + TICK_INTERVAL, TimerEvent::FleetTick);
+        self.maintain_links();
         self.retry_store();
         self.request_status();
         let node_status = self.node_status();
-        self.tell_fleet(|fleet, now| fleet.tick(now, node_status));
+        self.with_fleet(|fleet, now| fleet.tick(now, node_status));
         self.work_tick();
         self.warm_state_tick();
         self.serve_if_ready();
     }
 
-    /// A link to this peer has come up.
+    /// Reports a new link to a peer.
     pub(crate) fn peer_linked(&mut self, peer: &UnitName) {
         let peer = peer.clone();
-        self.tell_fleet(|fleet, now| fleet.linked(now, &peer));
+        self.with_fleet(|fleet, now| fleet.linked(now, &peer));
     }
 
-    /// A message of this peer's for the decisions has come.
+    /// Handles a peer's message for the fleet logic.
     pub(crate) fn handle_consensus_message(&mut self, peer: &UnitName, envelope: Envelope) {
-        self.tell_fleet(|fleet, now| fleet.heard(now, peer, envelope));
+        self.with_fleet(|fleet, now| fleet.heard(now, peer, envelope));
     }
 
     fn perform_fleet_action(&mut self, action: Action) {
@@ -263,12 +265,12 @@
             Action::Send(peer, envelope) => self.send_peer(&peer, &Frame::ConsensusMessage(envelope)),
             Action::Persist(batch, writes) => self.persist(batch, writes),
             Action::StartDrain { lease, cause } => {
-                info!(lease = lease.0, ?cause, "draining, as the fleet has granted a lease");
+                info!(lease = lease.0, ?cause, "draining: the fleet granted a lease");
                 self.drain();
             }
             Action::AvoidHosts { hosts, every_ms } => self.avoid_hosts(hosts, Span::ms(every_ms)),
             Action::Resume => {
-                info!("serving again, as the fleet has ended the lease");
+                info!("serving again: the fleet ended the lease");
                 self.activate();
             }
             Action::Exit { version } => self.exit_for_version(&version),
@@ -277,17 +279,17 @@
         }
     }
 
-    /// Ends this drained process so that one of another version is started; it has no clients that would
-    /// wait.
+    /// Exits so that the supervisor can start another version. The process is drained, so it has no clients
+    /// to wait for.
     fn exit_for_version(&mut self, version: &str) {
-        info!(%version, "exiting, to be started as another version");
+        info!(%version, "exiting to be restarted as another version");
         match self.write_wanted_version(version) {
             Ok(()) => self.leave_drained(),
-            Err(cause) => error!(%cause, "cannot write the version to be started: this process stays"),
+            Err(cause) => error!(%cause, "cannot write the version to be started, not exiting"),
         }
     }
 
-    /// Writes the file in which whoever starts the next process reads its version.
+    /// Writes the file from which the supervisor reads the version of the next process.
     fn write_wanted_version(&self, version: &str) -> std::io::Result<()> {
         let folder = self.membership.as_ref().and_then(|membership| membership.folder.as_ref());
         let folder = folder.ok_or_else(|| std::io::Error::other("no folder is configured"))?;
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -1,5 +1,5 @@
-//! What operators ask of the fleet at the admin interface: requests decoded, handed to the decisions, and
-//! replied to.
+//! Operators' requests to the fleet at the admin interface: decodes them, passes them to the fleet logic, and
+//! sends the replies.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,24 @@
 use crate::takeover::WorkMetrics;
 use crate::warm_state::WarmStateMetrics;
 
-/// A status request goes to the leader so often at most. Those that come earlier wait a tick longer, and a
-/// node adds ten entries to the log a second, however many ask.
+/// Minimum interval between status requests to the leader. Earlier ones wait for the next tick, so that a node
+/// appends at most ten entries per second to the log, whatever the number of callers.
 const STATUS_INTERVAL: Span = Span::ms(100);
 
-/// Why a request cannot be handed to the fleet.
+/// Why a request cannot be passed to the fleet.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RequestError {
-    /// The node is in no fleet.
-    #[error("this node is of no fleet")]
+    /// The node is not a member of a fleet.
+    #[error("this node is not in a fleet")]
     NoFleet,
     /// The body is not JSON.
-    #[error("no JSON: {0}")]
-    NoJson(serde_json::Error),
-    /// The body lacks a text that the path needs.
-    #[error("{0} is missing")]
+    #[error("the body is not valid JSON: {0}")]
+    InvalidJson(serde_json::Error),
+    /// The body lacks a string that the path needs.
+    #[error("the string {0} is missing in the body")]
     Missing(&'static str),
-    /// The body's release plan cannot be read.
-    #[error("plan: {0}")]
+    /// The body's release plan cannot be decoded.
+    #[error("invalid plan: {0}")]
     Plan(serde_json::Error),
     /// There is no such path.
     #[error("no such path")]
@@ -45,7 +45,9 @@
     fn from(error: RequestError) -> Reply {
         let status = match error {
             RequestError::NoFleet | RequestError::NoSuchPath => Status::NotFound,
-            RequestError::NoJson(_) | RequestError::Missing(_) | RequestError::Plan(_) => Status::BadRequest,
+            RequestError::InvalidJson(_) | RequestError::Missing(_) | RequestError::Plan(_) => {
+                Status::BadRequest
+            }
         };
         Reply::error(status, error)
     }
@@ -59,7 +61,7 @@
         if bytes.is_empty() {
             return Ok(RequestBody(Value::Null));
         }
-        serde_json::from_slice(bytes).map(RequestBody).map_err(RequestError::NoJson)
+        serde_json::from_slice(bytes).map(RequestBody).map_err(RequestError::InvalidJson)
     }
 
     fn text(&self, key: &str) -> Option<String> {
@@ -76,13 +78,13 @@
     }
 }
 
-/// What a path asks for.
+/// The request that a path stands for.
 enum FleetRequest {
     /// The state of the fleet, confirmed by its leader.
     Status,
-    /// This node's store is to be trusted again.
+    /// An operator vouches for this node's store, so that it votes without waiting for voters that are gone.
     Trust,
-    /// The fleet is to decide this.
+    /// A command for the fleet to decide on.
     Command(Command),
 }
 
@@ -113,32 +115,32 @@
     }
 }
 
-/// Who waits for what the fleet decides.
+/// The callers that wait for the fleet's decision on a request.
 enum PendingRequest {
-    /// The caller whose command it is.
+    /// The caller that sent the command.
     Command(ConnectionId),
-    /// All callers that asked for the status before this request for it went out.
+    /// All callers that asked for the status before this request was sent.
     Status(Vec<ConnectionId>),
 }
 
 /// The requests of operators that are not answered yet.
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Callers that want the status, and whose request for it has not gone out.
+    /// Callers of the status for whom no request has been sent yet.
     status_callers: Vec<ConnectionId>,
-    /// The next request for the status goes out no earlier.
+    /// Earliest time for the next status request.
     next_status: Time,
 }
 
 impl PendingRequests {
-    /// Nobody waits.
+    /// Creates the table without any requests.
     pub(crate) fn new(now: Time) -> PendingRequests {
         PendingRequests { requests: BTreeMap::new(), status_callers: Vec::new(), next_status: now }
     }
 
     fn is_status_due(&self, now: Time) -> bool {
-        let is_out = self.requests.values().any(|request| matches!(request, PendingRequest::Status(_)));
-        !self.status_callers.is_empty() && !is_out && now >= self.next_status
+        let is_in_flight = self.requests.values().any(|request| matches!(request, PendingRequest::Status(_)));
+        !self.status_callers.is_empty() && !is_in_flight && now >= self.next_status
     }
 }
 
@@ -167,7 +169,7 @@
     why: &'static str,
 }
 
-/// The reply to a command, from what became of it.
+/// The reply to a command with this result.
 pub(crate) fn result_reply(id: &RequestId, result: &RequestResult, voters_not_heard: Option<usize>) -> Reply {
     let id = &id.0;
     match result {
@@ -178,7 +180,7 @@
             Reply::new(Status::Conflict, &Refused { done: false, id, why })
         }
         RequestResult::Unknown => {
-            let why = "not decided in time: it may still be. Ask again with the same id";
+            let why = "not decided in time, but may still take effect: retry with the same id";
             Reply::new(Status::ServiceUnavailable, &Undecided { done: false, id, voters_not_heard, why })
         }
     }
@@ -189,7 +191,7 @@
 pub(super) struct FleetStatus<'a> {
     #[serde(flatten)]
     pub(super) view: FleetView<'a>,
-    /// The leader has confirmed that the state is the newest.
+    /// The leader has confirmed that the state is current.
     pub(super) confirmed: bool,
     pub(super) links: LinkMetrics,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -209,7 +211,7 @@
 }
 
 impl Service {
-    /// Takes a request of an operator's. None if the fleet has to decide: the reply follows.
+    /// Handles a request of an operator. Returns `None` if the fleet has to decide; the reply is sent later.
     pub(crate) fn handle_fleet_request(
         &mut self,
         caller: ConnectionId,
@@ -238,19 +240,19 @@
             }
             FleetRequest::Trust => return Ok(Some(Reply::done(membership.fleet.trust(now)))),
             FleetRequest::Command(command) => {
-                // The draw is made even where the operator names the request, as it always was.
+                // Drawn even if the operator gives an id, so that the sequence of random numbers is the same.
                 let drawn_id = membership.draw_request_id();
                 let id = body.text("id").map_or(drawn_id, RequestId);
-                info!(path, request_id = %id.0, "request of an operator");
+                info!(path, request_id = %id.0, "operator request");
                 membership.pending.requests.insert(id.clone(), PendingRequest::Command(caller));
-                self.tell_fleet(|fleet, now| fleet.ask(now, id, command));
+                self.with_fleet(|fleet, now| fleet.ask(now, id, command));
             }
         }
         Ok(None)
     }
 
-    /// Asks the leader for the state if somebody wants it. Each request is an entry of the log, and a status
-    /// page may be open on every desk: so all who have come since the last request share the next.
+    /// Requests a confirmed state from the leader if a caller waits for the status. Each request is an entry of
+    /// the log, and many operators may watch the status, so all callers since the last request share the next.
     pub(super) fn request_status(&mut self) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
@@ -261,10 +263,10 @@
         let id = membership.draw_request_id();
         let callers = std::mem::take(&mut membership.pending.status_callers);
         membership.pending.requests.insert(id.clone(), PendingRequest::Status(callers));
-        self.tell_fleet(|fleet, now| fleet.ask(now, id, Command::Confirm));
+        self.with_fleet(|fleet, now| fleet.ask(now, id, Command::Confirm));
     }
 
-    /// Replies to whoever waits for this request.
+    /// Replies to the callers that wait for this request.
     pub(super) fn reply_to_request(&mut self, id: &RequestId, result: &RequestResult) {
         let Some(membership) = &mut self.membership else { return };
         match membership.pending.requests.remove(id) {
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps what the node has promised as a voter on disk.
+//! The thread that stores on disk what the node has promised as a voter.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -17,28 +17,28 @@
 use crate::reactor::STORE;
 use crate::service::Service;
 
-/// A store that another process of this node still uses is tried again after so many ticks.
+/// Ticks until opening a store that another process of this node still uses is tried again.
 const RETRY_TICKS: u32 = 10;
 
-/// The store's thread, and the socket at which it shows that a write is done.
+/// The store's thread, and the socket by which it signals a finished write.
 pub(super) struct StoreThread {
     /// The thread.
     pub store: Store,
-    /// Readable when the store has outcomes.
+    /// Readable if the store has outcomes.
     pub wake: UnixStream,
 }
 
-/// What a membership begins with.
+/// What a membership starts with.
 pub(super) struct OpenedFleet {
-    /// What the decisions begin with.
+    /// What the fleet logic starts with.
     pub config: FleetConfig,
-    /// The store's thread, if the node has a store that it can use.
+    /// The store's thread, if the node has a usable store.
     pub store: Option<StoreThread>,
-    /// Ticks until a store that is in use is tried again.
-    pub retry: Option<u32>,
+    /// Ticks until opening a store that is in use is tried again.
+    pub retry_ticks: Option<u32>,
 }
 
-/// Opens the store, or begins without a vote while another process uses it.
+/// Opens the store. If another process uses it, starts without one, and so without a vote.
 ///
 /// # Errors
 ///
@@ -51,9 +51,9 @@
 ) -> Result<OpenedFleet, FleetError> {
     match open_store(settings, name, incarnation, faults) {
         Err(FleetError::Store(cause @ StoreError::InUse(_))) => {
-            warn!(%cause, "the store is in use: waiting for it, without a vote");
+            warn!(%cause, "the store is in use, not voting until it is free");
             let config = config_without_store(settings, name, incarnation);
-            Ok(OpenedFleet { config, store: None, retry: Some(RETRY_TICKS) })
+            Ok(OpenedFleet { config, store: None, retry_ticks: Some(RETRY_TICKS) })
         }
         opened => opened,
     }
@@ -80,32 +80,32 @@
 ) -> Result<OpenedFleet, FleetError> {
     let mut config = config_without_store(settings, name, incarnation);
     let Some(folder) = &settings.folder else {
-        return Ok(OpenedFleet { config, store: None, retry: None });
+        return Ok(OpenedFleet { config, store: None, retry_ticks: None });
     };
     let opened = glendeck_store::open(folder, faults)?;
     if let Some(cause) = &opened.unreadable {
-        error!(%cause, "the store cannot be read and was set aside: no vote until a new voter slot is given");
+        error!(%cause, "cannot read the store: moved it aside, not voting until this node gets a new voter slot");
     }
     config.saved = Some(opened.saved.clone());
     config.spoilt = opened.unreadable.is_some();
     let (wake, store_end) = UnixStream::pair()?;
     wake.set_nonblocking(true)?;
     let store = opened.start(store_end)?;
-    Ok(OpenedFleet { config, store: Some(StoreThread { store, wake }), retry: None })
+    Ok(OpenedFleet { config, store: Some(StoreThread { store, wake }), retry_ticks: None })
 }
 
 impl Service {
-    /// Tries a store that was in use. Once the other process has let go of it, this one joins the fleet anew,
-    /// with it.
+    /// Tries to open a store that was in use. Once the other process has closed it, this one rejoins the fleet
+    /// with the store.
     pub(super) fn retry_store(&mut self) {
         let Some(membership) = &mut self.membership else { return };
-        let Some(ticks) = &mut membership.store_retry else { return };
+        let Some(ticks) = &mut membership.store_retry_ticks else { return };
         if *ticks > 0 {
             *ticks -= 1;
             return;
         }
         *ticks = RETRY_TICKS;
-        // A node that is out by a lease ends that as the member that it is.
+        // A node that is out under a lease first ends it with its present membership.
         if membership.fleet.is_out().is_some() {
             return;
         }
@@ -113,7 +113,7 @@
         let faults = membership.faults.clone();
         let opened = open_store(settings, &membership.name, membership.incarnation, faults);
         if let Ok(OpenedFleet { config, store: Some(store), .. }) = opened {
-            info!("the store is free: joining the fleet with it");
+            info!("the store is free: rejoining the fleet with it");
             self.rejoin_with_store(config, store);
         }
     }
@@ -123,34 +123,34 @@
         let watched = self.watch_listener(&store.wake, STORE);
         let Some(membership) = &mut self.membership else { return };
         membership.store = Some(store);
-        membership.store_retry = None;
+        membership.store_retry_ticks = None;
         membership.fleet = Fleet::new(config, now);
         self.avoid_hosts(BTreeSet::new(), Span::ZERO);
-        self.tell_endpoints();
+        self.report_endpoints();
         if let Err(cause) = watched {
-            self.tell_fleet(|fleet, now| fleet.disk_died(now, &cause.to_string()));
+            self.with_fleet(|fleet, now| fleet.disk_died(now, &cause.to_string()));
         }
     }
 
-    /// Hands a batch to the store. The decisions take a store that does not take it for a dead one.
+    /// Passes a batch to the store. A store that does not accept it is reported as failed.
     pub(super) fn persist(&mut self, batch: u64, writes: Vec<StoreWrite>) {
         let membership = self.membership.as_ref();
         let thread = membership.and_then(|membership| membership.store.as_ref());
         if !thread.is_some_and(|thread| thread.store.write(batch, writes)) {
-            self.tell_fleet(|fleet, now| fleet.disk_died(now, "its thread takes nothing more"));
+            self.with_fleet(|fleet, now| fleet.disk_died(now, "its thread accepts no more writes"));
         }
     }
 
-    /// Takes the outcomes of the store's writes.
+    /// Reports the outcomes of the store's writes to the fleet logic.
     pub(crate) fn store_readable(&mut self) {
         for outcome in self.store_outcomes() {
             match outcome {
-                Outcome::Written(batch) => self.tell_fleet(|fleet, now| fleet.written(now, batch)),
+                Outcome::Written(batch) => self.with_fleet(|fleet, now| fleet.written(now, batch)),
                 Outcome::Failed(cause) => {
                     if let Some(membership) = &mut self.membership {
                         membership.store = None;
                     }
-                    self.tell_fleet(|fleet, now| fleet.disk_died(now, &cause));
+                    self.with_fleet(|fleet, now| fleet.disk_died(now, &cause));
                 }
             }
         }
@@ -159,7 +159,7 @@
     fn store_outcomes(&mut self) -> Vec<Outcome> {
         let membership = self.membership.as_mut();
         let Some(thread) = membership.and_then(|membership| membership.store.as_mut()) else { return vec![] };
-        // How often the store has written there does not matter: all outcomes are taken.
+        // The number of bytes does not matter, as all outcomes are taken.
         let _ = thread.wake.read(&mut [0; 64]);
         std::iter::from_fn(|| thread.store.outcome()).collect()
     }
--- a/crates/node/src/peers/frame.rs
+++ b/crates/node/src/peers/frame.rs
@@ -1,49 +1,49 @@
-//! Frames between nodes: a length, the bytes, and in newer versions a checksum; the first frame is a
-//! greeting.
+//! Frames between nodes: a length, the encoded message, and in newer versions a checksum. The first frame of a
+//! link is a greeting.
 
 use glendeck_fleet::message::{Envelope, Hello, VERSION};
 use glendeck_takeover::ReplicaMessage;
 use glendeck_takeover::warm_state::WarmStateMessage;
 use serde::{Deserialize, Serialize};
 
-/// Longest frame in bytes. A whole state of 300 units takes some 60 KiB, a log that is sent anew a few
-/// hundred.
-const MAX_FRAME: usize = 8 << 20;
+/// Maximum length of a frame in bytes. The whole state of 300 units takes about 60 KiB, and a log that is sent
+/// anew a few hundred KiB.
+const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Bytes of a frame's length, which is little-endian.
+/// Size of a frame's length prefix in bytes; it is little-endian.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes of a checksum, which is little-endian.
+/// Size of a checksum in bytes; it is little-endian.
 const CHECKSUM_BYTES: usize = 4;
 
 /// A message to a peer. The order of the variants is part of the protocol.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Frame {
-    /// For the fleet's decisions.
+    /// A message for the fleet logic.
     ConsensusMessage(Box<Envelope>),
-    /// For replicated work: all messages of one turn of the event loop.
+    /// The messages of one turn of the event loop for replicated work.
     ReplicaMessages(Vec<ReplicaMessage>),
-    /// Warm state, for peers of [`Features::WARM_STATE`] alone.
+    /// Warm state, only for peers that support [`Features::WARM_STATE`].
     WarmState(WarmStateMessage),
 }
 
-/// What a node's version can do, sent after its greeting. In a rolling release, nodes of an older version end
-/// a link that brings what they cannot read; these read no further than the greeting, and send nothing after
-/// it.
+/// Features that a node's version supports, sent at the end of its greeting. In a rolling release, nodes of an
+/// older version close a link on which they receive a frame that they cannot decode. The first version neither
+/// reads nor sends features.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Features(u32);
 
 impl Features {
-    /// The first version.
+    /// No features, as in the first version.
     pub(crate) const NONE: Features = Features(0);
-    /// It understands [`Frame::WarmState`].
+    /// Supports [`Frame::WarmState`].
     pub(crate) const WARM_STATE: Features = Features(1);
-    /// Its frames end in a checksum, the greeting among them.
+    /// Frames, including the greeting, end with a checksum.
     pub(crate) const CHECKSUMS: Features = Features(2);
-    /// What this version can do.
+    /// The features of this version.
     pub(crate) const OWN: Features = Features::CHECKSUMS;
 
-    /// Whether a node can do this: each version can do all that those before it could.
+    /// Whether a node supports a feature. Each feature includes those with lower numbers.
     pub(crate) fn has(self, feature: Features) -> bool {
         self >= feature
     }
@@ -54,61 +54,60 @@
     }
 }
 
-/// Why a frame of a peer's ends its link.
+/// Error in a frame of a peer, for which its link is closed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// Longer than any of ours.
-    #[error("a frame of {0} bytes is too long")]
+    /// The frame is longer than the maximum.
+    #[error("a frame of {0} bytes exceeds the maximum length")]
     TooLong(usize),
     /// The checksum is missing or wrong.
-    #[error("the checksum is wrong")]
+    #[error("the checksum is missing or wrong")]
     Checksum,
-    /// It has another form.
-    #[error("cannot be decoded: {0}")]
+    /// The frame cannot be decoded.
+    #[error("cannot decode the frame: {0}")]
     Decode(#[from] postcard::Error),
-    /// There are bytes after its end.
-    #[error("{0} bytes after its end")]
+    /// The frame continues after the end of the message.
+    #[error("{0} bytes follow the end of the message")]
     Trailing(usize),
-    /// The greeting is of another protocol version.
-    #[error("protocol version {0}, not {VERSION}")]
+    /// The greeting has another protocol version.
+    #[error("protocol version is {0}, expected {VERSION}")]
     Version(u32),
 }
 
-/// Appends the bytes' CRC-32. One bit turned over on the way could make another host, attempt or term of a
-/// record, and work could be done twice. TCP's checksum misses one in 65,536 damaged segments, and middle
-/// boxes make it anew.
-pub(crate) fn seal(bytes: &mut Vec<u8>) {
+/// Appends the bytes' CRC-32. A bit flipped in transit could change the host, attempt or term of a record, so
+/// that work is done twice. TCP's checksum misses one in 65,536 damaged segments, and middleboxes recompute it.
+pub(crate) fn append_checksum(bytes: &mut Vec<u8>) {
     let checksum = crc32fast::hash(bytes);
     bytes.extend_from_slice(&checksum.to_le_bytes());
 }
 
-/// The bytes that were sealed, if they are undamaged.
-pub(crate) fn unseal(bytes: &[u8]) -> Option<&[u8]> {
+/// Checks the bytes' checksum, and returns the bytes before it, or `None` if they are damaged.
+pub(crate) fn strip_checksum(bytes: &[u8]) -> Option<&[u8]> {
     let (sealed, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
     (crc32fast::hash(sealed).to_le_bytes() == *checksum).then_some(sealed)
 }
 
-/// The bytes of a greeting.
+/// Encodes a greeting.
 ///
 /// # Errors
 ///
-/// Fails only where memory does.
+/// Fails only if memory cannot be allocated.
 pub(super) fn encode_greeting(hello: &Hello) -> Result<Vec<u8>, FrameError> {
     let mut bytes = postcard::to_stdvec(&(hello, Features::OWN))?;
-    seal(&mut bytes);
+    append_checksum(&mut bytes);
     Ok(bytes)
 }
 
-/// Reads a greeting. The first version sends nothing after it, the second its features, newer ones a checksum
-/// too; each reads as far as it knows.
+/// Decodes a greeting. The first version sends only the [`Hello`], the second also its features, and newer ones
+/// also a checksum. Each version ignores the parts that it does not know.
 ///
 /// # Errors
 ///
-/// Fails for a greeting that is damaged, or not of this protocol version.
+/// Fails if the greeting is damaged or has another protocol version.
 pub(super) fn decode_greeting(bytes: &[u8]) -> Result<(Hello, Features), FrameError> {
     let (hello, rest) = postcard::take_from_bytes::<Hello>(bytes)?;
     let features = if rest.is_empty() { Features::NONE } else { postcard::from_bytes(rest)? };
-    if features.has(Features::CHECKSUMS) && unseal(bytes).is_none() {
+    if features.has(Features::CHECKSUMS) && strip_checksum(bytes).is_none() {
         return Err(FrameError::Checksum);
     }
     if hello.version != VERSION {
@@ -118,27 +117,27 @@
 }
 
 impl Frame {
-    /// The frame's bytes for a peer of these features.
+    /// Encodes the frame for a peer with these features.
     ///
     /// # Errors
     ///
-    /// Fails only where memory does.
+    /// Fails only if memory cannot be allocated.
     pub(crate) fn encode(&self, features: Features) -> Result<Vec<u8>, FrameError> {
         let mut bytes = postcard::to_stdvec(self)?;
         if features.has(Features::CHECKSUMS) {
-            seal(&mut bytes);
+            append_checksum(&mut bytes);
         }
         Ok(bytes)
     }
 
-    /// Reads a frame of a peer of these features.
+    /// Decodes a frame of a peer with these features.
     ///
     /// # Errors
     ///
-    /// Fails for a frame that is damaged, or has another form or length.
+    /// Fails if the frame is damaged, cannot be decoded, or has trailing bytes.
     pub(crate) fn decode(bytes: &[u8], features: Features) -> Result<Frame, FrameError> {
         let bytes = if features.has(Features::CHECKSUMS) {
-            unseal(bytes).ok_or(FrameError::Checksum)?
+            strip_checksum(bytes).ok_or(FrameError::Checksum)?
         } else {
             bytes
         };
@@ -149,21 +148,21 @@
     }
 }
 
-/// Appends the bytes with their length to what is to be sent.
+/// Appends a frame's length and its bytes to an outbox.
 pub(super) fn append_frame(bytes: &[u8], outbox: &mut Vec<u8>) {
     outbox.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     outbox.extend_from_slice(bytes);
 }
 
-/// Takes the first frame out of what was received. None if it is not whole yet.
+/// Removes the first frame from an inbox. Returns `None` if the frame is not complete yet.
 ///
 /// # Errors
 ///
-/// Fails if the frame is longer than any of ours.
+/// Fails if the frame is longer than the maximum.
 pub(super) fn take_frame(inbox: &mut Vec<u8>) -> Result<Option<Vec<u8>>, FrameError> {
     let Some((length, _)) = inbox.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let end = LENGTH_BYTES + length;
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Links to other nodes of the fleet: TCP connections, each node dialling the voters. A peer that is slow,
-//! silent or sends what cannot be read loses its link and gets another; nobody waits for it.
+//! Links to other nodes of the fleet: TCP connections, with each node dialling the voters. The link of a peer
+//! that is slow, silent or sends invalid frames is closed and replaced by a new one, without blocking the node.
 //!
-//! [`frame`] is what goes over a link.
+//! [`frame`] defines the frames of a link.
 
 mod frame;
 #[cfg(test)]
@@ -25,57 +25,58 @@
 use crate::service::Service;
 use crate::socket::{ConnectionId, SocketRole};
 
-pub(crate) use self::frame::{Frame, seal, unseal};
+pub(crate) use self::frame::{Frame, append_checksum, strip_checksum};
 
-/// More bytes than this waiting to go: the peer does not read, and what waits is old by now.
-const MAX_UNSENT: usize = 2 << 20;
+/// Maximum number of unsent bytes of a link. With more, the peer does not read, and the queued frames are
+/// outdated.
+const MAX_UNSENT_BYTES: usize = 2 << 20;
 
-/// A link that brings nothing for so long is dead: voters answer each heartbeat, and one comes a second.
+/// A link without a frame for this time is closed; heartbeats are sent every second, and voters reply to each.
 const SILENCE_TIMEOUT: Span = Span::ms(3_500);
 
-/// A link has this long to come up and bring its greeting.
+/// Time for a link to come up and to receive the peer's greeting.
 const GREETING_TIMEOUT: Span = Span::ms(2_000);
 
-/// A peer that cannot be reached is dialled again after this, doubling up to the longest wait. Each time a
-/// part of the wait is drawn, or a fleet whose voter comes back would come back to it all at once.
-const SHORTEST_REDIAL: Span = Span::ms(100);
-const LONGEST_REDIAL: Span = Span::ms(1_600);
+/// Delay before an unreachable peer is dialled again, doubled up to the maximum. Jitter keeps the nodes of the
+/// fleet from dialling a voter that is back all at once.
+const MIN_REDIAL_DELAY: Span = Span::ms(100);
+const MAX_REDIAL_DELAY: Span = Span::ms(1_600);
 
-/// Connections that are accepted in one turn of the event loop.
-const ACCEPTS_PER_TURN: usize = 64;
+/// Maximum number of connections that are accepted in one turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
 /// One connection to a peer, in either direction.
 struct Link {
-    /// The peer, once its greeting has come.
+    /// The peer, once its greeting has been received.
     peer: Option<UnitName>,
-    /// The peer that was dialled, for a link that was dialled from here.
+    /// The peer that this node dialled; `None` for an accepted link.
     dialled: Option<UnitName>,
-    /// When something came last.
-    heard: Time,
+    /// When the last frame was received.
+    last_received: Time,
     features: Features,
 }
 
 impl Link {
     fn new(dialled: Option<UnitName>, now: Time) -> Link {
-        Link { peer: None, dialled, heard: now, features: Features::NONE }
+        Link { peer: None, dialled, last_received: now, features: Features::NONE }
     }
 
     fn is_silent(&self, now: Time) -> bool {
         let timeout = if self.peer.is_some() { SILENCE_TIMEOUT } else { GREETING_TIMEOUT };
-        now.since(self.heard) > timeout
+        now.since(self.last_received) > timeout
     }
 }
 
-/// How a peer is dialled.
+/// State of dialling a peer.
 #[derive(Default)]
 struct Dial {
     connection: Option<ConnectionId>,
     next: Time,
-    wait: Span,
+    redial_delay: Span,
 }
 
-/// Frames sent to and received from peers, greetings among the received ones, and their bytes without
-/// lengths.
+/// Counts of the frames sent to and received from peers, and of their bytes without length prefixes. Greetings
+/// are counted only when received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Traffic {
     /// Frames sent.
@@ -97,32 +98,33 @@
     dials: BTreeMap<UnitName, Dial>,
     /// The newest link that each peer has dialled.
     incoming: BTreeMap<UnitName, ConnectionId>,
-    /// What has been sent and received.
+    /// Frames and bytes sent and received.
     pub traffic: Traffic,
 }
 
 impl Peers {
-    /// Number of links, those without a greeting among them.
+    /// Number of links, including those that have not received a greeting yet.
     pub(crate) fn links(&self) -> usize {
         self.links.len()
     }
 
-    /// The peers with a link that understand warm state.
+    /// The linked peers that support warm state.
     pub(crate) fn warm_state_peers(&self) -> BTreeSet<UnitName> {
         let links = self.links.values().filter(|link| link.features.has(Features::WARM_STATE));
         links.filter_map(|link| link.peer.clone()).collect()
     }
 
-    /// The link to a peer that brought something last. Two voters dial each other at once, and if each sent
-    /// on its own link, each would hear nothing on it, take it for dead, and dial again every few seconds.
+    /// The link to a peer on which a frame was received last. Two voters may dial each other at the same time;
+    /// if each sent on the link that it dialled, it would receive nothing there, close it as silent and dial
+    /// again every few seconds.
     fn link_to(&self, peer: &UnitName) -> Option<ConnectionId> {
         let dialled = self.dials.get(peer).and_then(|dial| dial.connection);
         let incoming = self.incoming.get(peer).copied();
-        let when_heard = |id: ConnectionId| {
+        let last_receipt = |id: ConnectionId| {
             let link = self.links.get(&id).filter(|link| link.peer.is_some())?;
-            Some((link.heard, id))
+            Some((link.last_received, id))
         };
-        let newest = dialled.and_then(when_heard).max(incoming.and_then(when_heard));
+        let newest = dialled.and_then(last_receipt).max(incoming.and_then(last_receipt));
         newest.map(|(_, id)| id)
     }
 
@@ -130,23 +132,24 @@
         self.links.iter().filter(|(_, link)| link.is_silent(now)).map(|(id, _)| *id).collect()
     }
 
-    /// The peers that have no link and are to be dialled now.
-    fn due_dials(&self, now: Time) -> Vec<UnitName> {
+    /// The peers without a link that are due to be dialled.
+    fn peers_to_dial(&self, now: Time) -> Vec<UnitName> {
         let is_due = |(peer, dial): &(&UnitName, &Dial)| {
             dial.connection.is_none() && dial.next <= now && self.link_to(peer).is_none()
         };
         self.dials.iter().filter(is_due).map(|(peer, _)| peer.clone()).collect()
     }
 
-    /// Dials the voters from now on, and forgets whom it dialled else.
-    fn set_dialled(&mut self, voters: &BTreeSet<UnitName>) {
+    /// Replaces the peers to be dialled by the voters; a peer that is no longer a voter stays while its link is
+    /// open.
+    fn set_voters_to_dial(&mut self, voters: &BTreeSet<UnitName>) {
         self.dials.retain(|peer, dial| voters.contains(peer) || dial.connection.is_some());
         for voter in voters {
             self.dials.entry(voter.clone()).or_default();
         }
     }
 
-    /// Forgets a link that has ended.
+    /// Removes a closed link.
     fn remove(&mut self, id: ConnectionId) {
         let Some(link) = self.links.remove(&id) else { return };
         if let Some(dial) = link.dialled.as_ref().and_then(|peer| self.dials.get_mut(peer))
@@ -157,8 +160,8 @@
         self.incoming.retain(|_, connection| *connection != id);
     }
 
-    /// Takes in the greeting of a link. Returns whether this node has to answer with its own.
-    fn greeted(&mut self, id: ConnectionId, name: &UnitName, features: Features) -> bool {
+    /// Records the greeting received on a link. Returns whether this node has to reply with its own.
+    fn record_greeting(&mut self, id: ConnectionId, name: &UnitName, features: Features) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
         link.peer = Some(name.clone());
         link.features = features;
@@ -167,7 +170,7 @@
             return true;
         }
         if let Some(dial) = self.dials.get_mut(name) {
-            dial.wait = Span::ZERO;
+            dial.redial_delay = Span::ZERO;
         }
         false
     }
@@ -188,17 +191,17 @@
         Ok(())
     }
 
-    /// Accepts the peers that wait.
+    /// Accepts the peers that are connecting.
     pub(crate) fn accept_peers(&mut self) {
-        for _ in 0..ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(membership) = &self.membership else { return };
             let Some(listener) = &membership.peers.listener else { return };
             match net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
-                // Whoever connects and sends nothing must not take all descriptors.
-                Ok(_) if membership.peers.links() >= membership.most_links() => {}
+                // At the limit the socket is closed, so that strangers cannot use up all descriptors.
+                Ok(_) if membership.peers.links() >= membership.max_links() => {}
                 Ok(socket) => self.add_accepted_link(socket),
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
-                // A full table shows again with the next peer; those that dial try again.
+                // Other errors, such as a full descriptor table, recur with the next peer; peers dial again.
                 Err(_) => return,
             }
         }
@@ -212,14 +215,14 @@
         }
     }
 
-    /// Dials the voters that it has no link to, and ends links that have gone silent.
-    pub(crate) fn tend_links(&mut self) {
+    /// Dials the voters without a link, and closes silent links.
+    pub(crate) fn maintain_links(&mut self) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
         let voters = membership.fleet.voters();
-        membership.peers.set_dialled(&voters);
+        membership.peers.set_voters_to_dial(&voters);
         let silent = membership.peers.silent_links(now);
-        let due = membership.peers.due_dials(now);
+        let due = membership.peers.peers_to_dial(now);
         for id in silent {
             self.close_link(id);
         }
@@ -235,16 +238,16 @@
         let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Peer));
         let Some(membership) = &mut self.membership else { return };
         let Some(dial) = membership.peers.dials.get_mut(peer) else { return };
-        dial.wait = dial.wait.times(2.0).clamp(SHORTEST_REDIAL, LONGEST_REDIAL);
+        dial.redial_delay = dial.redial_delay.times(2.0).clamp(MIN_REDIAL_DELAY, MAX_REDIAL_DELAY);
         dial.connection = id;
-        let drawn_part = 0.5 + f64::from(membership.chance.generate::<f32>()) / 2.0;
-        dial.next = now + dial.wait.times(drawn_part);
+        let jitter_factor = 0.5 + f64::from(membership.rng.generate::<f32>()) / 2.0;
+        dial.next = now + dial.redial_delay.times(jitter_factor);
         let Some(id) = id else { return };
         membership.peers.links.insert(id, Link::new(Some(peer.clone()), now));
         self.append_greeting(id);
     }
 
-    /// Puts this node's greeting into what is to be sent on a link.
+    /// Appends this node's greeting to the outbox of a link.
     fn append_greeting(&mut self, id: ConnectionId) {
         let Some(membership) = &self.membership else { return };
         let hello = Hello {
@@ -259,12 +262,12 @@
         }
     }
 
-    /// A link that was dialled has come up.
+    /// Sends the greeting on a dialled link that has come up.
     pub(crate) fn peer_connected(&mut self, id: ConnectionId) {
         self.flush_connection(id);
     }
 
-    /// Ends a link.
+    /// Closes a link.
     pub(crate) fn close_link(&mut self, id: ConnectionId) {
         self.close_connection(id);
         if let Some(membership) = &mut self.membership {
@@ -272,7 +275,7 @@
         }
     }
 
-    /// Handles what has come on a link, or its end.
+    /// Handles bytes received on a link, or its end.
     pub(crate) fn peer_readable(&mut self, id: ConnectionId, outcome: ReadOutcome) {
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
         match outcome {
@@ -282,13 +285,13 @@
                 entry.connection.inbox.extend_from_slice(&self.read_buffer[..length])
             }
         }
-        // The link may end with any frame, and its socket with it.
+        // Handling a frame may close the link and its socket.
         while let Some(entry) = self.sockets.get_mut(id.0) {
             match take_frame(&mut entry.connection.inbox) {
                 Ok(None) => return,
                 Ok(Some(bytes)) => self.handle_frame(id, &bytes),
                 Err(cause) => {
-                    warn!(%cause, "unreadable frame of a peer: ending the link");
+                    warn!(%cause, "invalid frame of a peer, closing the link");
                     return self.close_link(id);
                 }
             }
@@ -302,7 +305,7 @@
         peers.traffic.frames_received += 1;
         peers.traffic.bytes_received += bytes.len() as u64;
         let Some(link) = peers.links.get_mut(&id) else { return };
-        link.heard = now;
+        link.last_received = now;
         let features = link.features;
         match link.peer.clone() {
             None => self.handle_greeting(id, bytes),
@@ -310,28 +313,28 @@
         }
     }
 
-    /// The first frame of a link says who is at its other end.
+    /// Handles the first frame of a link, which names the peer.
     fn handle_greeting(&mut self, id: ConnectionId, bytes: &[u8]) {
         let (hello, features) = match decode_greeting(bytes) {
             Ok(greeting) => greeting,
             Err(cause) => {
-                debug!(%cause, "unreadable greeting of a peer: ending the link");
+                debug!(%cause, "invalid greeting of a peer, closing the link");
                 return self.close_link(id);
             }
         };
         if !self.is_expected(id, &hello) {
-            debug!(peer = %hello.name, fleet = %hello.group, "unexpected peer: ending the link");
+            debug!(peer = %hello.name, fleet = %hello.group, "unexpected peer, closing the link");
             return self.close_link(id);
         }
         let Some(membership) = &mut self.membership else { return };
-        if membership.peers.greeted(id, &hello.name, features) {
+        if membership.peers.record_greeting(id, &hello.name, features) {
             self.append_greeting(id);
             self.flush_connection(id);
         }
         self.peer_linked(&hello.name);
     }
 
-    /// Whether it is another node of the same fleet, and the one that was dialled.
+    /// Whether the peer is another node of the same fleet and, on a dialled link, the node that was dialled.
     fn is_expected(&self, id: ConnectionId, hello: &Hello) -> bool {
         let Some(membership) = &self.membership else { return false };
         let Some(link) = membership.peers.links.get(&id) else { return false };
@@ -345,20 +348,20 @@
             Ok(Frame::ReplicaMessages(messages)) => self.handle_replica_messages(peer, messages),
             Ok(Frame::WarmState(message)) => self.handle_warm_state_message(peer, message),
             Err(cause) => {
-                warn!(%peer, %cause, "unreadable message of a peer: ending the link");
+                warn!(%peer, %cause, "invalid message of a peer, closing the link");
                 self.close_link(id);
             }
         }
     }
 
-    /// Sends a message. Without a link it is lost; whoever needs an answer asks again.
+    /// Sends a message to a peer. Without a link it is dropped; senders that need a reply retry.
     pub(crate) fn send_peer(&mut self, peer: &UnitName, message: &Frame) {
         let Some(membership) = &mut self.membership else { return };
         let peers = &mut membership.peers;
         let Some(id) = peers.link_to(peer) else { return };
         let Some(entry) = self.sockets.get_mut(id.0) else { return };
-        if entry.connection.unsent() > MAX_UNSENT {
-            debug!(%peer, "a peer does not read: ending the link");
+        if entry.connection.unsent() > MAX_UNSENT_BYTES {
+            debug!(%peer, "a peer does not read, closing the link");
             return self.close_link(id);
         }
         let features = peers.links.get(&id).map_or(Features::NONE, |link| link.features);
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -3,7 +3,9 @@
 use glendeck_fleet::state::Incarnation;
 use glendeck_takeover::{Outcome, RecordId, ReplicaMessage, WorkId};
 
-use super::frame::{Features, Frame, FrameError, decode_greeting, encode_greeting, seal, unseal};
+use super::frame::{
+    Features, Frame, FrameError, append_checksum, decode_greeting, encode_greeting, strip_checksum,
+};
 
 #[test]
 fn greetings_are_read_by_older_and_newer_versions() {
@@ -20,7 +22,7 @@
     assert_eq!(read(&second_version), Some((hello(), Features::WARM_STATE)));
     let greeting = encode_greeting(&hello()).unwrap();
     assert_eq!(read(&greeting), Some((hello(), Features::OWN)));
-    // As the versions before read it.
+    // Older versions decode only the parts that they know.
     assert_eq!(postcard::from_bytes::<Hello>(&greeting).ok(), Some(hello()));
     let with_features = postcard::from_bytes::<(Hello, u32)>(&greeting);
     assert_eq!(with_features.ok(), Some((hello(), Features::OWN.number())));
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn damaged_and_foreign_greetings_are_refused() {
+fn greetings_with_a_bad_checksum_or_other_version_are_refused() {
     let hello = Hello {
         version: VERSION,
         group: "g".into(),
@@ -43,25 +45,25 @@
     assert!(matches!(decode_greeting(&other_version), Err(FrameError::Version(_))));
 }
 
-/// Without the checksum more than half of the bits of such a message may turn over and it is read as another.
+/// Without a checksum, flipping any one of more than half of the bits of this message gives another valid one.
 #[test]
-fn message_with_a_flipped_bit_is_not_read() {
+fn checksum_detects_every_flipped_bit() {
     let outcome = Outcome::NeverRan;
     let owner = UnitName("n3".into());
     let id = RecordId { owner, incarnation: Incarnation(1 << 60), call_number: 77 };
     let message = ReplicaMessage::CallEnded { sequence: 1, id, work: WorkId(0xfeed_beef), outcome };
-    let bare = postcard::to_stdvec(&Frame::ReplicaMessages(vec![message])).unwrap();
+    let encoded = postcard::to_stdvec(&Frame::ReplicaMessages(vec![message])).unwrap();
     let flipped = |bytes: &[u8], bit: usize| {
         let mut bytes = bytes.to_vec();
         bytes[bit / 8] ^= 1 << (bit % 8);
         bytes
     };
     let is_read = |bytes: &[u8]| matches!(postcard::take_from_bytes::<Frame>(bytes), Ok((_, [])));
-    let misread = (0..bare.len() * 8).filter(|bit| is_read(&flipped(&bare, *bit))).count();
-    assert!(misread * 2 > bare.len() * 8, "{misread} of {}", bare.len() * 8);
-    let mut sealed = bare.clone();
-    seal(&mut sealed);
-    assert!(Frame::decode(&sealed, Features::OWN).is_ok());
-    assert_eq!(unseal(&sealed), Some(bare.as_slice()));
-    assert!((0..sealed.len() * 8).all(|bit| unseal(&flipped(&sealed, bit)).is_none()));
+    let misread = (0..encoded.len() * 8).filter(|bit| is_read(&flipped(&encoded, *bit))).count();
+    assert!(misread * 2 > encoded.len() * 8, "{misread} of {}", encoded.len() * 8);
+    let mut with_checksum = encoded.clone();
+    append_checksum(&mut with_checksum);
+    assert!(Frame::decode(&with_checksum, Features::OWN).is_ok());
+    assert_eq!(strip_checksum(&with_checksum), Some(encoded.as_slice()));
+    assert!((0..with_checksum.len() * 8).all(|bit| strip_checksum(&flipped(&with_checksum, bit)).is_none()));
 }
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -13,7 +13,7 @@
 
 /// An attempt that has less left than this when its intent is stored is not sent: it would hardly be
 /// answered.
-const LEAST_TIME_LEFT: Span = Span::ms(20);
+const MIN_TIME_LEFT: Span = Span::ms(20);
 
 /// A call's part in replicated work.
 #[derive(Clone, Copy, Debug)]
@@ -67,9 +67,9 @@
         let work_id = kept.work_id;
         let left_ms = in_flight.call.deadline.since(self.now).0 / 1_000_000;
         if let Some(work) = self.work() {
-            work.counts.looked += 1;
+            work.counts.lookups += 1;
         }
-        self.tell_work(|takeover, now| takeover.call_repeated(now, call.0, work_id, left_ms));
+        self.with_takeover(|takeover, now| takeover.call_repeated(now, call.0, work_id, left_ms));
     }
 
     /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection
@@ -87,9 +87,9 @@
                 .ran
                 .map(|(host, time)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(time) }),
             remaining_ms: in_flight.call.deadline.since(self.now).0 / 1_000_000,
-            send_before: self.timestamp_of(latest - LEAST_TIME_LEFT),
+            send_before: self.timestamp_of(latest - MIN_TIME_LEFT),
         };
-        self.tell_work(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
+        self.with_takeover(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
     }
 
     /// Until when hosts recognise a repeat of a keyed call, from its first attempt on.
@@ -106,7 +106,7 @@
     pub(crate) fn replicated_call_ended(&mut self, call: CallId, kept: Option<&ReplicatedCall>) {
         let Some(kept) = kept else { return };
         let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
-        self.tell_work(|takeover, now| takeover.call_ended(now, call.0, outcome));
+        self.with_takeover(|takeover, now| takeover.call_ended(now, call.0, outcome));
     }
 
     pub(super) fn perform_work_action(&mut self, action: Action) {
@@ -123,7 +123,7 @@
             Action::Fail(call) => {
                 debug!(call_id = call, "nobody knows whether this call has run before: it fails");
                 if let Some(work) = self.work() {
-                    work.counts.given_up += 1;
+                    work.counts.repeats_failed += 1;
                 }
                 self.answer_call(CallId(call), Answer::Error);
             }
@@ -136,7 +136,7 @@
         attempt.may_send = true;
         let connection = attempt.connection;
         if let Some(work) = self.work() {
-            work.counts.kept += 1;
+            work.counts.intents_replicated += 1;
         }
         self.attempt_connected(connection);
     }
@@ -160,7 +160,7 @@
         in_flight.outcome = Some(outcome);
         let client = in_flight.client.take();
         if let Some(work) = self.work() {
-            work.counts.unkept += 1;
+            work.counts.intents_unreplicated += 1;
         }
         if let Some(client) = client {
             self.answer_client(client, answer);
@@ -173,7 +173,7 @@
     /// of that.
     fn wait_for_other_node(&mut self, call: CallId) {
         if let Some(work) = self.work() {
-            work.counts.raced += 1;
+            work.counts.in_flight_elsewhere += 1;
         }
         let attempt = self.calls.get_mut(call.0).and_then(|in_flight| in_flight.attempt.take());
         let Some(attempt) = attempt else { return };
@@ -191,12 +191,12 @@
 
     /// What has been before the call is known now: the decisions place it.
     fn admit_repeat(&mut self, call: CallId, prior_attempt: Option<PriorAttempt>) {
-        let began = self.membership.as_ref().map_or(self.now, |membership| membership.began);
+        let began = self.membership.as_ref().map_or(self.now, |membership| membership.time_origin);
         let before = prior_attempt.map(|attempt| (HostId(attempt.host), began + Span(attempt.sent_at.0)));
         if before.is_some()
             && let Some(work) = self.work()
         {
-            work.counts.taken_over += 1;
+            work.counts.records_found += 1;
         }
         // A host that is not in the list is in no zone or cell that could be compared.
         if before.is_some_and(|(host, _)| self.hosts.address(host).is_none()) {
--- a/crates/node/src/takeover/handover_file.rs
+++ b/crates/node/src/takeover/handover_file.rs
@@ -1,5 +1,5 @@
-//! What a process stores for other nodes' calls goes to its successor in a file of the node's folder, as the
-//! process ends as planned and nobody waits for it.
+//! The file in the node's folder by which a process hands the records that it stores for other nodes' calls to
+//! its successor. It is written at a planned exit, when no client waits any more.
 
 use std::io::Write as _;
 use std::path::Path;
@@ -7,51 +7,51 @@
 use glendeck_takeover::ReplicaHandover;
 use tracing::warn;
 
-use crate::peers::{seal, unseal};
+use crate::peers::{append_checksum, strip_checksum};
 use crate::service::Service;
 
-/// Name of the file, beside the store.
+/// Name of the file, in the same folder as the store.
 const FILE_NAME: &str = "work";
 
-/// Name under which it is written until it is whole.
+/// Temporary name of the file until it is complete.
 const NEW_FILE_NAME: &str = "work.new";
 
-/// What the file holds. The order of the fields is part of its form.
+/// Content of the file. The order of the fields is part of the format.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub(super) struct HandoverFile {
-    /// The boot count of the store in the process that wrote it.
+    /// The store's boot count in the process that wrote the file.
     pub(super) boot_count: u64,
-    /// What that process stored.
+    /// The records that the process stored as a replica.
     pub(super) replica: ReplicaHandover,
 }
 
-/// Why a file cannot be read.
+/// Error from decoding the file.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HandoverFileError {
-    /// Its checksum is wrong.
-    #[error("it is damaged")]
+    /// The checksum is missing or wrong.
+    #[error("the file's checksum is missing or wrong")]
     Damaged,
-    /// It has another form.
-    #[error("it cannot be decoded: {0}")]
+    /// The content cannot be decoded.
+    #[error("cannot decode the file: {0}")]
     Decode(#[from] postcard::Error),
 }
 
 impl HandoverFile {
-    /// The bytes of the file, with a checksum: a bit that a disk turns over would make a record another
-    /// work's, and the replica would forget one that it has vouched for.
+    /// Encodes the file, with a checksum. A bit flipped on disk could move a record to other work, and the
+    /// replica would lose a record that it has acknowledged.
     pub(super) fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = postcard::to_stdvec(self)?;
-        seal(&mut bytes);
+        append_checksum(&mut bytes);
         Ok(bytes)
     }
 
-    /// Reads the bytes of a file.
+    /// Decodes the bytes of a file.
     pub(super) fn decode(bytes: &[u8]) -> Result<HandoverFile, HandoverFileError> {
-        let content = unseal(bytes).ok_or(HandoverFileError::Damaged)?;
+        let content = strip_checksum(bytes).ok_or(HandoverFileError::Damaged)?;
         Ok(postcard::from_bytes(content)?)
     }
 
-    /// Writes the file into a folder, so that it is there whole or not at all.
+    /// Writes the file into a folder atomically.
     fn write(&self, folder: &Path) -> std::io::Result<()> {
         let bytes = self.encode().map_err(std::io::Error::other)?;
         let new_path = folder.join(NEW_FILE_NAME);
@@ -63,7 +63,7 @@
 }
 
 impl Service {
-    /// Leaves what this process stores to its successor.
+    /// Writes the records that this process stores for its successor.
     pub(crate) fn write_work_handover(&mut self) {
         let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
@@ -72,14 +72,14 @@
         let boot_count = membership.fleet.boot_count().0;
         let file = HandoverFile { boot_count, replica: work.takeover.hand_over(now) };
         if let Err(cause) = file.write(folder) {
-            warn!(%cause, "cannot leave the stored intents to the successor: it will not answer for repeats at first");
+            warn!(%cause, "cannot write the stored intents for the successor: it will not answer queries about repeats at first");
         }
     }
 
-    /// Takes what the predecessor left. An older copy of the file knows nothing of what was stored since, so
-    /// the file is removed once it was read, and must be of the process just before by the store's boot
-    /// count. As the whole folder may be an older copy, it counts only when the other voters have given this
-    /// node a slot.
+    /// Reads the records that the predecessor left. An outdated file lacks the records stored after it was
+    /// written, so it is removed once read, and is used only if its boot count is the one before this
+    /// process's. As the whole folder may be an old copy, the records are restored only once the voters have
+    /// confirmed this node's voter slot.
     pub(crate) fn read_work_handover(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(path) = membership.folder.as_ref().map(|folder| folder.join(FILE_NAME)) else { return };
@@ -91,13 +91,13 @@
         let file = match HandoverFile::decode(&bytes) {
             Ok(file) => file,
             Err(cause) => {
-                warn!(%cause, "cannot read the predecessor's stored intents: not answering for repeats at first");
+                warn!(%cause, "cannot read the predecessor's stored intents: not answering queries about repeats at first");
                 work.inherited = None;
                 return;
             }
         };
         let previous_boot = membership.fleet.boot_count().0.checked_sub(1);
-        let is_of_predecessor = Some(file.boot_count) == previous_boot;
-        work.inherited = is_of_predecessor.then_some(file.replica);
+        let is_from_predecessor = Some(file.boot_count) == previous_boot;
+        work.inherited = is_from_predecessor.then_some(file.replica);
     }
 }
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -1,8 +1,8 @@
-//! Work in flight that outlives its node: other nodes store an intent before an attempt goes, and a repeat of
-//! a call meets what they stored.
+//! Replicated work, which survives the loss of its node: other nodes store an intent before an attempt is
+//! sent, and a repeat of the call is checked against the stored records.
 //!
-//! What may be done is decided in `glendeck_takeover`; docs/takeover.md says what is promised. [`calls`] is
-//! what becomes of a single call, [`handover_file`] what goes from one process of the node to the next.
+//! `glendeck_takeover` makes the decisions; docs/takeover.md describes the guarantees. [`calls`] handles single
+//! calls, [`handover_file`] the file that a process leaves to the next process of the node.
 
 mod calls;
 mod handover_file;
@@ -24,21 +24,21 @@
 
 pub(crate) use self::calls::ReplicatedCall;
 
-/// Makes the seed of the takeover's draws another than that of the fleet's, which is the incarnation itself.
+/// Makes the takeover logic's random seed differ from that of the fleet logic, which is the incarnation itself.
 const SEED_MASK: u64 = 0x7a6b;
 
 /// This node's part in replicated work: as the owner of calls, and as a replica for other owners.
 pub(crate) struct Work {
     takeover: Takeover,
-    /// Messages for each peer, which go out at the end of this turn of the event loop.
+    /// Messages for each peer, sent at the end of this turn of the event loop.
     messages: BTreeMap<UnitName, Vec<ReplicaMessage>>,
-    /// Actions that came while the decisions were at work, to be carried out at the end of this turn.
+    /// Actions that arose while the node's decision logic was running, to be performed at the end of this turn.
     pending: Vec<Action>,
-    /// What the predecessor has left, until this node has a voter slot.
+    /// The predecessor's records, until this node's voter slot is active.
     inherited: Option<ReplicaHandover>,
-    /// Entries of the fleet's log that were applied when its state was last taken in.
+    /// Number of applied entries of the fleet's log at the last update of the view.
     applied: u64,
-    /// Whether the fleet's leader was heard then.
+    /// Whether the fleet's leader was heard at the last tick.
     hears_leader: bool,
     counts: Counts,
 }
@@ -46,42 +46,42 @@
 /// Counts since the start of the process, see [`WorkMetrics`].
 #[derive(Default)]
 struct Counts {
-    kept: u64,
-    unkept: u64,
-    looked: u64,
-    taken_over: u64,
-    given_up: u64,
-    raced: u64,
+    intents_replicated: u64,
+    intents_unreplicated: u64,
+    lookups: u64,
+    records_found: u64,
+    repeats_failed: u64,
+    in_flight_elsewhere: u64,
 }
 
 /// Metrics of replicated work, under the names that the admin interface shows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct WorkMetrics {
-    /// Records that this node stores for others' calls.
+    /// Records that this node stores for other nodes' calls.
     pub records_held: usize,
-    /// This node's calls that others store intents of.
+    /// This node's calls whose intents other nodes store.
     pub in_hand: usize,
-    /// Whether this node stores intents for others now.
+    /// Whether this node stores intents for other nodes now.
     pub keeps: bool,
-    /// Whether this node answers for what has been before a repeat.
+    /// Whether this node answers queries about earlier attempts of a repeat.
     pub remembers: bool,
-    /// Attempts that went after their intent was replicated.
+    /// Attempts that were sent after their intent was replicated.
     pub intents_kept: u64,
-    /// Attempts that did not go, as their intent was not replicated.
+    /// Attempts that were not sent, as their intent was not replicated.
     pub intents_not_kept: u64,
-    /// Repeats that were looked up.
+    /// Repeats that were lookups up.
     pub repeats_looked_up: u64,
-    /// Repeats of which a record was found.
+    /// Repeats for which a record was found.
     pub repeats_after_a_record: u64,
-    /// Repeats that failed, as nobody could say what had been before them.
+    /// Repeats that failed, as it could not be told whether an earlier attempt ran.
     pub repeats_given_up: u64,
-    /// Calls whose work turned out to be in flight at another node.
+    /// Calls whose work was found to be in flight at another node.
     pub met_elsewhere: u64,
 }
 
 impl Work {
-    /// Nothing is in flight. A repeat is recognised for `recall_ms`, and a client waits for `longest_ms` at
-    /// most.
+    /// Creates the state without any work in flight. A repeat is recognised for `recall_ms`; a client waits for
+    /// at most `longest_ms`.
     pub(crate) fn new(
         start: Timestamp,
         name: UnitName,
@@ -95,14 +95,14 @@
             messages: BTreeMap::new(),
             pending: Vec::new(),
             inherited: None,
-            // Another number than any that a log has, so that the first state is taken in.
+            // No log has this number of entries, so the first tick updates the view.
             applied: u64::MAX,
             hears_leader: false,
             counts: Counts::default(),
         }
     }
 
-    /// What the fleet has agreed on, as far as it matters here.
+    /// The part of the fleet's state that replicated work depends on.
     pub(crate) fn view(&self) -> &View {
         self.takeover.view()
     }
@@ -114,16 +114,17 @@
             in_hand: self.takeover.owner().call_count(),
             keeps: self.hears_leader,
             remembers: self.takeover.replica().has_full_history(now),
-            intents_kept: self.counts.kept,
-            intents_not_kept: self.counts.unkept,
-            repeats_looked_up: self.counts.looked,
-            repeats_after_a_record: self.counts.taken_over,
-            repeats_given_up: self.counts.given_up,
-            met_elsewhere: self.counts.raced,
+            intents_kept: self.counts.intents_replicated,
+            intents_not_kept: self.counts.intents_unreplicated,
+            repeats_looked_up: self.counts.lookups,
+            repeats_after_a_record: self.counts.records_found,
+            repeats_given_up: self.counts.repeats_failed,
+            met_elsewhere: self.counts.in_flight_elsewhere,
         }
     }
 
-    /// Takes in what the predecessor left, if the fleet takes this node's store for what it was.
+    /// Restores the predecessor's records once this node's voter slot is active, and drops them if the store
+    /// lost its state.
     fn restore_inherited(&mut self, now: Timestamp, voter_status: &VoterStatus) {
         match voter_status {
             VoterStatus::Active(_) => {
@@ -140,12 +141,12 @@
     }
 }
 
-/// Intents are stored for other nodes only while the fleet's leader is heard.
+/// Logs whether this node stores intents for other nodes, which it does only while it hears the leader.
 fn log_leader_contact(hears_leader: bool) {
     if hears_leader {
-        info!("the fleet's leader is heard: storing intents for other nodes");
+        info!("hearing the fleet's leader: storing intents for other nodes");
     } else {
-        info!("the fleet's leader is not heard: storing no intents for other nodes");
+        info!("not hearing the fleet's leader: storing no intents for other nodes");
     }
 }
 
@@ -154,14 +155,14 @@
         self.membership.as_mut()?.work.as_mut()
     }
 
-    /// Tells the takeover's decisions something, and carries out what comes of it.
-    fn tell_work(&mut self, tell: impl FnOnce(&mut Takeover, Timestamp)) {
+    /// Calls the takeover logic, and performs the actions that it returns.
+    fn with_takeover(&mut self, call: impl FnOnce(&mut Takeover, Timestamp)) {
         let now = self.timestamp();
         let Some(work) = self.work() else { return };
-        tell(&mut work.takeover, now);
+        call(&mut work.takeover, now);
         let actions = work.takeover.take_actions();
         if self.is_deciding() {
-            // The actions tell the node's decisions something, which would be lost while those are at work.
+            // The actions call the node's decision logic, which cannot be called while it is running.
             if let Some(work) = self.work() {
                 work.pending.extend(actions);
             }
@@ -172,14 +173,14 @@
         }
     }
 
-    /// Handles messages of a peer's.
+    /// Handles a peer's messages.
     pub(crate) fn handle_replica_messages(&mut self, peer: &UnitName, messages: Vec<ReplicaMessage>) {
         for message in messages {
-            self.tell_work(|takeover, now| takeover.message_received(now, peer, message));
+            self.with_takeover(|takeover, now| takeover.message_received(now, peer, message));
         }
     }
 
-    /// Takes in what the fleet has agreed on since, and lets time pass.
+    /// Updates the view of the fleet if it has changed, and ticks the takeover logic.
     pub(crate) fn work_tick(&mut self) {
         let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
@@ -201,10 +202,10 @@
             };
             work.takeover.membership_changed(now, view);
         }
-        self.tell_work(Takeover::tick);
+        self.with_takeover(Takeover::tick);
     }
 
-    /// Carries out what is pending, and sends all messages of this turn, in one frame for each peer.
+    /// Performs the pending actions, and sends all messages of this turn, in one frame per peer.
     pub(crate) fn finish_work_turn(&mut self) {
         while let Some(actions) = self.work().map(|work| std::mem::take(&mut work.pending)) {
             if actions.is_empty() {
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -6,18 +6,18 @@
 use super::handover_file::HandoverFile;
 use super::{Counts, Work};
 
-/// What a process leaves in its folder, as recorded, in hexadecimal digits.
-const LEFT_FILE: &str = include_str!("fixtures/left.hex");
+/// The recorded handover file, in hexadecimal digits.
+const HANDOVER_FILE: &str = include_str!("fixtures/left.hex");
 
-/// The metrics of replicated work, as recorded.
+/// The recorded metrics of replicated work.
 const METRICS: &str = include_str!("fixtures/metrics.json");
 
 fn unit(name: &str) -> UnitName {
     UnitName(name.to_owned())
 }
 
-/// Two records with the same values, for the works 7 and 300. The stored form is positional, so plain tuples
-/// give it.
+/// Two records with the same values, for work 7 and work 300. They are encoded from plain tuples, as the stored
+/// form is positional.
 fn handover() -> ReplicaHandover {
     let record = |work: u64| {
         let id = ("a", 5_u64, 3_u64);
@@ -30,7 +30,7 @@
 }
 
 fn recorded_file() -> Vec<u8> {
-    let digits = LEFT_FILE.trim_end();
+    let digits = HANDOVER_FILE.trim_end();
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
@@ -57,7 +57,14 @@
 #[test]
 fn metrics_are_written_as_recorded() {
     let mut work = Work::new(Timestamp(0), unit("n0"), Incarnation(5), 30_000, 3_000);
-    work.counts = Counts { kept: 1, unkept: 2, looked: 3, taken_over: 4, given_up: 5, raced: 6 };
+    work.counts = Counts {
+        intents_replicated: 1,
+        intents_unreplicated: 2,
+        lookups: 3,
+        records_found: 4,
+        repeats_failed: 5,
+        in_flight_elsewhere: 6,
+    };
     let metrics = serde_json::to_value(work.metrics(Timestamp(0))).unwrap();
     assert_eq!(metrics.to_string(), METRICS.trim_end());
 }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -1,8 +1,8 @@
-//! Warm state: what this node's clients would come back to is stored by other nodes, and what the clients of
-//! a lost node come back to is adopted here.
+//! Warm state: other nodes store hints about the hosts and loads of this node's clients, and this node adopts
+//! the hints of a lost node whose clients it expects.
 //!
-//! When it is sent, and to whom, is decided in `glendeck_takeover::warm_state`; docs/takeover.md says what
-//! for.
+//! `glendeck_takeover::warm_state` decides when and to whom hints are sent; docs/takeover.md describes their
+//! purpose.
 
 use glendeck::domain::{self, GroupId, HostId, Span, SubjectId, Time};
 use glendeck_fleet::Timestamp;
@@ -19,23 +19,24 @@
 use crate::peers::Frame;
 use crate::service::Service;
 
-/// Connections live for tens of seconds: hints that are a second old are nearly all true.
+/// Mean interval between updates of this node's hints. Connections live for tens of seconds, so nearly all
+/// hints that are a second old still hold.
 const SEND_INTERVAL: Span = Span::ms(1_000);
 
-/// Part of the interval that each wait lasts at least, and the part that is drawn in addition. A fleet that
-/// was started together would send in step without the draw.
-const SHORTEST_WAIT: f64 = 0.9;
-const DRAWN_WAIT: f64 = 0.2;
+/// Minimum share of the interval before the next update, and the maximum share that is added at random. Without
+/// jitter, nodes that were started together would send in step.
+const MIN_INTERVAL_FACTOR: f64 = 0.9;
+const INTERVAL_JITTER_FACTOR: f64 = 0.2;
 
-/// Loads go over as millionths.
+/// Loads are sent in millionths.
 const LOAD_SCALE: f64 = 1e6;
 
 /// This node's part in the exchange of warm state.
 pub(crate) struct WarmState {
     exchange: WarmStateExchange,
-    /// When this node's own hints are sent next.
+    /// When this node's own hints are next due.
     next_send: Time,
-    /// When they were sent last, the node was sending its clients away.
+    /// The node was sending its clients away when its hints were last sent.
     was_leaving: bool,
     /// Lost nodes whose clients were expected here.
     lost_expected: u64,
@@ -46,14 +47,14 @@
 pub(crate) struct WarmStateMetrics {
     /// Nodes whose warm state is held here.
     pub nodes: usize,
-    /// Hints that are held of them.
+    /// Number of hints held for these nodes.
     pub known: usize,
     /// Lost nodes whose clients were expected here.
     pub lost_expected: u64,
 }
 
 impl WarmState {
-    /// Nothing is known of any node.
+    /// Creates the state without hints of other nodes.
     pub(crate) fn new(now: Time, start: Timestamp, name: UnitName, incarnation: Incarnation) -> WarmState {
         WarmState {
             exchange: WarmStateExchange::new(start, name, incarnation),
@@ -72,14 +73,15 @@
         }
     }
 
-    /// Whether this node's own hints are to be sent now. Clients that are sent away are elsewhere within the
-    /// second, so a change of `is_leaving` is not waited with.
+    /// Whether this node's own hints are to be sent now. A change of `is_leaving` is sent at once, as clients
+    /// that are sent away reach another node within a second.
     fn is_due(&self, now: Time, is_leaving: bool) -> bool {
         now >= self.next_send || self.was_leaving != is_leaving
     }
 }
 
-/// A load in millionths, rounded down to an eighth of its power of two: a load that wavers is not sent again.
+/// A load in millionths, rounded down to a multiple of an eighth of the greatest power of two that it contains,
+/// so that small changes are not sent.
 fn rounded_load(load: f64) -> u32 {
     let millionths = (load * LOAD_SCALE) as u32;
     let step = (1 << millionths.max(1).ilog2()) / 8;
@@ -87,7 +89,7 @@
 }
 
 impl Service {
-    /// What this node's clients would come back to.
+    /// Hints about the hosts and loads of this node's clients.
     fn own_hints(&self) -> Hints {
         let state = self.warm_state_of_node(MAX_HINTS / 2);
         let homes = state.homes.iter().map(|(group, host)| {
@@ -101,7 +103,7 @@
         homes.chain(loads).collect()
     }
 
-    /// Sends this node's hints when they are due, and lets time pass.
+    /// Sends this node's hints when they are due, and ticks the exchange.
     pub(crate) fn warm_state_tick(&mut self) {
         let timestamp = self.timestamp();
         let now = self.now;
@@ -115,8 +117,9 @@
         let (Some(warm_state), Some(work)) = (&mut membership.warm_state, &membership.work) else { return };
         let mut actions = Vec::new();
         if let Some(hints) = hints {
-            let wait = SHORTEST_WAIT + DRAWN_WAIT * f64::from(membership.chance.generate::<f32>());
-            warm_state.next_send = now + SEND_INTERVAL.times(wait);
+            let factor =
+                MIN_INTERVAL_FACTOR + INTERVAL_JITTER_FACTOR * f64::from(membership.rng.generate::<f32>());
+            warm_state.next_send = now + SEND_INTERVAL.times(factor);
             warm_state.was_leaving = is_leaving;
             actions = warm_state.exchange.publish(timestamp, hints, is_leaving, work.view(), &peers);
         }
@@ -124,7 +127,7 @@
         self.perform_warm_state_actions(actions);
     }
 
-    /// Handles a message of a peer's.
+    /// Handles a peer's message.
     pub(crate) fn handle_warm_state_message(&mut self, peer: &UnitName, message: WarmStateMessage) {
         let timestamp = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
@@ -142,12 +145,12 @@
         }
     }
 
-    /// The decisions expect the clients of a lost node.
+    /// Passes the hints about a lost node's clients to the decision logic, which then expects them.
     fn adopt_warm_state(&mut self, lost_node: &UnitName, hints: &[HintValue]) {
         let state = decode_hints(hints);
         let homes = state.homes.len();
         let loads = state.loads.len();
-        info!(%lost_node, homes, loads, "a node was lost: expecting its clients");
+        info!(%lost_node, homes, loads, "expecting the clients of a lost node");
         let membership = self.membership.as_mut();
         if let Some(warm_state) = membership.and_then(|membership| membership.warm_state.as_mut()) {
             warm_state.lost_expected += 1;
