--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -99,7 +99,7 @@
     fn handle_predecessor_message(&mut self, message: PredecessorMessage) {
         match message {
             PredecessorMessage::OpenConnections { host, connections } => {
-                self.tell(|node, _| {
+                self.with_node(|node, _| {
                     node.set_predecessor_connections(Some(host), f64::from(connections));
                 });
             }
@@ -236,9 +236,9 @@
 
     /// Reports the call to the decision logic, and sets the timers that an open call needs.
     fn start_adopted_call(&mut self, call: Call, host: HostId, host_owes_line: bool) {
-        self.hosts.opened(host, call.id);
+        self.hosts.connection_opened(host, call.id);
         let now = self.now;
-        self.tell(|node, _| node.existing_connection(now, call, host));
+        self.with_node(|node, _| node.existing_connection(now, call, host));
         if host_owes_line {
             self.timers.set(now, TimerEvent::HostSilence(call.id));
         }
@@ -254,8 +254,8 @@
         info!("disconnected from the predecessor");
         self.handover.predecessor = None;
         self.handover.predecessor_descriptors = 0;
-        self.tell(|node, _| node.set_predecessor_connections(None, 0.0));
-        self.watch_for_clients(self.accepts());
+        self.with_node(|node, _| node.set_predecessor_connections(None, 0.0));
+        self.watch_for_clients(self.accepts_connections());
         self.serve_if_ready();
     }
 }
