--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -35,8 +35,8 @@
 }
 
 impl Service {
-    /// Number of connections and attempts at each host that the fleet drains. Iterates over all calls, but only
-    /// while there are such hosts.
+    /// Number of connections and attempts at each host that the fleet drains. Iterates over all calls, but
+    /// only while there are such hosts.
     pub(super) fn connections_at_avoided_hosts(&self) -> Vec<(UnitName, u32)> {
         let Some(membership) = &self.membership else { return vec![] };
         let avoided = &membership.hosts.avoided;
@@ -53,9 +53,9 @@
         counts.into_iter().map(|(name, count)| (name.clone(), count)).collect()
     }
 
-    /// Whether the node waits for the fleet's state before it serves. By its endpoint list alone it would send
-    /// attempts to a host that is ready but that the fleet has found empty. The wait is limited, as calls are
-    /// served without a fleet too.
+    /// Whether the node waits for the fleet's state before it serves. By its endpoint list alone it would
+    /// send attempts to a host that is ready but that the fleet has found empty. The wait is limited, as
+    /// calls are served without a fleet too.
     pub(crate) fn waits_for_fleet(&self) -> bool {
         let Some(membership) = &self.membership else { return false };
         let is_recent =
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -59,11 +59,12 @@
     Watch(#[from] Errno),
 }
 
-/// The fleet's time at the start of this process. If it were 0, events that other nodes report from before the
-/// start would seem more recent than they are.
+/// The fleet's time at the start of this process. If it were 0, events that other nodes report from before
+/// the start would seem more recent than they are.
 const START_OFFSET: Span = Span::ms(86_400_000);
 
-/// Interval between ticks of the fleet logic. Urgent events arrive as messages; all other times are in seconds.
+/// Interval between ticks of the fleet logic. Urgent events arrive as messages; all other times are in
+/// seconds.
 const TICK_INTERVAL: Span = Span::ms(100);
 
 /// File descriptors other than those of links: the listener, the store's file and lock, both ends of the
@@ -119,7 +120,8 @@
         });
         // Warm state is enabled together with replicated work, whose view of the fleet it uses.
         let warm_state = policy.work.as_ref().map(|_| WarmState::new(now, start, name.clone(), incarnation));
-        // Every node dials the voters. Each link counts twice, as an old one may still exist beside a new one.
+        // Every node dials the voters. Each link counts twice, as an old one may still exist beside a new
+        // one.
         let accepted_links = if policy.voters.contains(&name) { 2 * policy.units.len() } else { 0 };
         Membership {
             fleet,
@@ -171,8 +173,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the node cannot listen for its peers, or its store cannot be opened. It is no error if another
-    /// process still uses the store: the node retries, and does not vote until it succeeds.
+    /// Fails if the node cannot listen for its peers, or its store cannot be opened. It is no error if
+    /// another process still uses the store: the node retries, and does not vote until it succeeds.
     pub(crate) fn join_fleet(&mut self, faults: Option<Arc<dyn DiskFaults>>) -> Result<(), FleetError> {
         let Some(settings) = self.config.fleet.clone() else { return Ok(()) };
         let name = UnitName(self.config.name.clone());
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -17,8 +17,8 @@
 use crate::takeover::WorkMetrics;
 use crate::warm_state::WarmStateMetrics;
 
-/// Minimum interval between status requests to the leader. Earlier ones wait for the next tick, so that a node
-/// appends at most ten entries per second to the log, whatever the number of callers.
+/// Minimum interval between status requests to the leader. Earlier ones wait for the next tick, so that a
+/// node appends at most ten entries per second to the log, whatever the number of callers.
 const STATUS_INTERVAL: Span = Span::ms(100);
 
 /// Why a request cannot be passed to the fleet.
@@ -251,8 +251,9 @@
         Ok(None)
     }
 
-    /// Requests a confirmed state from the leader if a caller waits for the status. Each request is an entry of
-    /// the log, and many operators may watch the status, so all callers since the last request share the next.
+    /// Requests a confirmed state from the leader if a caller waits for the status. Each request is an entry
+    /// of the log, and many operators may watch the status, so all callers since the last request share the
+    /// next.
     pub(super) fn request_status(&mut self) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -95,8 +95,8 @@
 }
 
 impl Service {
-    /// Tries to open a store that was in use. Once the other process has closed it, this one rejoins the fleet
-    /// with the store.
+    /// Tries to open a store that was in use. Once the other process has closed it, this one rejoins the
+    /// fleet with the store.
     pub(super) fn retry_store(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(ticks) = &mut membership.store_retry_ticks else { return };
--- a/crates/node/src/fleet/tests.rs
+++ b/crates/node/src/fleet/tests.rs
@@ -24,7 +24,8 @@
     Fleet::new(config, Timestamp::ms(1_000))
 }
 
-/// The status has the keys of the fleet's view, which the tests of `glendeck_fleet` check, and the node's own.
+/// The status has the keys of the fleet's view, which the tests of `glendeck_fleet` check, and the node's
+/// own.
 #[test]
 fn fleet_status_adds_the_nodes_keys_to_the_view() {
     let fleet = fleet();
--- a/crates/node/src/handover/message.rs
+++ b/crates/node/src/handover/message.rs
@@ -1,8 +1,8 @@
 //! The lines that two processes of one node exchange on the Unix socket between them.
 //!
-//! The successor sends [`SuccessorMessage`]s. Its predecessor replies to the first with a [`StateHeader`], the
-//! state of that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of the processes
-//! exits. Each line ends with LF.
+//! The successor sends [`SuccessorMessage`]s. Its predecessor replies to the first with a [`StateHeader`],
+//! the state of that length (see [`super::state`]), and then [`PredecessorMessage`]s until one of the
+//! processes exits. Each line ends with LF.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -6,7 +6,7 @@
 //! exits and the Unix socket closes.
 //!
 //! [`state`] and [`message`] define what is sent, and [`socket`] passes sockets between the processes.
-//! [`successor`] has what a process does for its successor, [`predecessor`] what it does with its predecessor.
+//! [`successor`] handles the connection to the successor, [`predecessor`] that to the predecessor.
 
 mod hex;
 mod message;
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -46,8 +46,8 @@
         self.timers.set(self.now + LIST_TIMEOUT, TimerEvent::EndpointListOverdue);
     }
 
-    /// Accepts clients instead of the predecessor. Called only once this process can serve: a predecessor that
-    /// is told earlier stops accepting while no other process accepts.
+    /// Accepts clients instead of the predecessor. Called only once this process can serve: a predecessor
+    /// that is told earlier stops accepting while no other process accepts.
     pub(crate) fn take_over(&mut self) {
         if self.handover.listener.is_some() {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reads what the predecessor sends.
+    /// Reads and handles messages of the predecessor.
     pub(crate) fn predecessor_readable(&mut self, id: ConnectionId) {
         for _ in 0..MAX_READS_PER_TURN {
             let Some(entry) = self.sockets.get_mut(id.0) else { return };
--- a/crates/node/src/handover/socket.rs
+++ b/crates/node/src/handover/socket.rs
@@ -35,7 +35,8 @@
     pub listener: OwnedFd,
     /// The connection to the predecessor.
     pub connection: UnixStream,
-    /// The predecessor's state. `None` if it cannot be decoded; this process then starts from its configuration.
+    /// The predecessor's state. `None` if it cannot be decoded; this process then starts from its
+    /// configuration.
     pub state: Option<HandoverState>,
 }
 
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -149,7 +149,8 @@
     overload_penalty: f64,
 }
 
-/// Deserializes an optional value whose key must be present; by default `serde` reads a missing key as `None`.
+/// Deserializes an optional value whose key must be present; by default `serde` reads a missing key as
+/// `None`.
 fn required<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<Option<T>, D::Error> {
     Option::deserialize(deserializer)
 }
--- a/crates/node/src/peers/frame.rs
+++ b/crates/node/src/peers/frame.rs
@@ -1,13 +1,13 @@
-//! Frames between nodes: a length, the encoded message, and in newer versions a checksum. The first frame of a
-//! link is a greeting.
+//! Frames between nodes: a length, the encoded message, and in newer versions a checksum. The first frame of
+//! a link is a greeting.
 
 use glendeck_fleet::message::{Envelope, Hello, VERSION};
 use glendeck_takeover::ReplicaMessage;
 use glendeck_takeover::warm_state::WarmStateMessage;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a frame in bytes. The whole state of 300 units takes about 60 KiB, and a log that is sent
-/// anew a few hundred KiB.
+/// Maximum length of a frame in bytes. The whole state of 300 units takes about 60 KiB, and a log that is
+/// sent anew a few hundred KiB.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Size of a frame's length prefix in bytes; it is little-endian.
@@ -27,9 +27,9 @@
     WarmState(WarmStateMessage),
 }
 
-/// Features that a node's version supports, sent at the end of its greeting. In a rolling release, nodes of an
-/// older version close a link on which they receive a frame that they cannot decode. The first version neither
-/// reads nor sends features.
+/// Features that a node's version supports, sent at the end of its greeting. In a rolling release, nodes of
+/// an older version close a link on which they receive a frame that they cannot decode. The first version
+/// neither reads nor sends features.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Features(u32);
 
@@ -75,7 +75,8 @@
 }
 
 /// Appends the bytes' CRC-32. A bit flipped in transit could change the host, attempt or term of a record, so
-/// that work is done twice. TCP's checksum misses one in 65,536 damaged segments, and middleboxes recompute it.
+/// that work is done twice. TCP's checksum misses one in 65,536 damaged segments, and middleboxes recompute
+/// it.
 pub(crate) fn append_checksum(bytes: &mut Vec<u8>) {
     let checksum = crc32fast::hash(bytes);
     bytes.extend_from_slice(&checksum.to_le_bytes());
@@ -98,8 +99,8 @@
     Ok(bytes)
 }
 
-/// Decodes a greeting. The first version sends only the [`Hello`], the second also its features, and newer ones
-/// also a checksum. Each version ignores the parts that it does not know.
+/// Decodes a greeting. The first version sends only the [`Hello`], the second also its features, and newer
+/// ones also a checksum. Each version ignores the parts that it does not know.
 ///
 /// # Errors
 ///
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,5 +1,6 @@
 //! Links to other nodes of the fleet: TCP connections, with each node dialling the voters. The link of a peer
-//! that is slow, silent or sends invalid frames is closed and replaced by a new one, without blocking the node.
+//! that is slow, silent or sends invalid frames is closed and replaced by a new one, without blocking the
+//! node.
 //!
 //! [`frame`] defines the frames of a link.
 
@@ -31,14 +32,15 @@
 /// outdated.
 const MAX_UNSENT_BYTES: usize = 2 << 20;
 
-/// A link without a frame for this time is closed; heartbeats are sent every second, and voters reply to each.
+/// A link without a frame for this time is closed; heartbeats are sent every second, and voters reply to
+/// each.
 const SILENCE_TIMEOUT: Span = Span::ms(3_500);
 
 /// Time for a link to come up and to receive the peer's greeting.
 const GREETING_TIMEOUT: Span = Span::ms(2_000);
 
-/// Delay before an unreachable peer is dialled again, doubled up to the maximum. Jitter keeps the nodes of the
-/// fleet from dialling a voter that is back all at once.
+/// Delay before an unreachable peer is dialled again, doubled up to the maximum. Jitter keeps the nodes of
+/// the fleet from dialling a voter that is back all at once.
 const MIN_REDIAL_DELAY: Span = Span::ms(100);
 const MAX_REDIAL_DELAY: Span = Span::ms(1_600);
 
@@ -75,8 +77,8 @@
     redial_delay: Span,
 }
 
-/// Counts of the frames sent to and received from peers, and of their bytes without length prefixes. Greetings
-/// are counted only when received.
+/// Counts of the frames sent to and received from peers, and of their bytes without length prefixes.
+/// Greetings are counted only when received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Traffic {
     /// Frames sent.
@@ -114,9 +116,9 @@
         links.filter_map(|link| link.peer.clone()).collect()
     }
 
-    /// The link to a peer on which a frame was received last. Two voters may dial each other at the same time;
-    /// if each sent on the link that it dialled, it would receive nothing there, close it as silent and dial
-    /// again every few seconds.
+    /// The link to a peer on which a frame was received last. Two voters may dial each other at the same
+    /// time; if each sent on the link that it dialled, it would receive nothing there, close it as silent and
+    /// dial again every few seconds.
     fn link_to(&self, peer: &UnitName) -> Option<ConnectionId> {
         let dialled = self.dials.get(peer).and_then(|dial| dial.connection);
         let incoming = self.incoming.get(peer).copied();
@@ -140,8 +142,8 @@
         self.dials.iter().filter(is_due).map(|(peer, _)| peer.clone()).collect()
     }
 
-    /// Replaces the peers to be dialled by the voters; a peer that is no longer a voter stays while its link is
-    /// open.
+    /// Replaces the peers to be dialled by the voters; a peer that is no longer a voter stays while its link
+    /// is open.
     fn set_voters_to_dial(&mut self, voters: &BTreeSet<UnitName>) {
         self.dials.retain(|peer, dial| voters.contains(peer) || dial.connection.is_some());
         for voter in voters {
@@ -191,7 +193,7 @@
         Ok(())
     }
 
-    /// Accepts the peers that are connecting.
+    /// Accepts connections of peers.
     pub(crate) fn accept_peers(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(membership) = &self.membership else { return };
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -1,5 +1,5 @@
-//! What replicated work means for a single call: its intent is stored before an attempt goes, and what has
-//! been before a repeat is looked up first.
+//! Replicated work of a single call: its intent is stored before an attempt is sent, and earlier attempts of
+//! a repeat are looked up before it is placed.
 
 use glendeck::domain::{AttemptOutcome, CallId, HostId, Idempotency, Span, Time};
 use glendeck_takeover::{Action, Attempt, Outcome, PriorAttempt, WorkId};
@@ -11,25 +11,25 @@
 use crate::protocol::{Answer, OpenRequest};
 use crate::service::Service;
 
-/// An attempt that has less left than this when its intent is stored is not sent: it would hardly be
-/// answered.
+/// Minimum time left for an attempt once its intent is stored. With less, it is not sent, as a reply in time
+/// is unlikely.
 const MIN_TIME_LEFT: Span = Span::ms(20);
 
-/// A call's part in replicated work.
+/// State of a call whose work is replicated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplicatedCall {
-    /// The work, under the id that it has at every node.
+    /// Id of the work, the same at every node.
     pub work_id: WorkId,
-    /// What has been before the call is being looked up: the decisions do not know of the call yet.
+    /// Earlier attempts are being looked up; the call has not been passed to the decision logic yet.
     pub awaits_lookup: bool,
-    /// The call's first attempt that may have run here.
+    /// Host and start time of this call's first attempt that may have run.
     pub ran: Option<(HostId, Time)>,
 }
 
 impl InFlightCall {
-    /// Whether what has been before the call is being looked up.
+    /// Whether earlier attempts of the call's work are being looked up.
     pub(crate) fn awaits_lookup(&self) -> bool {
-        self.replicated.is_some_and(|kept| kept.awaits_lookup)
+        self.replicated.is_some_and(|replicated| replicated.awaits_lookup)
     }
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl Service {
-    /// The work of a call that is to be replicated. None for a call that may run again, or that names no
-    /// work.
+    /// Id of the work of a call that is to be replicated. `None` for a call that is idempotent, names no
+    /// work, or was open at a host before this node started.
     pub(crate) fn replicated_work_id(&self, opening: &OpenRequest) -> Option<WorkId> {
         self.membership.as_ref()?.work.as_ref()?;
         let class = usize::from(opening.traffic.0);
@@ -53,18 +53,18 @@
         Some(work_id(self.config.names.traffic.get(class)?, tenant, opening.subject?.0))
     }
 
-    /// Whether a call repeats another, as far as can be told: where clients do not mark repeats, any call may
-    /// but one whose connection was up.
+    /// Whether a call may be a repeat. If clients do not mark repeats, any call may be one, except a
+    /// reconnect of a call that was established.
     pub(crate) fn is_repeat(&self, opening: &OpenRequest) -> bool {
         if self.config.marks_repeats { opening.is_repeat } else { !opening.is_reconnect }
     }
 
-    /// Looks up what has been before a call.
+    /// Looks up earlier attempts of a call's work.
     pub(crate) fn look_up_prior_attempt(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        let Some(kept) = &mut in_flight.replicated else { return };
-        kept.awaits_lookup = true;
-        let work_id = kept.work_id;
+        let Some(replicated) = &mut in_flight.replicated else { return };
+        replicated.awaits_lookup = true;
+        let work_id = replicated.work_id;
         let left_ms = in_flight.call.deadline.since(self.now).0 / 1_000_000;
         if let Some(work) = self.work() {
             work.counts.lookups += 1;
@@ -72,27 +72,27 @@
         self.with_takeover(|takeover, now| takeover.call_repeated(now, call.0, work_id, left_ms));
     }
 
-    /// Replicates the intent of the attempt that was just opened. The attempt waits for that; its connection
-    /// comes up meanwhile.
+    /// Replicates the intent of the attempt that was just opened. The attempt is sent only after that; its
+    /// connection is established meanwhile.
     pub(crate) fn replicate_intent_of(&mut self, call: CallId) {
         let Some(in_flight) = self.calls.get(call.0) else { return };
-        let (Some(kept), Some(attempt)) = (in_flight.replicated, &in_flight.attempt) else { return };
-        let first = in_flight.call.prior_attempt.or(kept.ran);
-        let latest =
+        let (Some(replicated), Some(attempt)) = (in_flight.replicated, &in_flight.attempt) else { return };
+        let first = in_flight.call.prior_attempt.or(replicated.ran);
+        let send_before_limit =
             self.repeat_window_end(in_flight, first).unwrap_or(attempt.deadline).min(attempt.deadline);
         let attempt = Attempt {
-            work: kept.work_id,
+            work: replicated.work_id,
             host: attempt.host.0,
-            prior: kept
+            prior: replicated
                 .ran
                 .map(|(host, time)| PriorAttempt { host: host.0, sent_at: self.timestamp_of(time) }),
             remaining_ms: in_flight.call.deadline.since(self.now).0 / 1_000_000,
-            send_before: self.timestamp_of(latest - MIN_TIME_LEFT),
+            send_before: self.timestamp_of(send_before_limit - MIN_TIME_LEFT),
         };
         self.with_takeover(|takeover, now| takeover.replicate_intent(now, call.0, attempt));
     }
 
-    /// Until when hosts recognise a repeat of a keyed call, from its first attempt on.
+    /// End of the window after the first attempt in which hosts recognise a repeat of a keyed call.
     fn repeat_window_end(&self, in_flight: &InFlightCall, first: Option<(HostId, Time)>) -> Option<Time> {
         let (_, first_sent) = first?;
         let class = self.config.settings.classes.get(usize::from(in_flight.call.class.0))?;
@@ -102,10 +102,10 @@
         }
     }
 
-    /// The call is over here, or has its answer.
-    pub(crate) fn replicated_call_ended(&mut self, call: CallId, kept: Option<&ReplicatedCall>) {
-        let Some(kept) = kept else { return };
-        let outcome = if kept.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
+    /// Reports that a call has ended in this process, or has its answer.
+    pub(crate) fn replicated_call_ended(&mut self, call: CallId, replicated: Option<&ReplicatedCall>) {
+        let Some(replicated) = replicated else { return };
+        let outcome = if replicated.ran.is_some() { Outcome::Answered } else { Outcome::NeverRan };
         self.with_takeover(|takeover, now| takeover.call_ended(now, call.0, outcome));
     }
 
@@ -121,7 +121,7 @@
             Action::InFlightElsewhere(call) => self.wait_for_other_node(CallId(call)),
             Action::Admit(call, prior_attempt) => self.admit_repeat(CallId(call), prior_attempt),
             Action::Fail(call) => {
-                debug!(call_id = call, "nobody knows whether this call has run before: it fails");
+                debug!(call_id = call, "failing a call: it cannot be told whether it has run before");
                 if let Some(work) = self.work() {
                     work.counts.repeats_failed += 1;
                 }
@@ -141,17 +141,17 @@
         self.attempt_connected(connection);
     }
 
-    /// The attempt does not go, as no replica has stored its intent, and the call has its answer at once.
+    /// Cancels an attempt whose intent was not replicated, and answers the call at once.
     fn cancel_unreplicated_attempt(&mut self, call: CallId) {
-        // The attempt may have ended meanwhile, and then the decisions go on with the call.
-        let waits = |attempt: &call::Attempt| !attempt.may_send;
+        // If the attempt has ended meanwhile, the decision logic continues with the call.
+        let is_unsent = |attempt: &call::Attempt| !attempt.may_send;
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        if !in_flight.attempt.as_ref().is_some_and(waits) {
+        if !in_flight.attempt.as_ref().is_some_and(is_unsent) {
             return;
         }
-        warn!(call_id = call.0, "the intent of an attempt was not replicated: the attempt does not go");
+        warn!(call_id = call.0, "the intent of an attempt was not replicated, not sending the attempt");
         let may_have_run = in_flight.call.prior_attempt.is_some()
-            || in_flight.replicated.is_some_and(|kept| kept.ran.is_some());
+            || in_flight.replicated.is_some_and(|replicated| replicated.ran.is_some());
         let (answer, outcome) = if may_have_run {
             (Answer::Error, metrics::Outcome::Failure)
         } else {
@@ -169,8 +169,8 @@
         self.deliver_reports();
     }
 
-    /// The same work is in flight at another node: the decisions forget the call until it is known what came
-    /// of that.
+    /// Cancels an attempt whose work is in flight at another node. The decision logic drops the call until
+    /// the outcome of that work is known.
     fn wait_for_other_node(&mut self, call: CallId) {
         if let Some(work) = self.work() {
             work.counts.in_flight_elsewhere += 1;
@@ -189,25 +189,26 @@
         self.look_up_prior_attempt(call);
     }
 
-    /// What has been before the call is known now: the decisions place it.
+    /// Passes a call whose earlier attempts have been looked up to the decision logic, which places it.
     fn admit_repeat(&mut self, call: CallId, prior_attempt: Option<PriorAttempt>) {
-        let began = self.membership.as_ref().map_or(self.now, |membership| membership.time_origin);
-        let before = prior_attempt.map(|attempt| (HostId(attempt.host), began + Span(attempt.sent_at.0)));
-        if before.is_some()
+        let time_origin = self.membership.as_ref().map_or(self.now, |membership| membership.time_origin);
+        let prior =
+            prior_attempt.map(|attempt| (HostId(attempt.host), time_origin + Span(attempt.sent_at.0)));
+        if prior.is_some()
             && let Some(work) = self.work()
         {
             work.counts.records_found += 1;
         }
-        // A host that is not in the list is in no zone or cell that could be compared.
-        if before.is_some_and(|(host, _)| self.hosts.address(host).is_none()) {
+        // The zone and cell of a host that is not in the list are unknown, so they cannot be compared.
+        if prior.is_some_and(|(host, _)| self.hosts.address(host).is_none()) {
             return self.answer_call(call, Answer::Error);
         }
         let Some(in_flight) = self.calls.get_mut(call.0) else { return };
-        if let Some(kept) = &mut in_flight.replicated {
-            kept.awaits_lookup = false;
+        if let Some(replicated) = &mut in_flight.replicated {
+            replicated.awaits_lookup = false;
         }
-        in_flight.call.prior_attempt = before;
-        debug!(call_id = call.0, host_id = ?before.map(|(host, _)| host.0), "placing a call that was looked up");
+        in_flight.call.prior_attempt = prior;
+        debug!(call_id = call.0, host_id = ?prior.map(|(host, _)| host.0), "placing a call after its lookup");
         let now = self.now;
         let call = in_flight.call;
         self.with_node(|node, port| node.call_arrived(now, call, port));
--- a/crates/node/src/takeover/handover_file.rs
+++ b/crates/node/src/takeover/handover_file.rs
@@ -1,5 +1,5 @@
-//! The file in the node's folder by which a process hands the records that it stores for other nodes' calls to
-//! its successor. It is written at a planned exit, when no client waits any more.
+//! The file in the node's folder by which a process hands the records that it stores for other nodes' calls
+//! to its successor. It is written at a planned exit, when no client waits any more.
 
 use std::io::Write as _;
 use std::path::Path;
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -1,8 +1,8 @@
 //! Replicated work, which survives the loss of its node: other nodes store an intent before an attempt is
 //! sent, and a repeat of the call is checked against the stored records.
 //!
-//! `glendeck_takeover` makes the decisions; docs/takeover.md describes the guarantees. [`calls`] handles single
-//! calls, [`handover_file`] the file that a process leaves to the next process of the node.
+//! `glendeck_takeover` makes the decisions; docs/takeover.md describes the guarantees. [`calls`] handles
+//! single calls, [`handover_file`] the file that a process leaves to the next process of the node.
 
 mod calls;
 mod handover_file;
@@ -24,7 +24,8 @@
 
 pub(crate) use self::calls::ReplicatedCall;
 
-/// Makes the takeover logic's random seed differ from that of the fleet logic, which is the incarnation itself.
+/// Makes the takeover logic's random seed differ from that of the fleet logic, which is the incarnation
+/// itself.
 const SEED_MASK: u64 = 0x7a6b;
 
 /// This node's part in replicated work: as the owner of calls, and as a replica for other owners.
@@ -32,7 +33,8 @@
     takeover: Takeover,
     /// Messages for each peer, sent at the end of this turn of the event loop.
     messages: BTreeMap<UnitName, Vec<ReplicaMessage>>,
-    /// Actions that arose while the node's decision logic was running, to be performed at the end of this turn.
+    /// Actions that arose while the node's decision logic was running, to be performed at the end of this
+    /// turn.
     pending: Vec<Action>,
     /// The predecessor's records, until this node's voter slot is active.
     inherited: Option<ReplicaHandover>,
@@ -80,8 +82,8 @@
 }
 
 impl Work {
-    /// Creates the state without any work in flight. A repeat is recognised for `recall_ms`; a client waits for
-    /// at most `longest_ms`.
+    /// Creates the state without any work in flight. A repeat is recognised for `recall_ms`; a client waits
+    /// for at most `longest_ms`.
     pub(crate) fn new(
         start: Timestamp,
         name: UnitName,
--- a/crates/node/src/takeover/tests.rs
+++ b/crates/node/src/takeover/tests.rs
@@ -16,8 +16,8 @@
     UnitName(name.to_owned())
 }
 
-/// Two records with the same values, for work 7 and work 300. They are encoded from plain tuples, as the stored
-/// form is positional.
+/// Two records with the same values, for work 7 and work 300. They are encoded from plain tuples, as the
+/// stored form is positional.
 fn handover() -> ReplicaHandover {
     let record = |work: u64| {
         let id = ("a", 5_u64, 3_u64);
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -23,8 +23,8 @@
 /// hints that are a second old still hold.
 const SEND_INTERVAL: Span = Span::ms(1_000);
 
-/// Minimum share of the interval before the next update, and the maximum share that is added at random. Without
-/// jitter, nodes that were started together would send in step.
+/// Minimum share of the interval before the next update, and the maximum share that is added at random.
+/// Without jitter, nodes that were started together would send in step.
 const MIN_INTERVAL_FACTOR: f64 = 0.9;
 const INTERVAL_JITTER_FACTOR: f64 = 0.2;
 
@@ -80,8 +80,8 @@
     }
 }
 
-/// A load in millionths, rounded down to a multiple of an eighth of the greatest power of two that it contains,
-/// so that small changes are not sent.
+/// A load in millionths, rounded down to a multiple of an eighth of the greatest power of two that it
+/// contains, so that small changes are not sent.
 fn rounded_load(load: f64) -> u32 {
     let millionths = (load * LOAD_SCALE) as u32;
     let step = (1 << millionths.max(1).ilog2()) / 8;
