--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! The node's membership in its fleet: reports events to [`glendeck_fleet::Fleet`], the fleet logic, and
-//! carries out its actions.
+//! carries out its actions, such as a drain, by changing the node's phase.
 //!
 //! [`store`] runs the thread that writes to disk, [`hosts`] handles the endpoint list and the hosts that the
 //! fleet drains, and [`requests`] handles operators' requests.
@@ -120,8 +120,8 @@
         });
         // Warm state is enabled together with replicated work, whose view of the fleet it uses.
         let warm_state = policy.work.as_ref().map(|_| WarmState::new(now, start, name.clone(), incarnation));
-        // Every node dials the voters. Each link counts twice, as an old one may still exist beside a new
-        // one.
+        // Every node dials the voters, so a voter also accepts a link from each node. Each link counts twice,
+        // as an old one may still exist beside a new one.
         let accepted_links = if policy.voters.contains(&name) { 2 * policy.units.len() } else { 0 };
         Membership {
             fleet,
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -243,7 +243,7 @@
                 // Drawn even if the operator gives an id, so that the sequence of random numbers is the same.
                 let drawn_id = membership.draw_request_id();
                 let id = body.text("id").map_or(drawn_id, RequestId);
-                info!(path, request_id = %id.0, "operator request");
+                info!(path, request_id = %id.0, "request of an operator");
                 membership.pending.requests.insert(id.clone(), PendingRequest::Command(caller));
                 self.with_fleet(|fleet, now| fleet.ask(now, id, command));
             }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -142,8 +142,7 @@
         self.dials.iter().filter(is_due).map(|(peer, _)| peer.clone()).collect()
     }
 
-    /// Replaces the peers to be dialled by the voters; a peer that is no longer a voter stays while its link
-    /// is open.
+    /// Sets the voters as the peers to dial. A peer that is no longer a voter stays while its link is open.
     fn set_voters_to_dial(&mut self, voters: &BTreeSet<UnitName>) {
         self.dials.retain(|peer, dial| voters.contains(peer) || dial.connection.is_some());
         for voter in voters {
