--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -71,7 +71,7 @@
     pub intents_kept: u64,
     /// Attempts that were not sent, as their intent was not replicated.
     pub intents_not_kept: u64,
-    /// Repeats that were lookups up.
+    /// Repeats that were looked up.
     pub repeats_looked_up: u64,
     /// Repeats for which a record was found.
     pub repeats_after_a_record: u64,
