--- a/crates/node/src/fleet/hosts.rs
+++ b/crates/node/src/fleet/hosts.rs
@@ -16,9 +16,9 @@
 use crate::service::Service;
 use crate::timers::TimerEvent;
 
-/// Maximum wait of a new process for the fleet's state. Links come up within two ticks, and a leader then
-/// replies within a round trip. Without a reply the wait has to exceed 3.5 s: for so long the leader counts
-/// the predecessor's last report, and by that it may declare a host empty.
+/// Maximum wait of a new process for a voter that tells it the fleet's state. Links come up within two ticks,
+/// and a leader then replies within a round trip. Without a reply the wait has to exceed 3.5 s: until then
+/// the leader counts the predecessor's last report, and may declare a host empty because of it.
 const FIRST_CONTACT_TIMEOUT: Span = Span::ms(4_000);
 
 /// A member's knowledge of hosts.
@@ -26,7 +26,7 @@
 pub(super) struct FleetHosts {
     /// The endpoint list, by the hosts' names in the fleet.
     endpoints: BTreeMap<UnitName, (Place, EndpointState)>,
-    /// Hosts that the fleet drains.
+    /// Hosts that the fleet drains, whatever their condition in the endpoint list. Nodes avoid them.
     avoided: BTreeMap<HostId, UnitName>,
     /// Interval between migrations of single connections from the avoided hosts.
     migration_interval: Span,
@@ -54,8 +54,8 @@
     }
 
     /// Whether the node waits for the fleet's state before it serves. By its endpoint list alone it would
-    /// send attempts to a host that is ready but that the fleet has found empty. The wait is limited, as
-    /// calls are served without a fleet too.
+    /// send attempts to a host that is listed as ready, but that the fleet has drained and found empty of
+    /// connections. The wait is limited, as calls are served without a fleet too.
     pub(crate) fn waits_for_fleet(&self) -> bool {
         let Some(membership) = &self.membership else { return false };
         let is_recent =
@@ -90,7 +90,7 @@
         self.with_fleet(|fleet, now| fleet.hosts_listed(now, endpoints));
     }
 
-    /// Reports that the discovery service no longer answers.
+    /// Reports that a request to the discovery service failed, so that the endpoint list may be outdated.
     pub(crate) fn endpoint_list_lost(&mut self) {
         self.with_fleet(|fleet, now| fleet.list_lost(now));
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Returns `None` for an entry of an unknown condition.
+/// Returns `None` for an entry whose condition is unknown.
 fn decode_endpoint(entry: &Value) -> Option<(UnitName, Place, EndpointState)> {
     let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
     let state = match endpoint_list::condition(entry)? {
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! The node's membership in its fleet: reports events to [`glendeck_fleet::Fleet`], the fleet logic, and
-//! carries out its actions, such as a drain, by changing the node's phase.
+//! carries out its actions: sends messages, writes to the store, drains and resumes the node.
 //!
 //! [`store`] runs the thread that writes to disk, [`hosts`] handles the endpoint list and the hosts that the
 //! fleet drains, and [`requests`] handles operators' requests.
@@ -59,11 +59,11 @@
     Watch(#[from] Errno),
 }
 
-/// The fleet's time at the start of this process. If it were 0, events that other nodes report from before
-/// the start would seem more recent than they are.
+/// This process's timestamp at its start. If it were 0, events that other nodes report from before the start
+/// would seem more recent than they are.
 const START_OFFSET: Span = Span::ms(86_400_000);
 
-/// Interval between ticks of the fleet logic. Urgent events arrive as messages; all other times are in
+/// Interval between ticks of the fleet logic. Urgent events arrive as messages; everything else may take
 /// seconds.
 const TICK_INTERVAL: Span = Span::ms(100);
 
@@ -83,7 +83,8 @@
     pub group: String,
     /// Distinguishes this process from all other processes of the node.
     pub incarnation: Incarnation,
-    /// Random numbers for everything but the fleet logic, which has its own.
+    /// Random numbers for request ids, delays and intervals. The fleet logic and the takeover logic have
+    /// their own.
     pub rng: WyRand,
     /// The moment at which this process's timestamps are 0.
     pub time_origin: Time,
@@ -94,7 +95,7 @@
     /// Warm state of other nodes, if the fleet's policy asks for it.
     pub warm_state: Option<WarmState>,
     store: Option<StoreThread>,
-    /// Ticks until opening the store is tried again, if it was in use at the start.
+    /// Ticks to skip before opening the store is tried again, if it was in use at the start.
     store_retry_ticks: Option<u32>,
     faults: Option<Arc<dyn DiskFaults>>,
     pending: PendingRequests,
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Exits so that the supervisor can start another version. The process is drained, so it has no clients
-    /// to wait for.
+    /// Exits so that the supervisor of the node's processes can start another version. The process is
+    /// drained, so it has no clients to wait for.
     fn exit_for_version(&mut self, version: &str) {
         info!(%version, "exiting to be restarted as another version");
         match self.write_wanted_version(version) {
--- a/crates/node/src/fleet/requests.rs
+++ b/crates/node/src/fleet/requests.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// The callers that wait for the fleet's decision on a request.
+/// The callers that wait for the result of a request.
 enum PendingRequest {
     /// The caller that sent the command.
     Command(ConnectionId),
@@ -126,7 +126,7 @@
 /// The requests of operators that are not answered yet.
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Callers of the status for whom no request has been sent yet.
+    /// Callers that asked for the status and wait for the next status request to be sent.
     status_callers: Vec<ConnectionId>,
     /// Earliest time for the next status request.
     next_status: Time,
@@ -203,6 +203,7 @@
 /// The connections to other nodes, and the traffic on them.
 #[derive(Serialize)]
 pub(super) struct LinkMetrics {
+    /// Number of links, including those that have not received a greeting yet.
     pub(super) up: usize,
     pub(super) frames_sent: u64,
     pub(super) bytes_sent: u64,
@@ -218,13 +219,13 @@
         path: &str,
         body: &[u8],
     ) -> Option<Reply> {
-        match self.try_request_of_fleet(caller, path, body) {
+        match self.try_handle_fleet_request(caller, path, body) {
             Ok(reply) => reply,
             Err(error) => Some(Reply::from(error)),
         }
     }
 
-    fn try_request_of_fleet(
+    fn try_handle_fleet_request(
         &mut self,
         caller: ConnectionId,
         path: &str,
@@ -240,7 +241,7 @@
             }
             FleetRequest::Trust => return Ok(Some(Reply::done(membership.fleet.trust(now)))),
             FleetRequest::Command(command) => {
-                // Drawn even if the operator gives an id, so that the sequence of random numbers is the same.
+                // Drawn even if the operator gives an id, so that later random numbers do not depend on that.
                 let drawn_id = membership.draw_request_id();
                 let id = body.text("id").map_or(drawn_id, RequestId);
                 info!(path, request_id = %id.0, "request of an operator");
--- a/crates/node/src/fleet/store.rs
+++ b/crates/node/src/fleet/store.rs
@@ -17,7 +17,7 @@
 use crate::reactor::STORE;
 use crate::service::Service;
 
-/// Ticks until opening a store that another process of this node still uses is tried again.
+/// Ticks to skip before opening a store that another process of this node still uses is tried again.
 const RETRY_TICKS: u32 = 10;
 
 /// The store's thread, and the socket by which it signals a finished write.
@@ -34,7 +34,7 @@
     pub config: FleetConfig,
     /// The store's thread, if the node has a usable store.
     pub store: Option<StoreThread>,
-    /// Ticks until opening a store that is in use is tried again.
+    /// Ticks to skip before opening a store that is in use is tried again.
     pub retry_ticks: Option<u32>,
 }
 
@@ -105,7 +105,8 @@
             return;
         }
         *ticks = RETRY_TICKS;
-        // A node that is out under a lease first ends it with its present membership.
+        // A node that is out under a lease keeps its `Fleet` until the lease ends, as a new one would not
+        // know the lease.
         if membership.fleet.is_out().is_some() {
             return;
         }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Passes a batch to the store. A store that does not accept it is reported as failed.
+    /// Passes a batch to the store. A store that is missing or does not accept it is reported as failed.
     pub(super) fn persist(&mut self, batch: u64, writes: Vec<StoreWrite>) {
         let membership = self.membership.as_ref();
         let thread = membership.and_then(|membership| membership.store.as_ref());
--- a/crates/node/src/handover/message.rs
+++ b/crates/node/src/handover/message.rs
@@ -85,7 +85,8 @@
 }
 
 impl StateHeader {
-    /// Maximum length of a state, in bytes. A host takes about 250 bytes, a client's load 40.
+    /// Maximum length of a state, in bytes. No state of this version is longer: a host takes about 250 bytes,
+    /// a client's load 40.
     pub(super) const MAX_STATE_LENGTH: usize = 4 << 20;
 
     /// First words of the line; the number is the protocol version.
--- a/crates/node/src/handover/mod.rs
+++ b/crates/node/src/handover/mod.rs
@@ -42,7 +42,7 @@
     /// The successor has reported that its own successor serves in its place.
     successor_was_replaced: bool,
     predecessor: Option<ConnectionId>,
-    /// This process accepts clients; the predecessor, if there is one, was told.
+    /// This process has begun to accept clients, and has told its predecessor if there is one.
     took_over: bool,
     /// The time that this process waits for the endpoint list before it takes over has passed.
     pub is_list_wait_over: bool,
--- a/crates/node/src/handover/predecessor.rs
+++ b/crates/node/src/handover/predecessor.rs
@@ -19,8 +19,8 @@
 use crate::timers::TimerEvent;
 
 /// Maximum wait for the endpoint list at a handover. The discovery service answers within milliseconds unless
-/// it is overloaded. After this time a process that has everything else serves without the list, well within
-/// the 6 s that an upgrade may take.
+/// it is overloaded. After this time a process that has everything else serves with the list from its
+/// predecessor or its configuration, well within the 6 s that an upgrade may take.
 const LIST_TIMEOUT: Span = Span::ms(2_000);
 
 /// Maximum number of reads from the predecessor in one turn of the event loop.
@@ -29,7 +29,7 @@
 /// Why a call of the predecessor cannot be adopted, so that its connections are closed.
 #[derive(Debug, thiserror::Error)]
 enum AdoptError {
-    #[error("the message came without the sockets of its client and host")]
+    #[error("the socket of its client or host is missing")]
     NoSockets,
     #[error("the settings have no class {name:?} with number {number}")]
     UnknownClass { name: Option<String>, number: u8 },
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Closes the sockets of an invalid line, as the next line would otherwise be given them instead of its
-    /// own.
+    /// Closes the sockets that came with an invalid line; otherwise they would be taken for those of the next
+    /// line.
     fn skip_predecessor_message(&mut self, cause: &MessageError) {
         for _ in 0..cause.sockets() {
             self.handover.received_sockets.pop_front();
@@ -247,8 +247,9 @@
         }
     }
 
-    /// Closes the connection to a predecessor that has exited or sent too long a line. From now on its
-    /// connections and descriptors count as 0, and it no longer accepts clients beside this process.
+    /// Closes the connection to a predecessor that has exited, whose socket has failed, or that sent too long
+    /// a line. From now on its connections and descriptors count as 0, and this process no longer leaves
+    /// clients to it.
     pub(crate) fn disconnect_predecessor(&mut self, id: ConnectionId) {
         self.close_connection(id);
         info!("disconnected from the predecessor");
--- a/crates/node/src/handover/socket.rs
+++ b/crates/node/src/handover/socket.rs
@@ -77,7 +77,7 @@
                 return None;
             }
         };
-        // A socket of another address would accept clients of another node.
+        // A socket of another address would accept the clients of that address.
         let listener = reply.listener.filter(|socket| local_address(socket) == Some(config.listen));
         let Some(listener) = listener else {
             warn!(address = %config.listen, "the predecessor did not send a listening socket for this address");
--- a/crates/node/src/handover/state.rs
+++ b/crates/node/src/handover/state.rs
@@ -16,14 +16,14 @@
 /// Everything that a process hands to its successor, except the sockets.
 #[derive(Debug)]
 pub(crate) struct HandoverState {
-    /// The endpoint list as the process last received it.
+    /// The endpoint list as the process knows it.
     pub list: EndpointListUpdate,
-    /// Snapshot of the decision logic.
+    /// Snapshot of the decision logic, [`glendeck::Node`].
     pub node: NodeSnapshot,
     /// The node is draining.
     pub drained: bool,
     /// Names of the zones, indexed by their numbers in `list`. After the settings of a serving process have
-    /// been reloaded, its order can differ from that in its file.
+    /// been reloaded, their order can differ from that in its file.
     pub zones: Vec<String>,
     /// Names of the classes, indexed by their numbers in `node`; their order can differ from the file's too.
     pub classes: Vec<String>,
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the message is not valid JSON, lacks a required key, or has a negative weight.
+    /// Fails if the message is not the JSON of a state, lacks a required key, or has a negative weight.
     pub(crate) fn decode(
         message: &[u8],
         zones: &[String],
@@ -264,8 +264,9 @@
     }
 }
 
-/// The number in `zones` of a zone. A zone that is not in the settings gets the number after the last, which
-/// stands for no known zone.
+/// Maps a predecessor's zone number to this process's. A zone that is not in the settings gets the number
+/// after the last, which stands for no known zone. Without `sent_zones`, both processes number the zones
+/// alike.
 fn map_zone(zone: u16, sent_zones: Option<&[String]>, zones: &[String]) -> Zone {
     let Some(sent_zones) = sent_zones else {
         return Zone(zone.min(zones.len() as u16));
--- a/crates/node/src/handover/successor.rs
+++ b/crates/node/src/handover/successor.rs
@@ -151,7 +151,7 @@
     }
 
     /// Closes the connection to the successor. If the successor was serving and has no successor of its own,
-    /// this process accepts clients again, as no other process does.
+    /// and this process is not leaving, this process accepts clients again, as otherwise none might.
     pub(crate) fn disconnect_successor(&mut self, id: ConnectionId) {
         self.close_connection(id);
         if self.handover.successor != Some(id) {
@@ -233,8 +233,8 @@
         Ok(())
     }
 
-    /// Returns `None` for a call that has to end in this process: once it has seen the end of one side, the
-    /// successor would never see it.
+    /// Returns `None` for a call that has to end in this process: if this process has seen one side end, the
+    /// successor would never see that end.
     fn prepare_call(&self, call: CallId) -> Option<OutgoingCall> {
         let in_flight = self.calls.get(call.0).filter(|call| call.stage == CallStage::Open)?;
         let client_id = in_flight.client?;
--- a/crates/node/src/handover/tests.rs
+++ b/crates/node/src/handover/tests.rs
@@ -136,7 +136,7 @@
     assert_eq!(recorded.next(), None);
 }
 
-/// The sockets of an invalid line have to be closed, as the next line would otherwise be given them.
+/// The sockets of an invalid line have to be closed, or they would be taken for those of the next line.
 #[test]
 fn invalid_messages_report_how_many_sockets_came_with_them() {
     let sockets = |line: &str| line.parse::<PredecessorMessage>().unwrap_err().sockets();
--- a/crates/node/src/peers/frame.rs
+++ b/crates/node/src/peers/frame.rs
@@ -27,9 +27,9 @@
     WarmState(WarmStateMessage),
 }
 
-/// Features that a node's version supports, sent at the end of its greeting. In a rolling release, nodes of
-/// an older version close a link on which they receive a frame that they cannot decode. The first version
-/// neither reads nor sends features.
+/// Features that a node's version supports, sent in its greeting after the [`Hello`]. In a rolling release,
+/// nodes of an older version close a link on which they receive a frame that they cannot decode. The first
+/// version neither reads nor sends features.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Features(u32);
 
@@ -57,7 +57,7 @@
 /// Error in a frame of a peer, for which its link is closed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// The frame is longer than the maximum.
+    /// The frame is longer than any frame of this version.
     #[error("a frame of {0} bytes exceeds the maximum length")]
     TooLong(usize),
     /// The checksum is missing or wrong.
@@ -84,8 +84,8 @@
 
 /// Checks the bytes' checksum, and returns the bytes before it, or `None` if they are damaged.
 pub(crate) fn strip_checksum(bytes: &[u8]) -> Option<&[u8]> {
-    let (sealed, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
-    (crc32fast::hash(sealed).to_le_bytes() == *checksum).then_some(sealed)
+    let (content, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
+    (crc32fast::hash(content).to_le_bytes() == *checksum).then_some(content)
 }
 
 /// Encodes a greeting.
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -28,8 +28,8 @@
 
 pub(crate) use self::frame::{Frame, append_checksum, strip_checksum};
 
-/// Maximum number of unsent bytes of a link. With more, the peer does not read, and the queued frames are
-/// outdated.
+/// Maximum number of unsent bytes of a link. A link with more is closed: the peer does not read, and the
+/// queued frames are outdated.
 const MAX_UNSENT_BYTES: usize = 2 << 20;
 
 /// A link without a frame for this time is closed; heartbeats are sent every second, and voters reply to
@@ -39,9 +39,9 @@
 /// Time for a link to come up and to receive the peer's greeting.
 const GREETING_TIMEOUT: Span = Span::ms(2_000);
 
-/// Delay before an unreachable peer is dialled again, doubled up to the maximum. Jitter keeps the nodes of
-/// the fleet from dialling a voter that is back all at once.
-const MIN_REDIAL_DELAY: Span = Span::ms(100);
+/// Delay before an unreachable peer is dialled again, doubled up to the maximum. The wait is a random half to
+/// all of it, so that the nodes do not all dial a returning voter at the same moment.
+const INITIAL_REDIAL_DELAY: Span = Span::ms(100);
 const MAX_REDIAL_DELAY: Span = Span::ms(1_600);
 
 /// Maximum number of connections that are accepted in one turn of the event loop.
@@ -53,7 +53,7 @@
     peer: Option<UnitName>,
     /// The peer that this node dialled; `None` for an accepted link.
     dialled: Option<UnitName>,
-    /// When the last frame was received.
+    /// When the last frame was received; before the first, when the link was created.
     last_received: Time,
     features: Features,
 }
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address is in use, or is not one of this machine's.
+    /// Fails if the address is in use or not one of this machine, or if the listener cannot be watched.
     pub(crate) fn listen_for_peers(&mut self, address: SocketAddr) -> Result<(), Errno> {
         let listener = connection::listen(address)?;
         self.watch_listener(&listener, PEERS)?;
@@ -202,7 +202,8 @@
                 Ok(_) if membership.peers.links() >= membership.max_links() => {}
                 Ok(socket) => self.add_accepted_link(socket),
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
-                // Other errors, such as a full descriptor table, recur with the next peer; peers dial again.
+                // No more peers wait, or accepting failed, as with a full descriptor table. A failure recurs
+                // with the next peer, and peers dial again.
                 Err(_) => return,
             }
         }
@@ -239,7 +240,7 @@
         let id = connection.and_then(|connection| self.add_connection(connection, SocketRole::Peer));
         let Some(membership) = &mut self.membership else { return };
         let Some(dial) = membership.peers.dials.get_mut(peer) else { return };
-        dial.redial_delay = dial.redial_delay.times(2.0).clamp(MIN_REDIAL_DELAY, MAX_REDIAL_DELAY);
+        dial.redial_delay = dial.redial_delay.times(2.0).clamp(INITIAL_REDIAL_DELAY, MAX_REDIAL_DELAY);
         dial.connection = id;
         let jitter_factor = 0.5 + f64::from(membership.rng.generate::<f32>()) / 2.0;
         dial.next = now + dial.redial_delay.times(jitter_factor);
--- a/crates/node/src/peers/tests.rs
+++ b/crates/node/src/peers/tests.rs
@@ -45,8 +45,8 @@
     assert!(matches!(decode_greeting(&other_version), Err(FrameError::Version(_))));
 }
 
-/// Without a checksum, flipping any one of more than half of the bits of this message gives another valid
-/// one.
+/// Without a checksum, for more than half of the bits of this message, flipping that bit alone gives another
+/// valid message.
 #[test]
 fn checksum_detects_every_flipped_bit() {
     let outcome = Outcome::NeverRan;
--- a/crates/node/src/takeover/calls.rs
+++ b/crates/node/src/takeover/calls.rs
@@ -22,7 +22,7 @@
     pub work_id: WorkId,
     /// Earlier attempts are being looked up; the call has not been passed to the decision logic yet.
     pub awaits_lookup: bool,
-    /// Host and start time of this call's first attempt that may have run.
+    /// Host and start time of this node's first attempt of the call that may have run.
     pub ran: Option<(HostId, Time)>,
 }
 
@@ -199,7 +199,8 @@
         {
             work.counts.records_found += 1;
         }
-        // The zone and cell of a host that is not in the list are unknown, so they cannot be compared.
+        // The zone and cell of a host that is not in the list are unknown. Whether another host may repeat
+        // the work cannot be checked without them, so the call fails.
         if prior.is_some_and(|(host, _)| self.hosts.address(host).is_none()) {
             return self.answer_call(call, Answer::Error);
         }
--- a/crates/node/src/takeover/handover_file.rs
+++ b/crates/node/src/takeover/handover_file.rs
@@ -1,5 +1,6 @@
 //! The file in the node's folder by which a process hands the records that it stores for other nodes' calls
-//! to its successor. It is written at a planned exit, when no client waits any more.
+//! to its successor. It is written at a planned exit, once this process no longer waits for clients. The
+//! handover of connections is separate, see [`crate::handover`].
 
 use std::io::Write as _;
 use std::path::Path;
@@ -63,7 +64,7 @@
 }
 
 impl Service {
-    /// Writes the records that this process stores for its successor.
+    /// Writes the records that this process stores for other nodes' calls to the file, for its successor.
     pub(crate) fn write_work_handover(&mut self) {
         let now = self.timestamp();
         let Some(membership) = &mut self.membership else { return };
@@ -78,8 +79,8 @@
 
     /// Reads the records that the predecessor left. An outdated file lacks the records stored after it was
     /// written, so it is removed once read, and is used only if its boot count is the one before this
-    /// process's. As the whole folder may be an old copy, the records are restored only once the voters have
-    /// confirmed this node's voter slot.
+    /// process's. As the whole folder may be an old copy, the records are restored only once the other
+    /// voters have confirmed this node's voter slot.
     pub(crate) fn read_work_handover(&mut self) {
         let Some(membership) = &mut self.membership else { return };
         let Some(path) = membership.folder.as_ref().map(|folder| folder.join(FILE_NAME)) else { return };
--- a/crates/node/src/takeover/mod.rs
+++ b/crates/node/src/takeover/mod.rs
@@ -61,7 +61,7 @@
 pub(crate) struct WorkMetrics {
     /// Records that this node stores for other nodes' calls.
     pub records_held: usize,
-    /// This node's calls whose intents other nodes store.
+    /// This node's calls for which replicas were asked to store an intent or to look up earlier attempts.
     pub in_hand: usize,
     /// Whether this node stores intents for other nodes now.
     pub keeps: bool,
@@ -71,7 +71,7 @@
     pub intents_kept: u64,
     /// Attempts that were not sent, as their intent was not replicated.
     pub intents_not_kept: u64,
-    /// Repeats that were looked up.
+    /// Lookups of earlier attempts, for repeats and for calls whose work was found in flight at another node.
     pub repeats_looked_up: u64,
     /// Repeats for which a record was found.
     pub repeats_after_a_record: u64,
@@ -164,7 +164,8 @@
         call(&mut work.takeover, now);
         let actions = work.takeover.take_actions();
         if self.is_deciding() {
-            // The actions call the node's decision logic, which cannot be called while it is running.
+            // The actions call the node's decision logic. While that is running, calls to it would be dropped
+            // silently, so the actions wait.
             if let Some(work) = self.work() {
                 work.pending.extend(actions);
             }
--- a/crates/node/src/warm_state.rs
+++ b/crates/node/src/warm_state.rs
@@ -1,5 +1,5 @@
 //! Warm state: other nodes store hints about the hosts and loads of this node's clients, and this node adopts
-//! the hints of a lost node whose clients it expects.
+//! the hints of a lost node, so that its clients find their hosts and loads known when they return.
 //!
 //! `glendeck_takeover::warm_state` decides when and to whom hints are sent; docs/takeover.md describes their
 //! purpose.
@@ -80,8 +80,8 @@
     }
 }
 
-/// A load in millionths, rounded down to a multiple of an eighth of the greatest power of two that it
-/// contains, so that small changes are not sent.
+/// A load in millionths, rounded down to a multiple of an eighth of the greatest power of two not above it,
+/// so that small changes are not sent.
 fn rounded_load(load: f64) -> u32 {
     let millionths = (load * LOAD_SCALE) as u32;
     let step = (1 << millionths.max(1).ilog2()) / 8;
