--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file below the store, and the one place where tests make it fail.
+//! The database's file backend, where tests inject disk faults.
 
 use std::fmt::Debug;
 use std::fs::File;
@@ -8,31 +8,32 @@
 use redb::StorageBackend;
 use redb::backends::FileBackend;
 
-/// What is done in place of a write or sync.
+/// What happens to a write or sync for which [`DiskFaults`] returns no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultAction {
-    /// Nothing else: the operation is carried out.
+    /// The operation is carried out.
     Proceed,
-    /// The operation is left out, and reported as done.
+    /// The operation is skipped but reported as successful.
     SkipSilently,
 }
 
-/// A disk's misbehaviour, asked for before each operation. Only tests have one.
+/// Injected disk faults, consulted before each write and sync. Used only in tests.
 pub trait DiskFaults: Debug + Send + Sync {
-    /// Before a write of `data` at `offset`, and with no data before the file's length is set to `offset`.
+    /// Called before `data` is written at `offset`, and with empty `data` before the file's length is set to
+    /// `offset`.
     ///
     /// # Errors
-    /// What the disk is to answer.
+    /// The error that the operation returns instead of being carried out.
     fn on_write(&self, offset: u64, data: &[u8]) -> io::Result<FaultAction>;
 
-    /// Before a sync.
+    /// Called before a sync.
     ///
     /// # Errors
-    /// What the disk is to answer.
+    /// The error that the operation returns instead of being carried out.
     fn on_sync(&self) -> io::Result<FaultAction>;
 }
 
-/// A file that may misbehave.
+/// A file whose writes and syncs can be made to fail.
 #[derive(Debug)]
 pub(crate) struct Disk {
     file: FileBackend,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a voter must not forget, on disk: the log, its promises and its boot count.
+//! Durable storage of a voter: its log, its promises and its boot count.
 //!
-//! The store is one file in a folder of the node's own, written by a thread of its own: a disk that stalls delays nobody but
-//! whoever waits for this very batch. After the first failed write the store is dead and takes no further batch, as a retry
-//! might succeed and hide that an earlier write was lost.
+//! The store is one file in a folder that belongs to the node. A separate thread writes it, so a stalled disk
+//! delays only what waits for that batch. After the first failed write the store accepts no further batch, as
+//! a retry might succeed and hide that an earlier write was lost.
 
 mod disk;
 mod open;
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening a store: its lock, its file, and what to do if the file cannot be read.
+//! Opens a store: takes its lock, opens its file, and replaces a file that cannot be read.
 
 use std::fs::{File, OpenOptions};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -14,36 +14,36 @@
 const STORE_FILE: &str = "fleet.redb";
 const LOCK_FILE: &str = "fleet.lock";
 
-/// Where a file that cannot be read is moved.
+/// The name to which an unreadable store file is moved.
 const UNREADABLE_FILE: &str = "fleet.redb.unreadable";
 
 /// Why a store cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder does not exist.
-    #[error("the store's folder {0:?} is not there")]
+    /// The folder does not exist, or is not a folder.
+    #[error("store folder {0:?} does not exist or is not a folder")]
     NoFolder(PathBuf),
     /// Another process holds the lock.
-    #[error("another process has the store in {0:?}")]
+    #[error("store in folder {0:?} is in use by another process")]
     InUse(PathBuf),
     /// A file in the folder cannot be created, opened or moved.
-    #[error("cannot write in the store's folder {folder:?}: {source}")]
+    #[error("cannot create, open or move a file in store folder {folder:?}: {source}")]
     Unwritable {
         /// The store's folder.
         folder: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file cannot be used by the library.
-    #[error("cannot open the store in {folder:?}: {source}")]
+    /// The database library cannot use the file.
+    #[error("cannot open the store file in folder {folder:?}: {source}")]
     Database {
         /// The store's folder.
         folder: PathBuf,
-        /// The library's error.
+        /// The database library's error.
         source: Box<redb::Error>,
     },
-    /// Even an empty file cannot be read.
-    #[error("cannot open the store in {folder:?}: {source}")]
+    /// The new, empty file that replaces an unreadable one cannot be read either.
+    #[error("cannot open a new store file in folder {folder:?} in place of the unreadable one: {source}")]
     Unreadable {
         /// The store's folder.
         folder: PathBuf,
@@ -52,29 +52,29 @@
     },
 }
 
-/// A store that was opened, and what it held.
+/// An open store and its contents when it was opened.
 pub struct Opened {
-    /// What the store held; empty if it could not be read.
+    /// The contents of the store; empty if the file could not be read.
     pub saved: StoredState,
-    /// Why the file could not be read. It was moved aside, and the store begins empty.
+    /// Why the file could not be read, if so. The file was then moved aside, and the store starts empty.
     pub unreadable: Option<ReadError>,
     pub(crate) file: LockedDatabase,
 }
 
-/// The store's database, and the lock that is held as long as it is open.
+/// The store's database, and the lock that is held while it is open.
 pub(crate) struct LockedDatabase {
-    /// Declared, and so dropped, before the lock.
+    /// Declared before the lock, so that it is closed before the lock is released.
     pub(crate) database: Database,
     _lock: File,
 }
 
-/// Opens the store in this folder, which must exist.
+/// Opens the store in `folder`, which must exist.
 ///
-/// `faults` makes the disk misbehave, in tests.
+/// Tests pass `faults` to make the disk fail.
 ///
 /// # Errors
-/// A missing, unwritable or full folder, or one that another process uses. A file that cannot be read is no error: it is
-/// moved aside and reported in [`Opened::unreadable`].
+/// Fails if the folder is missing, unwritable, full or in use by another process. A file that cannot be read
+/// is no error: it is moved aside and reported in [`Opened::unreadable`].
 pub fn open(folder: &Path, faults: Option<Arc<dyn DiskFaults>>) -> Result<Opened, StoreError> {
     if !folder.is_dir() {
         return Err(StoreError::NoFolder(folder.to_owned()));
@@ -106,7 +106,8 @@
     }
 }
 
-/// The outer error is that the file cannot be opened, the inner one that it is damaged.
+/// Opens the database. The outer error means that the file cannot be opened, the inner one that it is
+/// damaged.
 fn open_database(
     folder: &Path,
     faults: Option<Arc<dyn DiskFaults>>,
@@ -114,8 +115,8 @@
     let file = open_file(folder, STORE_FILE)?;
     let disk = Disk::new(file, faults)
         .map_err(|source| StoreError::Database { folder: folder.to_owned(), source: Box::new(source) })?;
-    // The library trusts pages that it has not checked, and panics on some damage. All pages are checked here, while
-    // nobody waits.
+    // The database library trusts pages that it has not checked and panics on some damage. All pages are
+    // therefore checked on opening, when no request waits for them.
     let built = catch_unwind(AssertUnwindSafe(|| {
         Database::builder().set_check_integrity_on_open(true).create_with_backend(disk)
     }));
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes batches.
+//! The thread that writes batches to the store.
 
 use std::io::Write as _;
 use std::os::unix::net::UnixStream;
@@ -9,15 +9,16 @@
 use crate::open::{LockedDatabase, Opened};
 use crate::tables::write_batch;
 
-/// Batches that may wait. Whoever writes one waits for its outcome before the next, so that there is never a second.
+/// Maximum number of queued batches. The caller waits for the outcome of a batch before it writes the next,
+/// so there is at most one.
 const MAX_WAITING_BATCHES: usize = 4;
 
 /// The result of a batch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The batch of this number is on disk.
+    /// The batch with this number is on disk.
     Written(u64),
-    /// The store is dead, for this reason.
+    /// A write failed for this reason; the store accepts no further batch.
     Failed(String),
 }
 
@@ -26,17 +27,17 @@
     writes: Vec<StoreWrite>,
 }
 
-/// A store that is being written.
+/// A store with a running writer thread.
 pub struct Store {
     batches: SyncSender<Batch>,
     outcomes: Receiver<Outcome>,
 }
 
 impl Opened {
-    /// Starts the thread that writes. It sends one byte on `wake` with each outcome.
+    /// Starts the writer thread, which sends one byte on `wake` after each outcome.
     ///
     /// # Errors
-    /// The system grants no thread.
+    /// Fails if the operating system cannot create the thread.
     pub fn start(self, wake: UnixStream) -> Result<Store, std::io::Error> {
         let file = self.file;
         let (batches, received_batches) = sync_channel(MAX_WAITING_BATCHES);
@@ -48,7 +49,7 @@
     }
 }
 
-/// Writes until a write fails or nobody sends batches any more.
+/// Writes batches until a write fails or the [`Store`] is dropped.
 fn write_batches(
     file: &LockedDatabase,
     batches: &Receiver<Batch>,
@@ -60,21 +61,22 @@
             Ok(()) => Outcome::Written(batch.number),
             Err(error) => Outcome::Failed(error.to_string()),
         };
-        let is_dead = matches!(outcome, Outcome::Failed(_));
+        let has_failed = matches!(outcome, Outcome::Failed(_));
         let is_reported = outcomes.send(outcome).is_ok() && wake.write_all(&[0]).is_ok();
-        if is_dead || !is_reported {
+        if has_failed || !is_reported {
             return;
         }
     }
 }
 
 impl Store {
-    /// Hands a batch to the thread, and returns whether it was taken; never waits.
+    /// Queues a batch for the writer thread without blocking. Returns `false` if the store has failed or the
+    /// queue is full.
     pub fn write(&self, number: u64, writes: Vec<StoreWrite>) -> bool {
         self.batches.try_send(Batch { number, writes }).is_ok()
     }
 
-    /// The next outcome that has not been taken, if any.
+    /// Returns the next outcome that has not been read yet, if any.
     pub fn outcome(&self) -> Option<Outcome> {
         self.outcomes.try_recv().ok()
     }
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -1,4 +1,5 @@
-//! A store on disks that fail: each fault is injected into a real file, and judged by what is read back.
+//! The store on failing disks: each fault is injected into a real file, and the test checks what is read
+//! back.
 
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -11,57 +12,64 @@
 use glendeck_store::{DiskFaults, FaultAction, Outcome, ReadError, Store, StoreError, open};
 use test_case::test_case;
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-struct Folder(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+impl TestFolder {
+    fn new() -> TestFolder {
+        let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("glendeck-store-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
+/// Faults that a test turns on and off.
 #[derive(Debug, Default)]
-struct Switch {
-    fails: AtomicBool,
-    full: AtomicBool,
-    stalls: AtomicBool,
+struct SwitchedFaults {
+    /// Syncs fail with an I/O error.
+    sync_fails: AtomicBool,
+    /// Writes fail, as no space is left on the disk.
+    disk_full: AtomicBool,
+    /// Syncs take 700 ms.
+    sync_stalls: AtomicBool,
 }
 
-impl DiskFaults for Switch {
+impl DiskFaults for SwitchedFaults {
     fn on_write(&self, _: u64, _: &[u8]) -> io::Result<FaultAction> {
-        if self.full.load(Ordering::Relaxed) {
-            return Err(io::Error::from_raw_os_error(28));
+        if self.disk_full.load(Ordering::Relaxed) {
+            return Err(io::Error::from_raw_os_error(28)); // ENOSPC
         }
         Ok(FaultAction::Proceed)
     }
 
     fn on_sync(&self) -> io::Result<FaultAction> {
-        if self.stalls.load(Ordering::Relaxed) {
+        if self.sync_stalls.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(700));
         }
-        if self.fails.load(Ordering::Relaxed) {
-            return Err(io::Error::from_raw_os_error(5));
+        if self.sync_fails.load(Ordering::Relaxed) {
+            return Err(io::Error::from_raw_os_error(5)); // EIO
         }
         Ok(FaultAction::Proceed)
     }
 }
 
-fn start(folder: &Folder, faults: Option<Arc<dyn DiskFaults>>) -> (Store, StoredState, Option<ReadError>) {
-    let until = Instant::now() + Duration::from_secs(5);
+fn open_store(
+    folder: &TestFolder,
+    faults: Option<Arc<dyn DiskFaults>>,
+) -> (Store, StoredState, Option<ReadError>) {
+    let deadline = Instant::now() + Duration::from_secs(5);
     let opened = loop {
-        // The thread of the previous store closes it soon after its owner is gone.
+        // The writer thread of a dropped store closes the file with a delay.
         match open(&folder.0, faults.clone()) {
-            Err(StoreError::InUse(_)) if Instant::now() < until => {
+            Err(StoreError::InUse(_)) if Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(5))
             }
             other => break other.unwrap(),
@@ -74,12 +82,12 @@
 }
 
 fn outcome(store: &Store) -> Outcome {
-    let until = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         if let Some(outcome) = store.outcome() {
             return outcome;
         }
-        assert!(Instant::now() < until, "no outcome");
+        assert!(Instant::now() < deadline, "no outcome within 10 s");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -94,8 +102,8 @@
 
 #[test]
 fn a_reopened_store_holds_what_was_written() {
-    let folder = Folder::new();
-    let (store, saved, _) = start(&folder, None);
+    let folder = TestFolder::new();
+    let (store, saved, _) = open_store(&folder, None);
     assert_eq!(saved, StoredState::default());
     let mut expected = StoredState::default();
     for number in 0..20 {
@@ -111,19 +119,19 @@
         assert_eq!(outcome(&store), Outcome::Written(99));
     }
     drop(store);
-    let (_store, saved, unreadable) = start(&folder, None);
+    let (_store, saved, unreadable) = open_store(&folder, None);
     assert_eq!((saved, unreadable), (expected, None));
 }
 
-#[test_case(|switch| &switch.fails; "a sync that fails")]
-#[test_case(|switch| &switch.full; "a full disk")]
-fn a_store_is_dead_after_the_first_failure(fault: fn(&Switch) -> &AtomicBool) {
-    let (folder, switch) = (Folder::new(), Arc::new(Switch::default()));
-    let (store, _, _) = start(&folder, Some(switch.clone()));
+#[test_case(|injected| &injected.sync_fails; "sync fails")]
+#[test_case(|injected| &injected.disk_full; "disk full")]
+fn a_store_accepts_no_batch_after_the_first_failure(fault: fn(&SwitchedFaults) -> &AtomicBool) {
+    let (folder, injected) = (TestFolder::new(), Arc::new(SwitchedFaults::default()));
+    let (store, _, _) = open_store(&folder, Some(injected.clone()));
     assert!(store.write(1, writes(0)));
     assert_eq!(outcome(&store), Outcome::Written(1));
-    fault(&switch).store(true, Ordering::Relaxed);
-    // A full disk shows once the file has to grow.
+    fault(&injected).store(true, Ordering::Relaxed);
+    // A full disk causes an error only once the file has to grow.
     let mut batch = 2;
     let dead = loop {
         assert!(store.write(batch, vec![StoreWrite::Log(1, vec![7; 200_000 * batch as usize])]));
@@ -131,19 +139,19 @@
             Outcome::Failed(why) => break why,
             Outcome::Written(_) => batch += 1,
         }
-        assert!(batch < 40, "no write fails");
+        assert!(batch < 40, "no write failed in 40 batches");
     };
     assert!(!dead.is_empty());
-    fault(&switch).store(false, Ordering::Relaxed);
+    fault(&injected).store(false, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(!store.write(batch + 1, writes(2)), "a dead store takes nothing, whatever the disk says by now");
+    assert!(!store.write(batch + 1, writes(2)), "a failed store took a batch after the disk had recovered");
 }
 
 #[test]
-fn a_stalled_disk_does_not_block_the_writer_of_a_batch() {
-    let (folder, switch) = (Folder::new(), Arc::new(Switch::default()));
-    let (store, _, _) = start(&folder, Some(switch.clone()));
-    switch.stalls.store(true, Ordering::Relaxed);
+fn a_stalled_disk_does_not_block_the_caller() {
+    let (folder, injected) = (TestFolder::new(), Arc::new(SwitchedFaults::default()));
+    let (store, _, _) = open_store(&folder, Some(injected.clone()));
+    injected.sync_stalls.store(true, Ordering::Relaxed);
     let began = Instant::now();
     assert!(store.write(1, writes(0)));
     assert_eq!(store.outcome(), None);
@@ -152,24 +160,26 @@
     assert!(began.elapsed() >= Duration::from_millis(700));
 }
 
-/// Torn writes, flipped bits and lost ends are detected; nothing of them is taken for what was written.
+/// Damaged bytes are never returned as stored data: flipped bits and a truncated file are either detected or
+/// have no effect on what is read.
 #[test]
 fn damage_is_detected() {
-    let folder = Folder::new();
-    let (store, _, _) = start(&folder, None);
+    let folder = TestFolder::new();
+    let (store, _, _) = open_store(&folder, None);
     for number in 0..20 {
         assert!(store.write(u64::from(number), writes(number)));
         assert_eq!(outcome(&store), Outcome::Written(u64::from(number)));
     }
     drop(store);
-    let (store, whole, _) = start(&folder, None);
+    let (store, intact, _) = open_store(&folder, None);
     drop(store);
     std::thread::sleep(Duration::from_millis(50));
     let file = folder.0.join("fleet.redb");
     let bytes = std::fs::read(&file).unwrap();
     let (mut found, mut harmless) = (0, 0);
-    let spots = (0..bytes.len()).step_by(bytes.len() / 150 + 1).chain((0..320).step_by(16));
-    for (at, cut) in spots.map(|at| (at, false)).chain([(bytes.len() / 2, true), (4_096, true), (100, true)])
+    let offsets = (0..bytes.len()).step_by(bytes.len() / 150 + 1).chain((0..320).step_by(16));
+    for (at, cut) in
+        offsets.map(|at| (at, false)).chain([(bytes.len() / 2, true), (4_096, true), (100, true)])
     {
         let mut damaged = bytes.clone();
         if cut {
@@ -182,24 +192,28 @@
         let opened = open(&folder.0, None).unwrap();
         match &opened.unreadable {
             Some(_) => found += 1,
-            // The bit was in no use. Anything else is what was never written, and must not be taken for true.
+            // The damage is in unused space if the state reads back unchanged. A store must never return a
+            // state that was not written.
             None => {
-                assert_eq!(opened.saved, whole, "damage at {at} is taken for true");
+                assert_eq!(
+                    opened.saved, intact,
+                    "damage at byte {at} was not detected and changed the state"
+                );
                 harmless += 1;
             }
         }
     }
-    assert!(found >= 10, "{found} found, {harmless} harmless: the damage does not reach what is written");
+    assert!(found >= 10, "{found} detected, {harmless} harmless: the damage hardly touches written data");
 }
 
 #[test]
-fn a_store_that_cannot_be_opened_says_why() {
-    let folder = Folder::new();
+fn opening_an_unusable_store_reports_the_cause() {
+    let folder = TestFolder::new();
     let missing = folder.0.join("none");
     assert!(matches!(open(&missing, None), Err(StoreError::NoFolder(_))));
     let first = open(&folder.0, None).unwrap();
     let second = open(&folder.0, None).map(|_| ()).unwrap_err();
-    assert!(second.to_string().contains("another process has the store"), "{second}");
+    assert!(second.to_string().contains("in use by another process"), "{second}");
     drop(first);
     let file = folder.0.join("a file");
     std::fs::write(&file, "").unwrap();
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The store's file as earlier versions wrote it: `tests/fixtures/store.txt` holds the bytes of one, its rows of
-//! bytes that are not empty, as hexadecimal digits.
+//! Checks that a store file of an earlier version can still be read. `tests/fixtures/store.txt` holds the
+//! non-empty rows of its bytes as hexadecimal digits.
 
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -14,20 +14,20 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bytes in a line of the fixture.
+/// Bytes in one line of the fixture.
 const ROW_BYTES: usize = 32;
 
-struct Folder(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let path = std::env::temp_dir().join(format!("glendeck-store-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder for the test");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("the test folder can be created");
+        TestFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -50,8 +50,9 @@
     expected
 }
 
-/// A line for the length, then one for each run of equal rows: the first one's number, how many there are, and the bytes of
-/// one without the zeros at its end. Empty rows are left out.
+/// Encodes bytes as fixture text: a line with the length, then one line for each run of equal rows with the
+/// number of its first row, the number of rows, and the bytes of a row without trailing zeros. Rows of zeros
+/// are left out.
 fn to_text(bytes: &[u8]) -> String {
     let rows: Vec<&[u8]> = bytes.chunks(ROW_BYTES).collect();
     let mut text = format!("length {}\n", bytes.len());
@@ -67,16 +68,18 @@
     text
 }
 
+/// Decodes fixture text.
 fn from_text(text: &str) -> Vec<u8> {
     let mut lines = text.lines();
-    let length = lines.next().and_then(|line| line.strip_prefix("length ")).expect("a length");
-    let mut bytes = vec![0; length.parse().expect("a number")];
+    let length =
+        lines.next().and_then(|line| line.strip_prefix("length ")).expect("the first line holds the length");
+    let mut bytes = vec![0; length.parse().expect("the length is a number")];
     for line in lines {
         let [first, count, digits] = line.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("three fields: {line}")
+            panic!("fixture line does not have three fields: {line}")
         };
-        let first: usize = first.parse().expect("a row's number");
-        let count: usize = count.parse().expect("a number of rows");
+        let first: usize = first.parse().expect("the first row is a number");
+        let count: usize = count.parse().expect("the row count is a number");
         let row = from_digits(digits);
         for number in first..first + count {
             let start = number * ROW_BYTES;
@@ -88,11 +91,11 @@
 
 fn from_digits(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2).map(|start| &digits[start..start + 2]);
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
+    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal digits come in pairs")).collect()
 }
 
-/// What the store holds, once the thread that wrote it has closed it.
-fn saved_once_free(folder: &Path) -> (StoredState, Option<ReadError>) {
+/// Reads the store's contents, once the thread that wrote it has closed the file.
+fn saved_once_closed(folder: &Path) -> (StoredState, Option<ReadError>) {
     let opened = loop {
         match open(folder, None) {
             Err(StoreError::InUse(_)) => std::thread::sleep(POLL_INTERVAL),
@@ -104,9 +107,9 @@
 
 #[test]
 fn a_recorded_store_is_read_as_it_was_written() {
-    let folder = Folder::new("recorded");
-    std::fs::write(folder.0.join(STORE_FILE), from_text(RECORDED)).expect("the recorded file is laid out");
-    assert_eq!(saved_once_free(&folder.0), (expected(), None));
+    let folder = TestFolder::new("recorded");
+    std::fs::write(folder.0.join(STORE_FILE), from_text(RECORDED)).expect("the recorded file can be written");
+    assert_eq!(saved_once_closed(&folder.0), (expected(), None));
 }
 
 #[test]
@@ -117,21 +120,21 @@
     assert_eq!(from_text(&to_text(&bytes)), bytes);
 }
 
-/// With `RECORD_STORE=path`, the bytes are written there, as a fixture for a new form of the store.
+/// With `RECORD_STORE=path`, also writes the bytes to that file, as the fixture for a new store format.
 #[test]
 fn a_store_written_now_holds_the_recorded_values() {
-    let folder = Folder::new("written");
+    let folder = TestFolder::new("written");
     let opened = open(&folder.0, None).expect("the store opens");
-    let (wake, _waiting) = UnixStream::pair().expect("a pair of sockets");
+    let (wake, _waiting) = UnixStream::pair().expect("a socket pair can be created");
     let store = opened.start(wake).expect("the thread starts");
     assert!(store.write(1, writes()));
     while store.outcome().is_none() {
         std::thread::sleep(POLL_INTERVAL);
     }
     drop(store);
-    assert_eq!(saved_once_free(&folder.0), (expected(), None));
+    assert_eq!(saved_once_closed(&folder.0), (expected(), None));
     if let Ok(path) = std::env::var("RECORD_STORE") {
-        let bytes = std::fs::read(folder.0.join(STORE_FILE)).expect("the store's file");
-        std::fs::write(path, to_text(&bytes)).expect("the fixture is written");
+        let bytes = std::fs::read(folder.0.join(STORE_FILE)).expect("the store file can be read");
+        std::fs::write(path, to_text(&bytes)).expect("the fixture can be written");
     }
 }
