--- a/crates/fleet/tests/schedules/common.rs
+++ b/crates/fleet/tests/schedules/common.rs
@@ -26,11 +26,11 @@
 }
 
 pub(crate) fn release_state(world: &World) -> Option<ReleaseState> {
-    world.newest()?.release.as_ref().map(|release| release.release_state.clone())
+    world.newest_state()?.release.as_ref().map(|release| release.release_state.clone())
 }
 
 pub(crate) fn release(world: &mut World, at: usize, version: &str) {
-    world.order_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::Hold) });
+    world.request_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::Hold) });
 }
 
 pub(crate) fn in_parallel<T: Send>(from: u64, to: u64, job: impl Fn(u64) -> Option<T> + Sync) -> Vec<T> {
--- a/crates/fleet/tests/schedules/drawn.rs
+++ b/crates/fleet/tests/schedules/drawn.rs
@@ -48,7 +48,7 @@
         .map(|_| {
             let mut world = draw(3, 5, 3);
             let _ = play(&mut world, 5);
-            (world.trace, world.sent)
+            (world.trace, world.messages_sent)
         })
         .collect();
     assert_eq!(traces[0], traces[1]);
--- a/crates/fleet/tests/schedules/draws.rs
+++ b/crates/fleet/tests/schedules/draws.rs
@@ -25,64 +25,66 @@
 /// Hosts are wanted out and taken back, the list shows a deploy, and some nodes' lists stand still.
 pub(crate) fn add_hosts(world: &mut World, nodes: usize) {
     const HOSTS: u64 = 6;
-    world.with_hosts(HOSTS as usize);
-    let when = |world: &mut World| FIRST * 1_000 + world.roll((LAST - FIRST) * 1_000);
-    for no in 0..world.roll(14) {
-        let (at, node) = (when(world), world.roll(nodes as u64) as usize);
-        let unit = host(world.roll(HOSTS) as usize);
-        let command = match world.roll(9) {
+    world.create_hosts(HOSTS as usize);
+    let when = |world: &mut World| FIRST * 1_000 + world.random_below((LAST - FIRST) * 1_000);
+    for no in 0..world.random_below(14) {
+        let (at, node) = (when(world), world.random_below(nodes as u64) as usize);
+        let unit = host(world.random_below(HOSTS) as usize);
+        let command = match world.random_below(9) {
             0..5 => Command::Drain { unit },
             5..8 => Command::Activate { unit },
             _ => Command::Override { unit, reason: "a drawn day".into() },
         };
-        world.order(at, node, &format!("host {no}"), command);
+        world.schedule_request(at, node, &format!("host {no}"), command);
     }
-    for _ in 0..world.roll(4) {
-        let (at, of, lasts) = (when(world), world.roll(HOSTS) as usize, world.roll(40_000));
-        world.fault(at, Fault::Listed(of, EndpointState::Draining));
-        if world.roll(2) == 0 {
-            world.fault(at + lasts / 2, Fault::Listed(of, EndpointState::Gone));
+    for _ in 0..world.random_below(4) {
+        let (at, of, lasts) = (when(world), world.random_below(HOSTS) as usize, world.random_below(40_000));
+        world.schedule_fault(at, Fault::SetListed(of, EndpointState::Draining));
+        if world.random_below(2) == 0 {
+            world.schedule_fault(at + lasts / 2, Fault::SetListed(of, EndpointState::Gone));
         }
-        world.fault(at + lasts, Fault::Listed(of, EndpointState::Ready));
+        world.schedule_fault(at + lasts, Fault::SetListed(of, EndpointState::Ready));
     }
-    if world.roll(3) == 0 {
-        let (at, node) = (when(world), world.roll(nodes as u64) as usize);
-        world.fault(at, Fault::ListStands(node, true));
+    if world.random_below(3) == 0 {
+        let (at, node) = (when(world), world.random_below(nodes as u64) as usize);
+        world.schedule_fault(at, Fault::StallList(node, true));
     }
 }
 
 /// Orders that cross grants: halts and resumes in quick turn, while words to single nodes come late.
 pub(crate) fn draw_crossings(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
-    let act = if world.roll(2) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
+    let act = if world.random_below(2) == 0 { Act::Drain } else { Act::Exit };
+    let on_halt = if world.random_below(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
     let mut plan = plan("v2", act, on_halt);
-    plan.gates.most_lost = world.roll(3) as u32 * 100;
-    world.order(8_000, 0, "start", Command::StartRelease { plan });
+    plan.gates.most_lost = world.random_below(3) as u32 * 100;
+    world.schedule_request(8_000, 0, "start", Command::StartRelease { plan });
     let mut when = FIRST * 1_000;
     let mut no = 0;
     while when < LAST * 1_000 {
-        when += 300 + world.roll(2_500);
+        when += 300 + world.random_below(2_500);
         no += 1;
-        let (at, unit) = (world.roll(nodes as u64) as usize, name(world.roll(nodes as u64) as usize));
-        let command = match world.roll(10) {
+        let (at, unit) =
+            (world.random_below(nodes as u64) as usize, name(world.random_below(nodes as u64) as usize));
+        let command = match world.random_below(10) {
             0..4 => halt("an operator"),
             4..8 => Command::Resume,
             8 => Command::Drain { unit },
             _ => Command::Activate { unit },
         };
-        world.order(when, at, &format!("order {no}"), command);
-        let (slow, lasts) = (world.roll(nodes as u64) as usize, when + 300 + world.roll(5_000));
-        let state = if world.roll(3) == 0 { LinkState::Slow } else { LinkState::Stalled };
-        let (before, inwards) = (world.roll(2_000), world.roll(2) == 0);
-        if world.roll(4) == 0 {
-            world.fault(when - before, Fault::Stop(slow));
-            world.fault(lasts, Fault::Continue(slow));
+        world.schedule_request(when, at, &format!("order {no}"), command);
+        let (slow, lasts) =
+            (world.random_below(nodes as u64) as usize, when + 300 + world.random_below(5_000));
+        let state = if world.random_below(3) == 0 { LinkState::Slow } else { LinkState::Stalled };
+        let (before, inwards) = (world.random_below(2_000), world.random_below(2) == 0);
+        if world.random_below(4) == 0 {
+            world.schedule_fault(when - before, Fault::Stop(slow));
+            world.schedule_fault(lasts, Fault::Continue(slow));
         } else {
             for other in (0..nodes).filter(|other| *other != slow) {
                 let (from, to) = if inwards { (other, slow) } else { (slow, other) };
-                world.fault(when - before, Fault::Link(from, to, state));
-                world.fault(lasts, Fault::Link(from, to, LinkState::Up));
+                world.schedule_fault(when - before, Fault::Link(from, to, state));
+                world.schedule_fault(lasts, Fault::Link(from, to, LinkState::Up));
             }
         }
     }
@@ -92,53 +94,61 @@
 /// What two voters of three have agreed is forgotten by one of them while the other is away.
 pub(crate) fn draw_forgetting(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
-    world.order(7_000, 0, "start", Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::Hold) });
+    world.schedule_request(
+        7_000,
+        0,
+        "start",
+        Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::Hold) },
+    );
     let mut when = FIRST * 1_000;
     while when + 20_000 < LAST * 1_000 {
-        let forgetful = world.roll(voters as u64) as usize;
+        let forgetful = world.random_below(voters as u64) as usize;
         // As many as may be missing know nothing of it, and the rest but the forgetful go away afterwards.
         let behind: Vec<usize> = (0..voters).filter(|at| *at != forgetful).take(voters / 2).collect();
         let others: Vec<usize> = (0..voters).filter(|at| *at != forgetful && !behind.contains(at)).collect();
-        let slow = world.roll(2) == 0;
+        let slow = world.random_below(2) == 0;
         if slow {
-            let ms = 300 + world.roll(600);
-            world.fault(when, Fault::DiskSlow(forgetful, ms));
+            let ms = 300 + world.random_below(600);
+            world.schedule_fault(when, Fault::DiskSlow(forgetful, ms));
         } else {
-            world.fault(when, Fault::Copy(forgetful));
+            world.schedule_fault(when, Fault::CopyDisk(forgetful));
         }
         let cut = when + 1_500;
         for one in &behind {
             for other in (0..nodes).filter(|other| !behind.contains(other)) {
-                world.fault(cut, Fault::Link(*one, other, LinkState::Cut));
-                world.fault(cut, Fault::Link(other, *one, LinkState::Cut));
+                world.schedule_fault(cut, Fault::Link(*one, other, LinkState::Cut));
+                world.schedule_fault(cut, Fault::Link(other, *one, LinkState::Cut));
             }
         }
         for no in 0..6 {
-            let at = others[world.roll(others.len() as u64) as usize];
-            world.order(cut + 1_500 + no * 250, at, &format!("{when} {no}"), Command::Confirm);
+            let at = others[world.random_below(others.len() as u64) as usize];
+            world.schedule_request(cut + 1_500 + no * 250, at, &format!("{when} {no}"), Command::Confirm);
         }
-        let lost = cut + 2_600 + world.roll(900);
-        world.fault(lost, if slow { Fault::Kill(forgetful) } else { Fault::OlderCopy(forgetful) });
+        let lost = cut + 2_600 + world.random_below(900);
+        world.schedule_fault(
+            lost,
+            if slow { Fault::Kill(forgetful) } else { Fault::RestoreDiskCopy(forgetful) },
+        );
         for at in &others {
-            let soon = lost + 20 + world.roll(60);
-            world.fault(soon, Fault::Stop(*at));
+            let soon = lost + 20 + world.random_below(60);
+            world.schedule_fault(soon, Fault::Stop(*at));
         }
         for one in &behind {
             for other in 0..nodes {
-                world.fault(lost + 200, Fault::Link(*one, other, LinkState::Up));
-                world.fault(lost + 200, Fault::Link(other, *one, LinkState::Up));
+                world.schedule_fault(lost + 200, Fault::Link(*one, other, LinkState::Up));
+                world.schedule_fault(lost + 200, Fault::Link(other, *one, LinkState::Up));
             }
         }
         for no in 0..8 {
-            let at = behind[world.roll(behind.len() as u64) as usize];
-            world.order(lost + 4_000 + no * 600, at, &format!("{lost} {no}"), Command::Confirm);
+            let at = behind[world.random_below(behind.len() as u64) as usize];
+            world.schedule_request(lost + 4_000 + no * 600, at, &format!("{lost} {no}"), Command::Confirm);
         }
         if slow {
             // Its disk was slow, and never untrue: an operator may vouch for it.
-            world.fault(lost + 8_000, Fault::Trust(forgetful));
+            world.schedule_fault(lost + 8_000, Fault::Trust(forgetful));
         }
         for at in &others {
-            world.fault(lost + 12_000, Fault::Continue(*at));
+            world.schedule_fault(lost + 12_000, Fault::Continue(*at));
         }
         when = lost + 16_000;
     }
@@ -149,25 +159,35 @@
 #[expect(clippy::too_many_lines, reason = "one arm a kind of event")]
 pub(crate) fn draw_mixed(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
-    let acts = if world.roll(4) == 0 { Act::Drain } else { Act::Exit };
-    let on_halt = if world.roll(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
-    if world.roll(6) == 0 {
-        world.serves_badly("v2");
+    let acts = if world.random_below(4) == 0 { Act::Drain } else { Act::Exit };
+    let on_halt = if world.random_below(2) == 0 { OnHalt::Hold } else { OnHalt::Return };
+    if world.random_below(6) == 0 {
+        world.fail_calls_of("v2");
     }
-    let start = 8_000 + world.roll(8_000);
-    let at = world.roll(nodes as u64) as usize;
-    world.order(start, at, "start", Command::StartRelease { plan: plan("v2", acts, on_halt) });
-    if world.roll(2) == 0 {
+    let start = 8_000 + world.random_below(8_000);
+    let at = world.random_below(nodes as u64) as usize;
+    world.schedule_request(start, at, "start", Command::StartRelease { plan: plan("v2", acts, on_halt) });
+    if world.random_below(2) == 0 {
         // Sent twice, and by another at another node.
-        let at = world.roll(nodes as u64) as usize;
-        world.order(start + 300, at, "start", Command::StartRelease { plan: plan("v2", acts, on_halt) });
-        world.order(start + 200, at, "other", Command::StartRelease { plan: plan("v3", acts, on_halt) });
+        let at = world.random_below(nodes as u64) as usize;
+        world.schedule_request(
+            start + 300,
+            at,
+            "start",
+            Command::StartRelease { plan: plan("v2", acts, on_halt) },
+        );
+        world.schedule_request(
+            start + 200,
+            at,
+            "other",
+            Command::StartRelease { plan: plan("v3", acts, on_halt) },
+        );
     }
-    for at_ms in 0..(1 + world.roll(8)) {
-        let when = FIRST * 1_000 + world.roll((LAST - FIRST) * 1_000);
-        let at = world.roll(nodes as u64) as usize;
-        let unit = name(world.roll(nodes as u64) as usize);
-        let command = match world.roll(8) {
+    for at_ms in 0..(1 + world.random_below(8)) {
+        let when = FIRST * 1_000 + world.random_below((LAST - FIRST) * 1_000);
+        let at = world.random_below(nodes as u64) as usize;
+        let unit = name(world.random_below(nodes as u64) as usize);
+        let command = match world.random_below(8) {
             0 | 1 => halt("an operator"),
             2 => Command::Resume,
             3 => Command::RollBack,
@@ -175,89 +195,92 @@
             6 => Command::Activate { unit },
             _ => Command::Confirm,
         };
-        world.order(when, at, &format!("order {at_ms}"), command);
+        world.schedule_request(when, at, &format!("order {at_ms}"), command);
     }
-    let some = 2 + world.roll(10);
+    let some = 2 + world.random_below(10);
     // One voter at a time may forget, and gets time to be admitted again.
-    let mut forgets_at = FIRST * 1_000 + world.roll(10_000);
+    let mut forgets_at = FIRST * 1_000 + world.random_below(10_000);
     for _ in 0..some {
-        let when = FIRST * 1_000 + world.roll((LAST - FIRST) * 1_000);
-        let (a, b) = (world.roll(nodes as u64) as usize, world.roll(nodes as u64) as usize);
-        let lasts = when + 200 + world.roll(12_000);
-        match world.roll(13) {
-            0 => world.fault(when, Fault::Kill(a)),
+        let when = FIRST * 1_000 + world.random_below((LAST - FIRST) * 1_000);
+        let (a, b) = (world.random_below(nodes as u64) as usize, world.random_below(nodes as u64) as usize);
+        let lasts = when + 200 + world.random_below(12_000);
+        match world.random_below(13) {
+            0 => world.schedule_fault(when, Fault::Kill(a)),
             1 | 2 => {
-                world.fault(when, Fault::Stop(a));
-                world.fault(lasts, Fault::Continue(a));
+                world.schedule_fault(when, Fault::Stop(a));
+                world.schedule_fault(lasts, Fault::Continue(a));
             }
             3 => {
-                let state = [LinkState::Cut, LinkState::Stalled, LinkState::Slow][world.roll(3) as usize];
-                world.fault(when, Fault::Link(a, b, state));
-                world.fault(lasts, Fault::Link(a, b, LinkState::Up));
+                let state =
+                    [LinkState::Cut, LinkState::Stalled, LinkState::Slow][world.random_below(3) as usize];
+                world.schedule_fault(when, Fault::Link(a, b, state));
+                world.schedule_fault(lasts, Fault::Link(a, b, LinkState::Up));
             }
             4 => {
                 // Two sides that do not hear each other; one node may hear both.
-                let bridge = world.roll(2 * nodes as u64) as usize;
-                let side = world.roll(1 << nodes.min(60));
+                let bridge = world.random_below(2 * nodes as u64) as usize;
+                let side = world.random_below(1 << nodes.min(60));
                 for one in 0..nodes {
                     for other in 0..nodes {
                         let apart = (side >> (one % 60)) & 1 != (side >> (other % 60)) & 1;
                         if apart && one != bridge && other != bridge {
-                            world.fault(when, Fault::Link(one, other, LinkState::Cut));
-                            world.fault(lasts, Fault::Link(one, other, LinkState::Up));
+                            world.schedule_fault(when, Fault::Link(one, other, LinkState::Cut));
+                            world.schedule_fault(lasts, Fault::Link(one, other, LinkState::Up));
                         }
                     }
                 }
             }
             5 => {
                 // It reaches all and hears none, or the other way round.
-                let deaf = world.roll(2) == 0;
+                let deaf = world.random_below(2) == 0;
                 for other in (0..nodes).filter(|other| *other != a) {
                     let (from, to) = if deaf { (other, a) } else { (a, other) };
-                    world.fault(when, Fault::Link(from, to, LinkState::Cut));
-                    world.fault(lasts, Fault::Link(from, to, LinkState::Up));
+                    world.schedule_fault(when, Fault::Link(from, to, LinkState::Cut));
+                    world.schedule_fault(lasts, Fault::Link(from, to, LinkState::Up));
                 }
             }
             6 => {
                 for turn in 0..6 {
                     let state = if turn % 2 == 0 { LinkState::Cut } else { LinkState::Up };
-                    world.fault(when + turn * 1_000, Fault::Link(a, b, state));
-                    world.fault(when + turn * 1_000, Fault::Link(b, a, state));
+                    world.schedule_fault(when + turn * 1_000, Fault::Link(a, b, state));
+                    world.schedule_fault(when + turn * 1_000, Fault::Link(b, a, state));
                 }
             }
             7 => {
-                let zone = world.roll(3) as usize;
+                let zone = world.random_below(3) as usize;
                 for at in (0..nodes).filter(|at| at % 3 == zone) {
-                    world.fault(when, Fault::Kill(at));
+                    world.schedule_fault(when, Fault::Kill(at));
                 }
             }
-            8 if world.roll(2) == 0 => (0..nodes).for_each(|at| world.fault(when, Fault::Kill(at))),
+            8 if world.random_below(2) == 0 => {
+                (0..nodes).for_each(|at| world.schedule_fault(when, Fault::Kill(at)))
+            }
             9 => {
-                let ms = [50, 500, 10_000][world.roll(3) as usize];
-                world.fault(when, Fault::DiskSlow(a, ms));
-                world.fault(lasts, Fault::DiskSlow(a, 2));
+                let ms = [50, 500, 10_000][world.random_below(3) as usize];
+                world.schedule_fault(when, Fault::DiskSlow(a, ms));
+                world.schedule_fault(lasts, Fault::DiskSlow(a, 2));
             }
             10 if voters > 2 => {
-                world.fault(when, Fault::DiskFails(a));
-                world.fault(lasts, Fault::Kill(a));
+                world.schedule_fault(when, Fault::DiskFails(a));
+                world.schedule_fault(lasts, Fault::Kill(a));
             }
             11 | 12 if voters > 2 && forgets_at < LAST * 1_000 => {
-                let voter = world.roll(voters as u64) as usize;
-                let fault = match world.roll(3) {
+                let voter = world.random_below(voters as u64) as usize;
+                let fault = match world.random_below(3) {
                     0 => {
-                        world.fault(forgets_at - 3_000, Fault::Copy(voter));
-                        Fault::OlderCopy(voter)
+                        world.schedule_fault(forgets_at - 3_000, Fault::CopyDisk(voter));
+                        Fault::RestoreDiskCopy(voter)
                     }
-                    1 => Fault::NoFolder(voter),
+                    1 => Fault::EraseDisk(voter),
                     _ => {
-                        world.fault(forgets_at - 3_000, Fault::Lies(voter));
+                        world.schedule_fault(forgets_at - 3_000, Fault::DropSyncs(voter));
                         Fault::Kill(voter)
                     }
                 };
-                world.fault(forgets_at, fault);
+                world.schedule_fault(forgets_at, fault);
                 forgets_at += 25_000;
             }
-            _ => world.fault(when, Fault::Kill(a)),
+            _ => world.schedule_fault(when, Fault::Kill(a)),
         }
     }
     world
@@ -265,9 +288,9 @@
 
 /// Plays a day to its end: no rule broken, and once faults have ended all that was begun ends.
 pub(crate) fn play(world: &mut World, nodes: usize) -> Result<(), String> {
-    let check = |world: &World| world.broken.clone().map_or(Ok(()), Err);
+    let check = |world: &World| world.violation.clone().map_or(Ok(()), Err);
     world.run_until(LAST * 1_000 + 13_000);
-    world.fault(LAST * 1_000 + 13_001, Fault::Heal);
+    world.schedule_fault(LAST * 1_000 + 13_001, Fault::Heal);
     let mut at = LAST * 1_000 + 40_000;
     world.run_until(at);
     check(world)?;
@@ -283,17 +306,17 @@
         let Some(leader) = waits.and(world.leader()) else {
             return Err("nobody leads 27 s after the last fault".into());
         };
-        let state = world.newest().ok_or("no state")?.clone();
+        let state = world.newest_state().ok_or("no state")?.clone();
         for (unit, of) in &state.units {
             if of.unit_state.cause().is_some_and(|cause| !matches!(cause, Cause::Release(_))) {
                 let id = format!("take back {unit} {round}");
-                world.order(at + 1, leader, &id, Command::Activate { unit: unit.clone() });
+                world.schedule_request(at + 1, leader, &id, Command::Activate { unit: unit.clone() });
             }
         }
         for (unit, of) in &state.hosts {
             if of.held.is_some() {
                 let id = format!("take back {unit} {round}");
-                world.order(at + 1, leader, &id, Command::Activate { unit: unit.clone() });
+                world.schedule_request(at + 1, leader, &id, Command::Activate { unit: unit.clone() });
             }
         }
         if let Some(release) = &state.release
@@ -301,28 +324,28 @@
         {
             let command =
                 if release.back.is_none() && round > 1 { Command::RollBack } else { Command::Resume };
-            world.order(at + 2, leader, &format!("end {round}"), command);
+            world.schedule_request(at + 2, leader, &format!("end {round}"), command);
         }
         at += 40_000 + nodes as u64 * 3_000;
         world.run_until(at);
         check(world)?;
-        let state = world.newest().ok_or("no state")?;
+        let state = world.newest_state().ok_or("no state")?;
         let all_back = state.units.values().all(|unit| unit.unit_state == UnitState::Serving && !unit.lost);
         let over =
             state.release.as_ref().is_none_or(|release| release.release_state == ReleaseState::Finished);
         let hosts_back = state.hosts.values().all(|host| !host.is_out());
-        if all_back && over && hosts_back && world.really_out() == 0 {
+        if all_back && over && hosts_back && world.count_out() == 0 {
             return Ok(());
         }
     }
-    let state = world.newest().ok_or("no state")?;
+    let state = world.newest_state().ok_or("no state")?;
     let left: Vec<_> = state.units_out().collect();
     let release = state
         .release
         .as_ref()
         .map(|of| (of.number, &of.release_state, of.wave, &of.waves, of.back.is_some()));
     let hosts: Vec<_> = state.hosts.iter().filter(|(_, host)| host.is_out()).collect();
-    Err(format!("not over at {at} ms: {left:?}, {hosts:?}, release {release:?}, out {}", world.really_out()))
+    Err(format!("not over at {at} ms: {left:?}, {hosts:?}, release {release:?}, out {}", world.count_out()))
 }
 
 pub(crate) fn sizes(seed: u64) -> (usize, usize) {
--- a/crates/fleet/tests/schedules/injected_faults.rs
+++ b/crates/fleet/tests/schedules/injected_faults.rs
@@ -16,16 +16,16 @@
     world.run_until(10_000);
     let mut plan = plan("v2", act, OnHalt::Hold);
     plan.units = vec![name(3), name(4)];
-    world.order_now(0, "start", Command::StartRelease { plan });
+    world.request_now(0, "start", Command::StartRelease { plan });
     let asks = |world: &World| {
         (0..5).find(|at| matches!(world.unit_state(*at, *at), Some(UnitState::Granted { .. })))
     };
-    if !world.run_to(3_000, |world| asks(world).is_some()) {
+    if !world.wait_for(3_000, |world| asks(world).is_some()) {
         return None;
     }
     let unit = asks(&world)?;
     // What it has asked is on its way; what is said to it waits, as it does itself.
-    world.strike_now(Fault::Stop(unit));
+    world.apply_fault_now(Fault::Stop(unit));
     world.run_until(world.now_ms() + 300);
     let leader = world.leader().filter(|leader| *leader != unit)?;
     Some((world, leader, unit))
@@ -38,9 +38,9 @@
         // Begun, halted, and heard of only much later.
         InjectedFault::AnyAge => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
-            world.order_now(leader, "halt", halt("an operator"));
+            world.request_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 4_000);
-            world.strike_now(Fault::Continue(unit));
+            world.apply_fault_now(Fault::Continue(unit));
             world.run_until(world.now_ms() + 6_000);
             Some(world)
         }
@@ -48,13 +48,13 @@
         InjectedFault::HaltForgotten => {
             let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
             world.run_until(world.now_ms() + 2_500);
-            world.around(unit, false, true, LinkState::Stalled);
-            world.strike_now(Fault::Continue(unit));
+            world.set_links(unit, false, true, LinkState::Stalled);
+            world.apply_fault_now(Fault::Continue(unit));
             world.run_until(world.now_ms() + 150);
-            world.around(unit, true, false, LinkState::Stalled);
-            world.order_now(leader, "halt", halt("an operator"));
+            world.set_links(unit, true, false, LinkState::Stalled);
+            world.request_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 200);
-            world.around(unit, true, true, LinkState::Up);
+            world.set_links(unit, true, true, LinkState::Up);
             world.run_until(world.now_ms() + 6_000);
             Some(world)
         }
@@ -64,17 +64,17 @@
             world.run_until(10_000);
             let leader = world.leader()?;
             let unit = (0..5).find(|at| *at != leader)?;
-            world.around(unit, false, true, LinkState::Stalled);
+            world.set_links(unit, false, true, LinkState::Stalled);
             let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
             plan.units = vec![name(unit)];
-            world.order_now(leader, "start", Command::StartRelease { plan });
-            world.run_to(3_000, |world| {
+            world.request_now(leader, "start", Command::StartRelease { plan });
+            world.wait_for(3_000, |world| {
                 matches!(world.unit_state(unit, unit), Some(UnitState::Granted { .. }))
             });
             world.run_until(world.now_ms() + 300);
-            world.order_now(leader, "halt", halt("an operator"));
+            world.request_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 300);
-            world.around(unit, false, true, LinkState::Up);
+            world.set_links(unit, false, true, LinkState::Up);
             world.run_until(world.now_ms() + 8_000);
             Some(world)
         }
@@ -83,49 +83,49 @@
             let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
             let leader = world.leader()?;
-            world.strike_now(Fault::Stop((leader + 1) % 5));
+            world.apply_fault_now(Fault::Stop((leader + 1) % 5));
             world.run_until(20_000);
-            world.order_now(leader, "drain", Command::Drain { unit: name((leader + 2) % 5) });
+            world.request_now(leader, "drain", Command::Drain { unit: name((leader + 2) % 5) });
             world.run_until(26_000);
             Some(world)
         }
         // A node cut off from the group goes on with the clients that it has at the host.
         InjectedFault::EmptyWithoutLost => {
             let mut world = World::new(seed, policy(5, 3));
-            world.with_hosts(6);
+            world.create_hosts(6);
             world.run_until(16_000);
-            world.around(4, true, true, LinkState::Cut);
+            world.set_links(4, true, true, LinkState::Cut);
             world.run_until(24_000);
             let leader = world.leader()?;
-            world.order_now(leader, "drain", Command::Drain { unit: host(1) });
+            world.request_now(leader, "drain", Command::Drain { unit: host(1) });
             world.run_until(45_000);
             Some(world)
         }
         // The list shows one as out, for long.
         InjectedFault::ListNotCounted => {
             let mut world = World::new(seed, policy(5, 3));
-            world.with_hosts(6);
+            world.create_hosts(6);
             world.run_until(16_000);
-            world.strike_now(Fault::Listed(1, EndpointState::Draining));
+            world.apply_fault_now(Fault::SetListed(1, EndpointState::Draining));
             world.run_until(50_000);
             let leader = world.leader()?;
             // Of the same zone.
-            world.order_now(leader, "drain", Command::Drain { unit: host(4) });
+            world.request_now(leader, "drain", Command::Drain { unit: host(4) });
             world.run_until(55_000);
             Some(world)
         }
         // Taken back, and one node has not heard so.
         InjectedFault::HostBackAtOnce => {
             let mut world = World::new(seed, policy(5, 3));
-            world.with_hosts(6);
+            world.create_hosts(6);
             world.run_until(16_000);
             let leader = world.leader()?;
-            world.order_now(leader, "drain", Command::Drain { unit: host(1) });
+            world.request_now(leader, "drain", Command::Drain { unit: host(1) });
             world.run_until(22_000);
-            world.around(4, true, false, LinkState::Stalled);
-            world.order_now(leader, "back", Command::Activate { unit: host(1) });
+            world.set_links(4, true, false, LinkState::Stalled);
+            world.request_now(leader, "back", Command::Activate { unit: host(1) });
             world.run_until(22_300);
-            world.order_now(leader, "next", Command::Drain { unit: host(4) });
+            world.request_now(leader, "next", Command::Drain { unit: host(4) });
             world.run_until(24_000);
             Some(world)
         }
@@ -150,11 +150,14 @@
 fn checker_notices_injected_fault(fault: InjectedFault) {
     let scripts = (0..10).filter_map(|seed| {
         let correct = script(fault, seed)?;
-        assert_eq!(correct.broken, None, "the program without a fault on the day for {fault:?}, seed {seed}");
+        assert_eq!(
+            correct.violation, None,
+            "the program without a fault on the day for {fault:?}, seed {seed}"
+        );
         inject(Some(fault));
         let faulty = script(fault, seed);
         inject(None);
-        faulty?.broken.map(|why| (seed, why))
+        faulty?.violation.map(|why| (seed, why))
     });
     let scripted: Vec<(u64, String)> = scripts.collect();
     if let Some(first) = scripted.first() {
@@ -172,9 +175,9 @@
         inject(None);
         // Only what breaks a rule counts, not what does not end.
         let why = why.unwrap_or_else(|_| Some("it panicked".into()));
-        let broken = why.filter(|why| !why.starts_with("not over") && !why.starts_with("nobody"))?;
+        let violation = why.filter(|why| !why.starts_with("not over") && !why.starts_with("nobody"))?;
         caught.store(true, std::sync::atomic::Ordering::Relaxed);
-        Some((seed, broken))
+        Some((seed, violation))
     });
     println!("{fault:?}: caught on drawn day {:?}", found.first());
     assert!(!found.is_empty(), "{fault:?} is not caught");
--- a/crates/fleet/tests/schedules/scale.rs
+++ b/crates/fleet/tests/schedules/scale.rs
@@ -14,19 +14,20 @@
     let (mut world, _) = settled(nodes, voters);
     release(&mut world, nodes - 1, "v2");
     assert!(
-        world.run_to(within_ms, |world| release_state(world) == Some(ReleaseState::Finished)),
+        world.wait_for(within_ms, |world| release_state(world) == Some(ReleaseState::Finished)),
         "{:?}",
         release_state(&world)
     );
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
     assert!(world.versions().iter().all(|version| *version == "v2"));
     println!("{nodes} nodes: over after {} s, most out {}", world.now_ms() / 1_000 - 14, world.most_out);
 }
 
 /// Nobody is lost, and so often somebody is called lost; and so often the leader changes.
-fn false_verdicts(lost: u64, sent_again: bool, spares_voters: bool, seconds: u64) -> (u64, usize) {
+fn false_verdicts(lost: u64, retransmits: bool, lossless_voter_links: bool, seconds: u64) -> (u64, usize) {
     let (mut world, mut leader) = settled(300, 5);
-    (world.lost, world.sent_again, world.spares_voters) = (lost, sent_again, spares_voters);
+    (world.loss_per_thousand, world.retransmits, world.lossless_voter_links) =
+        (lost, retransmits, lossless_voter_links);
     let mut leaders = 0;
     for _ in 0..seconds {
         world.run_until(world.now_ms() + 1_000);
@@ -34,8 +35,8 @@
             (leader, leaders) = (now, leaders + 1);
         }
     }
-    assert_eq!(world.broken, None);
-    let settings = world.newest().unwrap().units.values().map(|unit| unit.term);
+    assert_eq!(world.violation, None);
+    let settings = world.newest_state().unwrap().units.values().map(|unit| unit.term);
     (settings.sum(), leaders)
 }
 
@@ -43,10 +44,10 @@
 #[test]
 fn members_are_seldom_called_lost_that_live() {
     let given = std::env::var("LOST_S").ok().and_then(|text| text.parse().ok());
-    let of = |lost, sent_again, spares_voters, seconds| {
-        let (called, leaders) = false_verdicts(lost, sent_again, spares_voters, seconds);
+    let of = |lost, retransmits, lossless_voter_links, seconds| {
+        let (called, leaders) = false_verdicts(lost, retransmits, lossless_voter_links, seconds);
         println!(
-            "{lost} of 1000 lost, sent again {sent_again}, between voters none {spares_voters}, {seconds} s: {called} called \
+            "{lost} of 1000 lost, sent again {retransmits}, between voters none {lossless_voter_links}, {seconds} s: {called} called \
              lost, {leaders} new leaders"
         );
         called
--- a/crates/fleet/tests/schedules/voters.rs
+++ b/crates/fleet/tests/schedules/voters.rs
@@ -10,14 +10,18 @@
 fn on_both_sides_of_a_split_only_the_majority_decides() {
     let (mut world, leader) = settled(5, 3);
     let lone = (0..3).find(|at| *at != leader).unwrap();
-    world.around(lone, true, true, LinkState::Cut);
+    world.set_links(lone, true, true, LinkState::Cut);
     release(&mut world, lone, "v2");
     release(&mut world, leader, "v3");
     world.run_until(world.now_ms() + 2_000);
-    assert!(world.done("v3") && world.answered("v2") == Some(&RequestResult::Unknown), "{:?}", world.answers);
-    world.around(lone, true, true, LinkState::Up);
+    assert!(
+        world.is_done("v3") && world.answer_to("v2") == Some(&RequestResult::Unknown),
+        "{:?}",
+        world.answers
+    );
+    world.set_links(lone, true, true, LinkState::Up);
     world.run_until(world.now_ms() + 3_000);
-    assert_eq!(world.newest().unwrap().release.as_ref().unwrap().plan.version, "v3");
+    assert_eq!(world.newest_state().unwrap().release.as_ref().unwrap().plan.version, "v3");
 }
 
 /// A leader that was stopped for longer than an election believes that it leads. It decides nothing, and what it says to
@@ -25,74 +29,74 @@
 #[test]
 fn a_leader_stopped_and_continued_decides_nothing() {
     let (mut world, leader) = settled(5, 3);
-    world.strike_now(Fault::Stop(leader));
-    assert!(world.run_to(6_000, |world| world.leader().is_some_and(|at| at != leader)), "nobody took over");
+    world.apply_fault_now(Fault::Stop(leader));
+    assert!(world.wait_for(6_000, |world| world.leader().is_some_and(|at| at != leader)), "nobody took over");
     let next = world.leader().unwrap();
     world.run_until(world.now_ms() + 6_000);
-    world.order_now(next, "drain", Command::Drain { unit: name(3) });
+    world.request_now(next, "drain", Command::Drain { unit: name(3) });
     world.run_until(world.now_ms() + 500);
-    world.strike_now(Fault::Continue(leader));
-    world.order_now(leader, "look", Command::Confirm);
-    world.order_now(leader, "too many", Command::Drain { unit: name(4) });
+    world.apply_fault_now(Fault::Continue(leader));
+    world.request_now(leader, "look", Command::Confirm);
+    world.request_now(leader, "too many", Command::Drain { unit: name(4) });
     world.run_until(world.now_ms() + 3_000);
     // The stopped one is lost, and uses up the room there is.
-    assert!(!world.done("drain") && !world.done("too many"), "{:?}", world.answers);
+    assert!(!world.is_done("drain") && !world.is_done("too many"), "{:?}", world.answers);
     assert!(!world.is_out(4));
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
 }
 
 #[test]
 fn without_a_majority_nothing_new_goes_out_and_it_goes_on_by_itself() {
     let (mut world, leader) = settled(5, 3);
     release(&mut world, leader, "v2");
-    assert!(world.run_to(5_000, |world| world.really_out() == 1));
+    assert!(world.wait_for(5_000, |world| world.count_out() == 1));
     let others: Vec<usize> = (0..3).filter(|at| *at != leader).collect();
     for at in &others {
-        world.around(*at, true, true, LinkState::Cut);
+        world.set_links(*at, true, true, LinkState::Cut);
     }
     world.run_until(world.now_ms() + 4_000);
     let out = world.most_out;
-    world.order_now(leader, "drain", Command::Drain { unit: name(4) });
+    world.request_now(leader, "drain", Command::Drain { unit: name(4) });
     world.run_until(world.now_ms() + 20_000);
-    assert_eq!((world.most_out, world.answered("drain")), (out, Some(&RequestResult::Unknown)));
+    assert_eq!((world.most_out, world.answer_to("drain")), (out, Some(&RequestResult::Unknown)));
     for at in &others {
-        world.around(*at, true, true, LinkState::Up);
+        world.set_links(*at, true, true, LinkState::Up);
     }
     // What was cut off counts as lost until it was seen: the release halts by its gate or goes on.
     world.run_until(world.now_ms() + 20_000);
     let at = world.leader().expect("a leader once healed");
     if matches!(release_state(&world), Some(ReleaseState::Halted(_))) {
-        world.order_now(at, "resume", Command::Resume);
+        world.request_now(at, "resume", Command::Resume);
     }
     assert!(
-        world.run_to(150_000, |world| release_state(world) == Some(ReleaseState::Finished)),
+        world.wait_for(150_000, |world| release_state(world) == Some(ReleaseState::Finished)),
         "{:?}",
         release_state(&world)
     );
-    assert_eq!(world.broken, None);
+    assert_eq!(world.violation, None);
 }
 
 #[test]
 fn a_voter_is_replaced_for_good() {
     let (mut world, leader) = settled(5, 3);
     let old = (0..3).find(|at| *at != leader).unwrap();
-    world.strike_now(Fault::Gone(old));
-    world.order_now(leader, "replace", Command::ReplaceVoter { old: name(old), new: name(4) });
-    assert!(world.run_to(15_000, |world| world.newest().unwrap().voter_slot_of(&name(4)).is_some()));
+    world.apply_fault_now(Fault::KillForGood(old));
+    world.request_now(leader, "replace", Command::ReplaceVoter { old: name(old), new: name(4) });
+    assert!(world.wait_for(15_000, |world| world.newest_state().unwrap().voter_slot_of(&name(4)).is_some()));
     world.run_until(world.now_ms() + 5_000);
     // Two of the three that are left decide, the new one among them.
     let at = world.leader().unwrap();
     let other = (0..3).find(|other| *other != old && *other != at).unwrap_or(at);
-    world.strike_now(Fault::Gone(if at == 4 {
+    world.apply_fault_now(Fault::KillForGood(if at == 4 {
         other
     } else {
         (0..3).find(|of| ![old, at].contains(of)).unwrap()
     }));
     world.run_until(world.now_ms() + 3_000);
     let at = world.leader().expect("the new voter makes a majority");
-    world.order_now(at, "confirm", Command::Confirm);
+    world.request_now(at, "confirm", Command::Confirm);
     world.run_until(world.now_ms() + 1_000);
-    assert!(world.done("confirm"), "{:?}", world.answers);
+    assert!(world.is_done("confirm"), "{:?}", world.answers);
 }
 
 /// All voters in one zone, and that zone lost: the release is found again where it stood, halted.
@@ -103,14 +107,15 @@
     let mut world = World::new(3, of);
     world.run_until(14_000);
     release(&mut world, 1, "v2");
-    let one = |world: &World| world.newest().and_then(|state| Some(state.release.as_ref()?.done.len() == 1));
-    assert!(world.run_to(30_000, |world| one(world) == Some(true)));
+    let one =
+        |world: &World| world.newest_state().and_then(|state| Some(state.release.as_ref()?.done.len() == 1));
+    assert!(world.wait_for(30_000, |world| one(world) == Some(true)));
     for at in [0, 3, 6] {
-        world.strike_now(Fault::Kill(at));
+        world.apply_fault_now(Fault::Kill(at));
     }
     let out = world.most_out;
     world.run_until(world.now_ms() + 20_000);
     assert!(world.fleet(0).is_some() && world.leader().is_some());
     assert!(matches!(release_state(&world), Some(ReleaseState::Halted(_))), "{:?}", release_state(&world));
-    assert_eq!((world.most_out, world.broken.clone()), (out, None));
+    assert_eq!((world.most_out, world.violation.clone()), (out, None));
 }
--- a/crates/fleet/tests/schedules/world/hosts.rs
+++ b/crates/fleet/tests/schedules/world/hosts.rs
@@ -10,43 +10,43 @@
 use super::{Event, MS, World};
 
 /// A node's list may stand still for so long before its watch says so: the wait and the patience of the node.
-const STANDS_MS: u64 = 24_000;
+const LIST_STALL_NOTICED_MS: u64 = 24_000;
 
 /// A leader knows a host to be out after its list's lag, one look and an entry.
-const LIST_KNOWN_MS: u64 = STANDS_MS + 3_000;
+const LIST_KNOWN_MS: u64 = LIST_STALL_NOTICED_MS + 3_000;
 
 const MOVES_PER_SECOND: u32 = 40;
 
 /// A node that starts waits so long for a voter's word.
-const FIRST_WORD_MS: u64 = 4_000;
+const FIRST_REPLY_TIMEOUT_MS: u64 = 4_000;
 
 pub(crate) struct SimHost {
     pub listed: EndpointState,
-    since: u64,
+    readiness_changed_at: u64,
 }
 
 /// One node's side.
 #[derive(Default)]
-pub(crate) struct Side {
+pub(crate) struct NodeHosts {
     list: Vec<EndpointState>,
     /// It is told nothing.
-    stands: bool,
-    keeps: BTreeSet<usize>,
-    pub(super) conns: Vec<u32>,
+    list_stalled: bool,
+    avoided: BTreeSet<usize>,
+    pub(super) connections: Vec<u32>,
     every_ms: u64,
-    easing: bool,
-    began: u64,
+    is_moving: bool,
+    started_at: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct Hosts {
     pub hosts: Vec<SimHost>,
     /// Permits that were looked at as nodes began to keep away: what the list shows later is nobody's to grant.
-    granted: BTreeSet<Lease>,
+    checked_leases: BTreeSet<Lease>,
     /// When each lease's host was first said to be empty.
-    empty: BTreeMap<Lease, u64>,
-    moved: VecDeque<u64>,
-    pub most_kept: usize,
+    empty_since: BTreeMap<Lease, u64>,
+    recent_moves: VecDeque<u64>,
+    pub most_avoided: usize,
 }
 
 pub(crate) fn settings() -> HostSettings {
@@ -70,185 +70,199 @@
 }
 
 impl World {
-    pub(crate) fn with_hosts(&mut self, count: usize) {
-        self.hosts.hosts = (0..count).map(|_| SimHost { listed: EndpointState::Ready, since: 0 }).collect();
+    pub(crate) fn create_hosts(&mut self, count: usize) {
+        self.hosts.hosts =
+            (0..count).map(|_| SimHost { listed: EndpointState::Ready, readiness_changed_at: 0 }).collect();
     }
 
     /// What the list says from here on.
-    pub(crate) fn list_says(&mut self, host: usize, listed: EndpointState) {
-        self.say(|| format!("the list shows h{host} as {listed:?}"));
+    pub(crate) fn set_listed(&mut self, host: usize, listed: EndpointState) {
+        self.log_line(|| format!("the list shows h{host} as {listed:?}"));
         let now = self.now;
         let of = &mut self.hosts.hosts[host];
         if (of.listed == EndpointState::Ready) != (listed == EndpointState::Ready) {
-            of.since = now;
+            of.readiness_changed_at = now;
         }
         of.listed = listed;
-        for at in 0..self.procs.len() {
-            self.tell_list(at);
+        for node in 0..self.processes.len() {
+            self.send_list(node);
         }
     }
 
-    pub(crate) fn tell_list(&mut self, at: usize) {
-        let incarnation = self.procs[at].incarnation;
-        if !self.hosts.hosts.is_empty() && !self.procs[at].side.stands {
-            let ms = 20 + self.roll(250);
-            self.at(ms, Event::List(at, incarnation));
+    pub(crate) fn send_list(&mut self, node: usize) {
+        let incarnation = self.processes[node].incarnation;
+        if !self.hosts.hosts.is_empty() && !self.processes[node].node_hosts.list_stalled {
+            let ms = 20 + self.random_below(250);
+            self.schedule(ms, Event::DeliverList(node, incarnation));
         }
     }
 
-    pub(crate) fn list_stands(&mut self, at: usize, stands: bool) {
-        self.procs[at].side.stands = stands;
-        let incarnation = self.procs[at].incarnation;
-        if stands {
-            self.at(STANDS_MS, Event::ListLost(at, incarnation));
+    pub(crate) fn set_list_stalled(&mut self, node: usize, list_stalled: bool) {
+        self.processes[node].node_hosts.list_stalled = list_stalled;
+        let incarnation = self.processes[node].incarnation;
+        if list_stalled {
+            self.schedule(LIST_STALL_NOTICED_MS, Event::NoticeStalledList(node, incarnation));
         } else {
-            self.tell_list(at);
+            self.send_list(node);
         }
     }
 
-    pub(super) fn begin_side(&mut self, at: usize) {
+    pub(super) fn reset_node_hosts(&mut self, node: usize) {
         let (now, count) = (self.now, self.hosts.hosts.len());
-        let stands = self.procs[at].side.stands;
-        self.procs[at].side = Side { began: now, conns: vec![0; count], stands, ..Side::default() };
-        self.tell_list(at);
+        let list_stalled = self.processes[node].node_hosts.list_stalled;
+        self.processes[node].node_hosts =
+            NodeHosts { started_at: now, connections: vec![0; count], list_stalled, ..NodeHosts::default() };
+        self.send_list(node);
     }
 
-    pub(super) fn list_came(&mut self, at: usize) {
-        if self.procs[at].side.stands {
+    pub(super) fn deliver_list(&mut self, node: usize) {
+        if self.processes[node].node_hosts.list_stalled {
             return;
         }
         let list: Vec<EndpointState> = self.hosts.hosts.iter().map(|host| host.listed).collect();
-        let lines = list.iter().enumerate().map(|(at, listed)| (name(at), place(at), *listed)).collect();
-        self.procs[at].side.list = list;
-        let now = self.clock(at);
-        if let Some(fleet) = &mut self.procs[at].fleet {
+        let lines =
+            list.iter().enumerate().map(|(node, listed)| (name(node), place(node), *listed)).collect();
+        self.processes[node].node_hosts.list = list;
+        let now = self.clock(node);
+        if let Some(fleet) = &mut self.processes[node].fleet {
             fleet.hosts_listed(now, lines);
         }
     }
 
-    pub(super) fn list_lost(&mut self, at: usize) {
-        let now = self.clock(at);
-        if self.procs[at].side.stands
-            && let Some(fleet) = &mut self.procs[at].fleet
+    pub(super) fn notice_stalled_list(&mut self, node: usize) {
+        let now = self.clock(node);
+        if self.processes[node].node_hosts.list_stalled
+            && let Some(fleet) = &mut self.processes[node].fleet
         {
             fleet.list_lost(now);
         }
     }
 
     /// A node's clients come and go.
-    pub(super) fn serve(&mut self, at: usize) {
-        if self.hosts.hosts.is_empty() || !self.procs[at].serving {
+    pub(super) fn update_connections(&mut self, node: usize) {
+        if self.hosts.hosts.is_empty() || !self.processes[node].serving {
             return;
         }
-        let host = self.roll(self.hosts.hosts.len() as u64) as usize;
-        let comes = self.roll(3) > 0;
-        let (now, process) = (self.now, &mut self.procs[at]);
+        let host = self.random_below(self.hosts.hosts.len() as u64) as usize;
+        let comes = self.random_below(3) > 0;
+        let (now, process) = (self.now, &mut self.processes[node]);
         let knows = process.fleet.as_ref().is_some_and(|fleet| fleet.is_current())
-            || now >= process.side.began + FIRST_WORD_MS * MS;
-        let side = &mut process.side;
+            || now >= process.node_hosts.started_at + FIRST_REPLY_TIMEOUT_MS * MS;
+        let node_hosts = &mut process.node_hosts;
         if !comes {
-            side.conns[host] = side.conns[host].saturating_sub(1);
+            node_hosts.connections[host] = node_hosts.connections[host].saturating_sub(1);
         } else if knows
-            && side.list.get(host) == Some(&EndpointState::Ready)
-            && !side.keeps.contains(&host)
-            && side.conns[host] < 20
+            && node_hosts.list.get(host) == Some(&EndpointState::Ready)
+            && !node_hosts.avoided.contains(&host)
+            && node_hosts.connections[host] < 20
         {
-            side.conns[host] += 1;
-            let began = side.began;
-            let held = self.newest().and_then(|state| state.hosts.get(&name(host))?.held);
+            node_hosts.connections[host] += 1;
+            let started_at = node_hosts.started_at;
+            let held = self.newest_state().and_then(|state| state.hosts.get(&name(host))?.held);
             let empty = held.filter(|held| held.hold == HoldState::Empty);
-            if empty.is_some_and(|held| self.hosts.empty.get(&held.lease).is_some_and(|since| began < *since))
-            {
-                self.break_rule(format!("n{at} opened a connection at h{host}, which was said to be empty"));
+            if empty.is_some_and(|held| {
+                self.hosts.empty_since.get(&held.lease).is_some_and(|since| started_at < *since)
+            }) {
+                self.report_violation(format!(
+                    "n{node} opened a connection at h{host}, which was said to be empty"
+                ));
             }
         }
     }
 
-    pub(super) fn holds(&self, at: usize) -> Vec<(UnitName, u32)> {
-        let side = &self.procs[at].side;
-        let of = |host: &usize| (name(*host), side.conns.get(*host).copied().unwrap_or(0));
-        side.keeps.iter().map(of).filter(|(_, count)| *count > 0).collect()
+    pub(super) fn held_connections(&self, node: usize) -> Vec<(UnitName, u32)> {
+        let node_hosts = &self.processes[node].node_hosts;
+        let of = |host: &usize| (name(*host), node_hosts.connections.get(*host).copied().unwrap_or(0));
+        node_hosts.avoided.iter().map(of).filter(|(_, count)| *count > 0).collect()
     }
 
-    pub(super) fn keep_from(&mut self, at: usize, hosts: &BTreeSet<UnitName>, every_ms: u64) {
-        self.say(|| format!("n{at} keeps from {hosts:?}, one each {every_ms} ms"));
-        let incarnation = self.procs[at].incarnation;
+    pub(super) fn avoid_hosts(&mut self, node: usize, hosts: &BTreeSet<UnitName>, every_ms: u64) {
+        self.log_line(|| format!("n{node} keeps from {hosts:?}, one each {every_ms} ms"));
+        let incarnation = self.processes[node].incarnation;
         let hosts: BTreeSet<usize> = hosts.iter().filter_map(|host| host.0[1..].parse().ok()).collect();
-        let side = &mut self.procs[at].side;
-        let fresh: Vec<usize> = hosts.difference(&side.keeps).copied().collect();
-        (side.keeps, side.every_ms) = (hosts, every_ms);
-        let begins = !side.keeps.is_empty() && !std::mem::replace(&mut side.easing, true);
+        let node_hosts = &mut self.processes[node].node_hosts;
+        let fresh: Vec<usize> = hosts.difference(&node_hosts.avoided).copied().collect();
+        (node_hosts.avoided, node_hosts.every_ms) = (hosts, every_ms);
+        let begins = !node_hosts.avoided.is_empty() && !std::mem::replace(&mut node_hosts.is_moving, true);
         if begins {
-            let first = self.roll(every_ms.max(1));
-            self.at(first, Event::Ease(at, incarnation));
+            let first = self.random_below(every_ms.max(1));
+            self.schedule(first, Event::MoveConnection(node, incarnation));
         }
         for host in fresh {
-            let held = self.newest().and_then(|state| state.hosts.get(&name(host))?.held);
-            if held.is_none_or(|held| self.hosts.granted.insert(held.lease)) {
-                self.check_hosts(host);
+            let held = self.newest_state().and_then(|state| state.hosts.get(&name(host))?.held);
+            if held.is_none_or(|held| self.hosts.checked_leases.insert(held.lease)) {
+                self.check_host_limits(host);
             }
         }
     }
 
-    pub(super) fn ease(&mut self, at: usize) {
-        let incarnation = self.procs[at].incarnation;
-        let side = &mut self.procs[at].side;
-        if side.keeps.is_empty() {
-            side.easing = false;
+    pub(super) fn move_connection(&mut self, node: usize) {
+        let incarnation = self.processes[node].incarnation;
+        let node_hosts = &mut self.processes[node].node_hosts;
+        if node_hosts.avoided.is_empty() {
+            node_hosts.is_moving = false;
             return;
         }
-        let every = side.every_ms;
-        if let Some(host) = side.keeps.iter().copied().find(|host| side.conns[*host] > 0) {
-            side.conns[host] -= 1;
-            self.hosts.moved.push_back(self.now);
-            while self.hosts.moved.front().is_some_and(|at| self.now - at > 5_000 * MS) {
-                self.hosts.moved.pop_front();
+        let every = node_hosts.every_ms;
+        if let Some(host) = node_hosts.avoided.iter().copied().find(|host| node_hosts.connections[*host] > 0)
+        {
+            node_hosts.connections[host] -= 1;
+            self.hosts.recent_moves.push_back(self.now);
+            while self.hosts.recent_moves.front().is_some_and(|node| self.now - node > 5_000 * MS) {
+                self.hosts.recent_moves.pop_front();
             }
             // By clocks that are fast by a 25th.
-            let most = 5 * MOVES_PER_SECOND as usize * 26 / 25 + self.procs.len();
-            if self.hosts.moved.len() > most {
-                self.break_rule(format!("{} moves within 5 s, {most} may be", self.hosts.moved.len()));
+            let most = 5 * MOVES_PER_SECOND as usize * 26 / 25 + self.processes.len();
+            if self.hosts.recent_moves.len() > most {
+                self.report_violation(format!(
+                    "{} moves within 5 s, {most} may be",
+                    self.hosts.recent_moves.len()
+                ));
             }
         }
-        self.at(every, Event::Ease(at, incarnation));
+        self.schedule(every, Event::MoveConnection(node, incarnation));
     }
 
     /// Hosts that nodes of the group keep away from, and those that have long been out by the list, are within the limits.
-    fn check_hosts(&mut self, fresh: usize) {
-        let Some(state) = self.newest() else { return };
-        let beyond = |host: &usize| {
+    fn check_host_limits(&mut self, fresh: usize) {
+        let Some(state) = self.newest_state() else { return };
+        let is_override = |host: &usize| {
             let held = state.hosts.get(&name(*host)).and_then(|host| host.held);
             held.is_some_and(|held| held.cause == Cause::Override)
         };
-        if beyond(&fresh) {
+        if is_override(&fresh) {
             return;
         }
         // A node that is lost to the group may keep away from a host for longer: that spares the host and no more.
         let counts = |process: &&super::Process| {
             process.fleet.is_some() && state.units.get(&process.name).is_some_and(|unit| !unit.lost)
         };
-        let mut out: BTreeSet<usize> =
-            self.procs.iter().filter(counts).flat_map(|process| process.side.keeps.iter().copied()).collect();
+        let mut out: BTreeSet<usize> = self
+            .processes
+            .iter()
+            .filter(counts)
+            .flat_map(|process| process.node_hosts.avoided.iter().copied())
+            .collect();
         let long = |host: &SimHost| {
-            host.listed != EndpointState::Ready && self.now > host.since + LIST_KNOWN_MS * MS
+            host.listed != EndpointState::Ready && self.now > host.readiness_changed_at + LIST_KNOWN_MS * MS
         };
-        out.extend((0..self.hosts.hosts.len()).filter(|at| long(&self.hosts.hosts[*at])));
-        out.retain(|host| !beyond(host));
-        self.hosts.most_kept = self.hosts.most_kept.max(out.len());
+        out.extend((0..self.hosts.hosts.len()).filter(|node| long(&self.hosts.hosts[*node])));
+        out.retain(|host| !is_override(host));
+        self.hosts.most_avoided = self.hosts.most_avoided.max(out.len());
         let all = self.hosts.hosts.len() as u32;
         let limits = settings().limits;
         let zone = out.iter().filter(|host| **host % 3 == fresh % 3).count() as u32;
         if out.len() as u32 > limits.fleet.room(all) || zone > limits.zone.room(all / 3) {
-            self.break_rule(format!("hosts {out:?} are out at once, with h{fresh}"));
+            self.report_violation(format!("hosts {out:?} are out at once, with h{fresh}"));
         }
     }
 
     /// What is said to be empty is, at every node that lives, whoever hears it.
-    pub(super) fn check_empty(&mut self, at: usize) {
+    pub(super) fn check_hosts_empty(&mut self, node: usize) {
         // Operators are told so in a confirmed status alone: what a former leader believes is none.
-        let newest = self.newest().map_or(0, |state| state.applied);
+        let newest = self.newest_state().map_or(0, |state| state.applied);
         let confirmed = |fleet: &&glendeck_fleet::Fleet| fleet.leads() && fleet.state().applied >= newest;
-        let Some(fleet) = self.procs[at].fleet.as_ref().filter(confirmed) else { return };
+        let Some(fleet) = self.processes[node].fleet.as_ref().filter(confirmed) else { return };
         let said: Vec<(usize, Lease)> = fleet
             .state()
             .hosts
@@ -257,26 +271,28 @@
             .filter_map(|(name, host)| Some((name.0[1..].parse().ok()?, host.held?.lease)))
             .collect();
         for (host, lease) in said {
-            self.hosts.empty.entry(lease).or_insert(self.now);
-            let holder = self.procs.iter().position(|process| {
+            self.hosts.empty_since.entry(lease).or_insert(self.now);
+            let holder = self.processes.iter().position(|process| {
                 let declared = self
-                    .newest()
+                    .newest_state()
                     .is_some_and(|state| state.units.get(&process.name).is_some_and(|unit| unit.dead));
-                process.fleet.is_some() && !declared && process.side.conns.get(host).is_some_and(|of| *of > 0)
+                process.fleet.is_some()
+                    && !declared
+                    && process.node_hosts.connections.get(host).is_some_and(|of| *of > 0)
             });
             if let Some(holder) = holder {
-                self.break_rule(format!(
+                self.report_violation(format!(
                     "h{host} is said to be empty, and n{holder} holds connections there"
                 ));
             }
         }
     }
 
-    pub(crate) fn conns_at(&self, host: usize) -> u32 {
-        self.procs.iter().filter_map(|process| process.side.conns.get(host)).sum()
+    pub(crate) fn connections_at(&self, host: usize) -> u32 {
+        self.processes.iter().filter_map(|process| process.node_hosts.connections.get(host)).sum()
     }
 
     pub(crate) fn hold_of(&self, host: usize) -> Option<HoldState> {
-        Some(self.newest()?.hosts.get(&name(host))?.held?.hold)
+        Some(self.newest_state()?.hosts.get(&name(host))?.held?.hold)
     }
 }
--- a/crates/fleet/tests/schedules/world/mod.rs
+++ b/crates/fleet/tests/schedules/world/mod.rs
@@ -27,23 +27,23 @@
 
 enum Event {
     Tick(usize, Incarnation),
-    Arrive {
+    DeliverMessage {
         to: usize,
         incarnation: Incarnation,
         from: usize,
         sender: Incarnation,
         envelope: Box<Envelope>,
     },
-    Written(usize, Incarnation, u64, Vec<StoreWrite>),
-    Served(usize, Incarnation),
+    BatchWritten(usize, Incarnation, u64, Vec<StoreWrite>),
+    StartServing(usize, Incarnation),
     Drained(usize, Incarnation, Lease),
     Start(usize, String),
-    List(usize, Incarnation),
-    ListLost(usize, Incarnation),
-    Ease(usize, Incarnation),
+    DeliverList(usize, Incarnation),
+    NoticeStalledList(usize, Incarnation),
+    MoveConnection(usize, Incarnation),
     Fault(Fault),
     /// An operator at this process.
-    Order(usize, String, Command),
+    Request(usize, String, Command),
 }
 
 #[derive(Clone, Debug)]
@@ -52,25 +52,25 @@
     Heal,
     Kill(usize),
     /// Killed, and nobody starts it again.
-    Gone(usize),
+    KillForGood(usize),
     Stop(usize),
     Continue(usize),
     /// Killed, and started again with an older copy of its folder.
-    OlderCopy(usize),
+    RestoreDiskCopy(usize),
     /// Killed, and started again without its folder.
-    NoFolder(usize),
+    EraseDisk(usize),
     /// From here on its syncs say yes and forget.
-    Lies(usize),
+    DropSyncs(usize),
     DiskFails(usize),
     /// It takes this long, in ms, to write anything.
     DiskSlow(usize, u64),
-    Copy(usize),
+    CopyDisk(usize),
     /// An operator vouches for its disk.
     Trust(usize),
     /// What the list says of a host.
-    Listed(usize, EndpointState),
+    SetListed(usize, EndpointState),
     /// This node's list stands still, or is told again.
-    ListStands(usize, bool),
+    StallList(usize, bool),
 }
 
 /// How a link is, in one direction.
@@ -93,70 +93,70 @@
     drained: bool,
     /// Out by lease: from going out until it, or its next process, takes clients again.
     out: Option<Lease>,
-    beyond: bool,
+    out_beyond_limits: bool,
     /// Since when it has been of no use, unplanned.
-    gone: Option<u64>,
+    unavailable_since: Option<u64>,
     disk: StoredState,
     /// Where its disk is by its own word, if that lies.
-    lied: Option<StoredState>,
-    copy: StoredState,
-    disk_ms: u64,
-    disk_dead: bool,
-    held: Vec<Event>,
-    unlucky: bool,
-    side: hosts::Side,
+    reported_disk: Option<StoredState>,
+    disk_copy: StoredState,
+    disk_write_ms: u64,
+    disk_failed: bool,
+    held_events: Vec<Event>,
+    disk_restored: bool,
+    node_hosts: hosts::NodeHosts,
     /// Its clock: what it showed at the world's beginning, and thousandths that it goes fast or slow by.
     clock: (u64, u64),
 }
 
 pub(crate) struct World {
     pub now: u64,
-    seq: u64,
+    next_sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
-    free: Vec<usize>,
-    procs: Vec<Process>,
+    free_slots: Vec<usize>,
+    processes: Vec<Process>,
     links: BTreeMap<(usize, usize), LinkState>,
-    last: BTreeMap<(usize, usize), u64>,
-    waiting: BTreeMap<(usize, usize), Vec<Event>>,
-    chance: WyRand,
+    last_due_ms: BTreeMap<(usize, usize), u64>,
+    stalled_messages: BTreeMap<(usize, usize), Vec<Event>>,
+    rng: WyRand,
     policy: FleetPolicy,
-    lives: u64,
-    states: BTreeMap<u64, u64>,
-    permits: u64,
-    halted: BTreeMap<u64, u64>,
-    went: BTreeMap<Lease, Incarnation>,
+    incarnations_started: u64,
+    state_hashes: BTreeMap<u64, u64>,
+    next_lease_seen: u64,
+    halted_since: BTreeMap<u64, u64>,
+    lease_users: BTreeMap<Lease, Incarnation>,
     /// Units that operators wanted out.
-    wanted: BTreeSet<UnitName>,
+    requested_out: BTreeSet<UnitName>,
     /// The last state seen: how far, which release it held halted, and what had begun.
-    before: (u64, Option<u64>, BTreeSet<Nonce>),
+    last_seen: (u64, Option<u64>, BTreeSet<Nonce>),
     /// Running when all voters were down at once, and nobody has said that it may go on.
-    interrupted: Option<u64>,
+    interrupted_release: Option<u64>,
     /// Answers operators heard.
     pub answers: BTreeMap<RequestId, RequestResult>,
-    pub broken: Option<String>,
+    pub violation: Option<String>,
     pub most_out: usize,
-    pub sent: u64,
+    pub messages_sent: u64,
     pub trace: u64,
     /// Versions that serve badly.
-    bad: BTreeSet<String>,
+    failing_versions: BTreeSet<String>,
     pub log: Vec<String>,
     pub verbose: bool,
     pub hosts: hosts::Hosts,
     /// Of a thousand messages so many are lost.
-    pub lost: u64,
+    pub loss_per_thousand: u64,
     /// What is lost is sent again, as TCP does: after 0.2 s, then twice as long, with all that follows waiting behind it.
-    pub sent_again: bool,
+    pub retransmits: bool,
     /// Voters' links among each other lose nothing.
-    pub spares_voters: bool,
+    pub lossless_voter_links: bool,
 }
 
 pub(crate) fn policy(nodes: usize, voters: usize) -> FleetPolicy {
-    let name = |at: usize| UnitName(format!("n{at}"));
-    let place = |at: usize| Place {
-        zone: format!("z{}", at % 3),
-        cell: format!("c{}", at % 6),
-        kind: if at.is_multiple_of(2) { "big".into() } else { "small".into() },
+    let name = |node: usize| UnitName(format!("n{node}"));
+    let place = |node: usize| Place {
+        zone: format!("z{}", node % 3),
+        cell: format!("c{}", node % 6),
+        kind: if node.is_multiple_of(2) { "big".into() } else { "small".into() },
     };
     let limits = Limits {
         fleet: Limit {
@@ -171,7 +171,7 @@
         limits,
         hosts: Some(hosts::settings()),
         work: None,
-        units: (0..nodes).map(|at| (name(at), place(at))).collect(),
+        units: (0..nodes).map(|node| (name(node), place(node))).collect(),
     }
 }
 
@@ -193,40 +193,40 @@
         let nodes = policy.units.len();
         let mut world = World {
             now: 0,
-            seq: 0,
+            next_sequence: 0,
             queue: BinaryHeap::new(),
             events: vec![],
-            free: vec![],
-            procs: vec![],
+            free_slots: vec![],
+            processes: vec![],
             links: BTreeMap::new(),
-            last: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            chance: WyRand::new_seed(seed),
-            lives: 0,
-            states: BTreeMap::new(),
-            permits: 0,
-            halted: BTreeMap::new(),
-            went: BTreeMap::new(),
-            interrupted: None,
-            wanted: BTreeSet::new(),
-            before: (0, None, BTreeSet::new()),
+            last_due_ms: BTreeMap::new(),
+            stalled_messages: BTreeMap::new(),
+            rng: WyRand::new_seed(seed),
+            incarnations_started: 0,
+            state_hashes: BTreeMap::new(),
+            next_lease_seen: 0,
+            halted_since: BTreeMap::new(),
+            lease_users: BTreeMap::new(),
+            interrupted_release: None,
+            requested_out: BTreeSet::new(),
+            last_seen: (0, None, BTreeSet::new()),
             answers: BTreeMap::new(),
-            broken: None,
+            violation: None,
             most_out: 0,
-            sent: 0,
+            messages_sent: 0,
             trace: 0,
-            bad: BTreeSet::new(),
+            failing_versions: BTreeSet::new(),
             log: vec![],
             verbose: false,
             hosts: hosts::Hosts::default(),
-            lost: 0,
-            sent_again: false,
-            spares_voters: false,
+            loss_per_thousand: 0,
+            retransmits: false,
+            lossless_voter_links: false,
             policy,
         };
-        for at in 0..nodes {
+        for node in 0..nodes {
             let process = Process {
-                name: UnitName(format!("n{at}")),
+                name: UnitName(format!("n{node}")),
                 fleet: None,
                 incarnation: Incarnation(0),
                 version: "v1".into(),
@@ -234,176 +234,177 @@
                 serving: false,
                 drained: false,
                 out: None,
-                beyond: false,
-                gone: None,
+                out_beyond_limits: false,
+                unavailable_since: None,
                 disk: StoredState::default(),
-                lied: None,
-                copy: StoredState::default(),
-                disk_ms: 2,
-                disk_dead: false,
-                held: vec![],
-                unlucky: false,
-                side: hosts::Side::default(),
+                reported_disk: None,
+                disk_copy: StoredState::default(),
+                disk_write_ms: 2,
+                disk_failed: false,
+                held_events: vec![],
+                disk_restored: false,
+                node_hosts: hosts::NodeHosts::default(),
                 clock: (0, 1_000),
             };
-            world.procs.push(process);
-            world.at(at as u64, Event::Start(at, "v1".into()));
+            world.processes.push(process);
+            world.schedule(node as u64, Event::Start(node, "v1".into()));
         }
         world
     }
 
-    pub(crate) fn roll(&mut self, below: u64) -> u64 {
-        self.chance.generate_range(0..below)
+    pub(crate) fn random_below(&mut self, below: u64) -> u64 {
+        self.rng.generate_range(0..below)
     }
 
     /// What a process's own clock shows. Clocks are apart by hours, and none goes right.
-    fn clock(&self, at: usize) -> Timestamp {
-        let (began, rate) = self.procs[at].clock;
+    fn clock(&self, node: usize) -> Timestamp {
+        let (began, rate) = self.processes[node].clock;
         Timestamp(began + self.now / 1_000 * rate)
     }
 
-    fn at(&mut self, ms: u64, event: Event) {
-        let slot = self.free.pop().unwrap_or_else(|| {
+    fn schedule(&mut self, ms: u64, event: Event) {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
         self.events[slot] = Some(event);
-        self.seq += 1;
-        self.queue.push(Reverse((self.now + ms * MS, self.seq, slot)));
+        self.next_sequence += 1;
+        self.queue.push(Reverse((self.now + ms * MS, self.next_sequence, slot)));
     }
 
-    pub(crate) fn fault(&mut self, at_ms: u64, fault: Fault) {
-        self.at((at_ms * MS - self.now) / MS, Event::Fault(fault));
+    pub(crate) fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
+        self.schedule((at_ms * MS - self.now) / MS, Event::Fault(fault));
     }
 
-    pub(crate) fn order(&mut self, at_ms: u64, process: usize, id: &str, command: Command) {
-        self.at((at_ms * MS - self.now) / MS, Event::Order(process, id.into(), command));
+    pub(crate) fn schedule_request(&mut self, at_ms: u64, process: usize, id: &str, command: Command) {
+        self.schedule((at_ms * MS - self.now) / MS, Event::Request(process, id.into(), command));
     }
 
-    pub(crate) fn serves_badly(&mut self, version: &str) {
-        self.bad.insert(version.into());
+    pub(crate) fn fail_calls_of(&mut self, version: &str) {
+        self.failing_versions.insert(version.into());
     }
 
-    fn say(&mut self, text: impl FnOnce() -> String) {
+    fn log_line(&mut self, text: impl FnOnce() -> String) {
         if self.verbose {
             let line = format!("{:9.3} {}", self.now as f64 / 1e9, text());
             self.log.push(line);
         }
     }
 
-    fn break_rule(&mut self, text: String) {
-        if self.broken.is_none() {
-            self.broken = Some(format!("at {:.3} s: {text}", self.now as f64 / 1e9));
+    fn report_violation(&mut self, text: String) {
+        if self.violation.is_none() {
+            self.violation = Some(format!("at {:.3} s: {text}", self.now as f64 / 1e9));
         }
     }
 
     pub(crate) fn run_until(&mut self, ms: u64) {
-        while let Some(Reverse((at, _, slot))) = self.queue.peek().copied() {
-            if at > ms * MS || self.broken.is_some() {
+        while let Some(Reverse((node, _, slot))) = self.queue.peek().copied() {
+            if node > ms * MS || self.violation.is_some() {
                 break;
             }
             self.queue.pop();
-            self.now = at;
-            self.free.push(slot);
+            self.now = node;
+            self.free_slots.push(slot);
             if let Some(event) = self.events[slot].take() {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
         self.now = self.now.max(ms * MS);
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm an event")]
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let whose = match &event {
-            Event::Tick(at, incarnation)
-            | Event::Written(at, incarnation, ..)
-            | Event::Served(at, incarnation) => Some((*at, *incarnation)),
-            Event::Drained(at, incarnation, _) => Some((*at, *incarnation)),
-            Event::List(at, incarnation)
-            | Event::ListLost(at, incarnation)
-            | Event::Ease(at, incarnation) => Some((*at, *incarnation)),
-            Event::Arrive { to, incarnation, .. } => Some((*to, *incarnation)),
+            Event::Tick(node, incarnation)
+            | Event::BatchWritten(node, incarnation, ..)
+            | Event::StartServing(node, incarnation) => Some((*node, *incarnation)),
+            Event::Drained(node, incarnation, _) => Some((*node, *incarnation)),
+            Event::DeliverList(node, incarnation)
+            | Event::NoticeStalledList(node, incarnation)
+            | Event::MoveConnection(node, incarnation) => Some((*node, *incarnation)),
+            Event::DeliverMessage { to, incarnation, .. } => Some((*to, *incarnation)),
             _ => None,
         };
-        if let Some((at, incarnation)) = whose {
-            let process = &mut self.procs[at];
+        if let Some((node, incarnation)) = whose {
+            let process = &mut self.processes[node];
             if process.incarnation != incarnation || process.fleet.is_none() {
                 return;
             }
             if process.stopped {
-                return process.held.push(event);
+                return process.held_events.push(event);
             }
         }
-        let now = whose.map_or(Timestamp(0), |(at, _)| self.clock(at));
+        let now = whose.map_or(Timestamp(0), |(node, _)| self.clock(node));
         match event {
-            Event::Start(at, version) => self.start(at, version),
-            Event::List(at, _) => self.list_came(at),
-            Event::ListLost(at, _) => self.list_lost(at),
-            Event::Ease(at, _) => self.ease(at),
-            Event::Tick(at, incarnation) => {
-                self.serve(at);
-                let node_status = self.node_status(at);
-                if let Some(fleet) = &mut self.procs[at].fleet {
+            Event::Start(node, version) => self.start(node, version),
+            Event::DeliverList(node, _) => self.deliver_list(node),
+            Event::NoticeStalledList(node, _) => self.notice_stalled_list(node),
+            Event::MoveConnection(node, _) => self.move_connection(node),
+            Event::Tick(node, incarnation) => {
+                self.update_connections(node);
+                let node_status = self.node_status(node);
+                if let Some(fleet) = &mut self.processes[node].fleet {
                     fleet.tick(now, node_status);
                 }
-                self.act(at);
-                self.at(100, Event::Tick(at, incarnation));
+                self.run_actions(node);
+                self.schedule(100, Event::Tick(node, incarnation));
             }
-            Event::Arrive { to, from, sender, envelope, .. } => {
-                if self.procs[from].incarnation != sender && self.procs[from].fleet.is_none() {
+            Event::DeliverMessage { to, from, sender, envelope, .. } => {
+                if self.processes[from].incarnation != sender && self.processes[from].fleet.is_none() {
                     // Its process has gone; what was on the way may still come.
                 }
-                let name = self.procs[from].name.clone();
-                if let Some(fleet) = &mut self.procs[to].fleet {
+                let name = self.processes[from].name.clone();
+                if let Some(fleet) = &mut self.processes[to].fleet {
                     fleet.heard(now, &name, *envelope);
                 }
-                self.act(to);
+                self.run_actions(to);
             }
-            Event::Written(at, _, batch, writes) => {
-                let process = &mut self.procs[at];
-                if process.disk_dead {
+            Event::BatchWritten(node, _, batch, writes) => {
+                let process = &mut self.processes[node];
+                if process.disk_failed {
                     return;
                 }
-                match &mut process.lied {
-                    Some(lied) => lied.apply(&writes),
+                match &mut process.reported_disk {
+                    Some(reported_disk) => reported_disk.apply(&writes),
                     None => process.disk.apply(&writes),
                 }
                 if let Some(fleet) = &mut process.fleet {
                     fleet.written(now, batch);
                 }
-                self.act(at);
+                self.run_actions(node);
             }
-            Event::Served(at, _) => {
-                let process = &mut self.procs[at];
-                (process.serving, process.drained, process.out, process.beyond) = (true, false, None, false);
-                process.gone = None;
+            Event::StartServing(node, _) => {
+                let process = &mut self.processes[node];
+                (process.serving, process.drained, process.out, process.out_beyond_limits) =
+                    (true, false, None, false);
+                process.unavailable_since = None;
             }
-            Event::Drained(at, _, lease) => {
-                if self.procs[at].out == Some(lease) {
-                    self.procs[at].drained = true;
+            Event::Drained(node, _, lease) => {
+                if self.processes[node].out == Some(lease) {
+                    self.processes[node].drained = true;
                 }
             }
-            Event::Fault(fault) => self.strike(fault),
-            Event::Order(at, id, command) => {
-                let now = self.clock(at);
-                self.say(|| format!("order at n{at}: {id} {command:?}"));
+            Event::Fault(fault) => self.apply_fault(fault),
+            Event::Request(node, id, command) => {
+                let now = self.clock(node);
+                self.log_line(|| format!("order at n{node}: {id} {command:?}"));
                 if let Command::Drain { unit } | Command::Override { unit, .. } = &command {
-                    self.wanted.insert(unit.clone());
+                    self.requested_out.insert(unit.clone());
                 }
                 if matches!(command, Command::Resume | Command::RollBack) {
-                    self.interrupted = None;
+                    self.interrupted_release = None;
                 }
-                if let Some(fleet) = &mut self.procs[at].fleet {
+                if let Some(fleet) = &mut self.processes[node].fleet {
                     fleet.ask(now, RequestId(id), command);
                 }
-                self.act(at);
+                self.run_actions(node);
             }
         }
     }
 
-    fn node_status(&mut self, at: usize) -> NodeStatus {
-        let (now, bad) = (self.now / MS, self.bad.contains(&self.procs[at].version));
-        let process = &self.procs[at];
+    fn node_status(&mut self, node: usize) -> NodeStatus {
+        let (now, bad) = (self.now / MS, self.failing_versions.contains(&self.processes[node].version));
+        let process = &self.processes[node];
         let calls = now / 20;
         NodeStatus {
             serving: process.serving && process.out.is_none(),
@@ -413,29 +414,29 @@
             busy: 0,
             waiting: 0,
             hosts_down: 0,
-            holds: self.holds(at),
+            holds: self.held_connections(node),
         }
     }
 
-    fn start(&mut self, at: usize, version: String) {
-        if self.procs[at].fleet.is_some() {
+    fn start(&mut self, node: usize, version: String) {
+        if self.processes[node].fleet.is_some() {
             return;
         }
-        self.lives += 1;
-        let (incarnation, seed) = (Incarnation(self.lives), self.roll(1 << 40));
-        let small = self.procs.len() < 50;
-        self.procs[at].clock = (self.roll(20_000_000) * MS, 960 + self.roll(81));
-        let now = self.clock(at);
-        let process = &mut self.procs[at];
+        self.incarnations_started += 1;
+        let (incarnation, seed) = (Incarnation(self.incarnations_started), self.random_below(1 << 40));
+        let small = self.processes.len() < 50;
+        self.processes[node].clock = (self.random_below(20_000_000) * MS, 960 + self.random_below(81));
+        let now = self.clock(node);
+        let process = &mut self.processes[node];
         process.incarnation = incarnation;
         process.version = version;
         process.stopped = false;
         process.serving = false;
         process.drained = false;
-        process.disk_dead = false;
-        process.disk_ms = 2;
-        process.lied = None;
-        process.held.clear();
+        process.disk_failed = false;
+        process.disk_write_ms = 2;
+        process.reported_disk = None;
+        process.held_events.clear();
         let setup = FleetConfig {
             name: process.name.clone(),
             policy: self.policy.clone(),
@@ -448,104 +449,104 @@
             longest_log: if small { 40 } else { glendeck_fleet::LONGEST_LOG },
         };
         process.fleet = Some(Fleet::new(setup, now));
-        self.begin_side(at);
-        self.say(|| format!("n{at} starts, life {}", incarnation.0));
-        self.act(at);
-        for other in 0..self.procs.len() {
-            if other != at {
-                self.relink(at, other);
+        self.reset_node_hosts(node);
+        self.log_line(|| format!("n{node} starts, life {}", incarnation.0));
+        self.run_actions(node);
+        for other in 0..self.processes.len() {
+            if other != node {
+                self.notify_link_up(node, other);
             }
         }
-        self.at(at as u64 % 100, Event::Tick(at, incarnation));
-        self.at(500, Event::Served(at, incarnation));
+        self.schedule(node as u64 % 100, Event::Tick(node, incarnation));
+        self.schedule(500, Event::StartServing(node, incarnation));
     }
 
-    fn relink(&mut self, a: usize, b: usize) {
+    fn notify_link_up(&mut self, a: usize, b: usize) {
         for (one, other) in [(a, b), (b, a)] {
             let now = self.clock(one);
-            let name = self.procs[other].name.clone();
-            if let Some(fleet) = self.procs[one].fleet.as_mut() {
+            let name = self.processes[other].name.clone();
+            if let Some(fleet) = self.processes[one].fleet.as_mut() {
                 fleet.linked(now, &name);
-                self.act(one);
+                self.run_actions(one);
             }
         }
     }
 
-    fn end(&mut self, at: usize) {
-        let running = self.newest().and_then(|state| {
+    fn terminate(&mut self, node: usize) {
+        let running = self.newest_state().and_then(|state| {
             let release =
                 state.release.as_ref().filter(|release| release.release_state == ReleaseState::Running)?;
             let is_left = |voter_slot: &glendeck_fleet::state::VoterSlot| {
                 let of = |process: &&Process| process.name == voter_slot.name;
                 let begun = matches!(state.units[&voter_slot.name].unit_state, UnitState::Begun { .. });
                 // Its own leaving was planned, and it is the only voter.
-                (voter_slot.name == self.procs[at].name && !begun)
-                    || self.procs.iter().find(of).is_some_and(|process| process.fleet.is_none())
+                (voter_slot.name == self.processes[node].name && !begun)
+                    || self.processes.iter().find(of).is_some_and(|process| process.fleet.is_none())
             };
             state.voter_slots.iter().all(is_left).then_some(release.number)
         });
         if running.is_some() {
-            self.interrupted = running;
+            self.interrupted_release = running;
         }
-        let process = &mut self.procs[at];
+        let process = &mut self.processes[node];
         process.fleet = None;
         process.stopped = false;
         process.serving = false;
         process.drained = false;
-        process.lied = None;
-        process.held.clear();
-        process.side.conns.fill(0);
+        process.reported_disk = None;
+        process.held_events.clear();
+        process.node_hosts.connections.fill(0);
         if process.out.is_none() {
-            process.gone.get_or_insert(self.now);
+            process.unavailable_since.get_or_insert(self.now);
         }
-        for other in 0..self.procs.len() {
-            self.waiting.remove(&(at, other));
-            self.waiting.remove(&(other, at));
+        for other in 0..self.processes.len() {
+            self.stalled_messages.remove(&(node, other));
+            self.stalled_messages.remove(&(other, node));
         }
     }
 
     /// Carries out what a process wants done.
-    fn act(&mut self, at: usize) {
-        let incarnation = self.procs[at].incarnation;
-        let Some(fleet) = self.procs[at].fleet.as_mut() else { return };
+    fn run_actions(&mut self, node: usize) {
+        let incarnation = self.processes[node].incarnation;
+        let Some(fleet) = self.processes[node].fleet.as_mut() else { return };
         let actions = fleet.take_actions();
         for action in actions {
-            self.trace_action(at, &action);
+            self.trace_action(node, &action);
             match action {
-                Action::Send(to, envelope) => self.send(at, &to, *envelope),
+                Action::Send(to, envelope) => self.send(node, &to, *envelope),
                 Action::Persist(batch, writes) => {
-                    let ms = self.procs[at].disk_ms;
-                    self.at(ms, Event::Written(at, incarnation, batch, writes));
+                    let ms = self.processes[node].disk_write_ms;
+                    self.schedule(ms, Event::BatchWritten(node, incarnation, batch, writes));
                 }
-                Action::StartDrain { lease, cause } => self.goes_out(at, lease, cause),
+                Action::StartDrain { lease, cause } => self.go_out(node, lease, cause),
                 Action::Resume => {
-                    self.say(|| format!("n{at} returns"));
-                    let process = &mut self.procs[at];
-                    (process.out, process.drained, process.serving, process.beyond) =
+                    self.log_line(|| format!("n{node} returns"));
+                    let process = &mut self.processes[node];
+                    (process.out, process.drained, process.serving, process.out_beyond_limits) =
                         (None, false, true, false);
                 }
                 Action::Exit { version } => {
-                    self.say(|| format!("n{at} leaves for {version}"));
-                    self.end(at);
-                    let ms = 1_000 + self.roll(2_000);
-                    self.at(ms, Event::Start(at, version));
+                    self.log_line(|| format!("n{node} leaves for {version}"));
+                    self.terminate(node);
+                    let ms = 1_000 + self.random_below(2_000);
+                    self.schedule(ms, Event::Start(node, version));
                     return;
                 }
                 Action::Reply(id, seen) => {
-                    self.say(|| format!("n{at} answers {id:?}: {seen:?}"));
+                    self.log_line(|| format!("n{node} answers {id:?}: {seen:?}"));
                     self.answers.insert(id, seen);
                 }
-                Action::AvoidHosts { hosts, every_ms } => self.keep_from(at, &hosts, every_ms),
-                Action::Log(text) => self.say(|| format!("n{at}: {text}")),
+                Action::AvoidHosts { hosts, every_ms } => self.avoid_hosts(node, &hosts, every_ms),
+                Action::Log(text) => self.log_line(|| format!("n{node}: {text}")),
             }
         }
-        self.check_state(at);
-        self.check_empty(at);
+        self.check_state(node);
+        self.check_hosts_empty(node);
     }
 
     /// Takes an action into the digest of all that the processes did: what goes out by its bytes, the rest by value.
     /// Log texts are left out, as they may change without a change of behaviour.
-    fn trace_action(&mut self, at: usize, action: &Action) {
+    fn trace_action(&mut self, node: usize, action: &Action) {
         let bytes = match action {
             Action::Send(to, envelope) => [to.0.as_bytes(), &envelope.encode()].concat(),
             Action::Persist(batch, writes) => postcard::to_stdvec(&(batch, writes)).unwrap(),
@@ -557,87 +558,96 @@
             Action::Resume => vec![],
             Action::Log(_) => return,
         };
-        let header = [self.trace, self.now, at as u64].map(u64::to_le_bytes).concat();
+        let header = [self.trace, self.now, node as u64].map(u64::to_le_bytes).concat();
         self.trace = fnv(&[header, bytes].concat());
     }
 
     fn send(&mut self, from: usize, to: &UnitName, envelope: Envelope) {
-        let Some(to) = to.0[1..].parse::<usize>().ok().filter(|to| *to < self.procs.len()) else { return };
-        self.sent += 1;
+        let Some(to) = to.0[1..].parse::<usize>().ok().filter(|to| *to < self.processes.len()) else {
+            return;
+        };
+        self.messages_sent += 1;
         if let (true, Message::Consensus { consensus_message, .. }) = (self.verbose, &envelope.message)
             && !format!("{consensus_message:?}").starts_with("BLE")
         {
             let text = format!("{consensus_message:?}");
-            self.say(|| format!("n{from} -> {to}: {}", &text[..text.len().min(420)]));
+            self.log_line(|| format!("n{from} -> {to}: {}", &text[..text.len().min(420)]));
         }
         let link = self.links.get(&(from, to)).copied().unwrap_or(LinkState::Up);
-        let (incarnation, sender) = (self.procs[to].incarnation, self.procs[from].incarnation);
-        if self.procs[to].fleet.is_none() {
+        let (incarnation, sender) = (self.processes[to].incarnation, self.processes[from].incarnation);
+        if self.processes[to].fleet.is_none() {
             return;
         }
         let envelope = Envelope::decode(&envelope.encode()).expect("what is said can be read");
-        let event = Event::Arrive { to, incarnation, from, sender, envelope: Box::new(envelope) };
+        let event = Event::DeliverMessage { to, incarnation, from, sender, envelope: Box::new(envelope) };
         let mut again = 0;
-        let spared = self.spares_voters && from.max(to) < self.policy.voters.len();
-        while self.lost > 0 && !spared && self.roll(1_000) < self.lost {
-            if !self.sent_again {
+        let spared = self.lossless_voter_links && from.max(to) < self.policy.voters.len();
+        while self.loss_per_thousand > 0 && !spared && self.random_below(1_000) < self.loss_per_thousand {
+            if !self.retransmits {
                 return;
             }
             again = (2 * again + 200).min(60_000);
         }
         let ms = match link {
             LinkState::Cut => return,
-            LinkState::Stalled => return self.waiting.entry((from, to)).or_default().push(event),
-            LinkState::Slow => 200 + self.roll(300),
-            LinkState::Up => 1 + self.roll(4) + again,
+            LinkState::Stalled => return self.stalled_messages.entry((from, to)).or_default().push(event),
+            LinkState::Slow => 200 + self.random_below(300),
+            LinkState::Up => 1 + self.random_below(4) + again,
         };
         // What goes over one link keeps its order.
-        let due = (self.now / MS + ms).max(self.last.get(&(from, to)).copied().unwrap_or(0));
-        self.last.insert((from, to), due);
-        self.at(due - self.now / MS, event);
-    }
-
-    fn goes_out(&mut self, at: usize, lease: Lease, cause: Cause) {
-        self.say(|| format!("n{at} goes out by {lease:?} for {cause:?}"));
-        let incarnation = self.procs[at].incarnation;
-        self.procs[at].out = Some(lease);
-        self.procs[at].beyond = cause == Cause::Override;
-        let ms = 500 + self.roll(3_000);
-        self.at(ms, Event::Drained(at, incarnation, lease));
-        if cause == Cause::Drain && !self.wanted.contains(&self.procs[at].name) {
-            self.break_rule(format!("n{at} went out as drained, and no operator had asked"));
+        let due = (self.now / MS + ms).max(self.last_due_ms.get(&(from, to)).copied().unwrap_or(0));
+        self.last_due_ms.insert((from, to), due);
+        self.schedule(due - self.now / MS, event);
+    }
+
+    fn go_out(&mut self, node: usize, lease: Lease, cause: Cause) {
+        self.log_line(|| format!("n{node} goes out by {lease:?} for {cause:?}"));
+        let incarnation = self.processes[node].incarnation;
+        self.processes[node].out = Some(lease);
+        self.processes[node].out_beyond_limits = cause == Cause::Override;
+        let ms = 500 + self.random_below(3_000);
+        self.schedule(ms, Event::Drained(node, incarnation, lease));
+        if cause == Cause::Drain && !self.requested_out.contains(&self.processes[node].name) {
+            self.report_violation(format!("n{node} went out as drained, and no operator had asked"));
         }
         if let Cause::Release(number) = cause {
-            if self.went.insert(lease, incarnation).is_some_and(|before| before != incarnation) {
-                self.break_rule(format!("n{at} went out by permit {} that another process used", lease.0));
+            if self.lease_users.insert(lease, incarnation).is_some_and(|before| before != incarnation) {
+                self.report_violation(format!(
+                    "n{node} went out by permit {} that another process used",
+                    lease.0
+                ));
             }
-            if self.interrupted == Some(number) {
-                self.break_rule(format!("n{at} went out for release {number} after all voters were lost"));
+            if self.interrupted_release == Some(number) {
+                self.report_violation(format!(
+                    "n{node} went out for release {number} after all voters were lost"
+                ));
             }
-            if let Some(halted) = self.halted.get(&number).copied()
+            if let Some(halted) = self.halted_since.get(&number).copied()
                 && self.now > halted + HALT_HOLDS_MS * MS
             {
                 let late = (self.now - halted) / MS;
-                self.break_rule(format!("n{at} went out for release {number}, {late} ms after its halt"));
+                self.report_violation(format!(
+                    "n{node} went out for release {number}, {late} ms after its halt"
+                ));
             }
         }
         let out: BTreeSet<UnitName> = self
-            .procs
+            .processes
             .iter()
-            .filter(|process| process.out.is_some() && !process.beyond)
+            .filter(|process| process.out.is_some() && !process.out_beyond_limits)
             .map(|process| process.name.clone())
             .collect();
         self.most_out = self.most_out.max(out.len());
-        self.check_room(at, &out, "really out");
+        self.check_limits(node, &out, "really out");
     }
 
-    fn check_room(&mut self, at: usize, out: &BTreeSet<UnitName>, what: &str) {
+    fn check_limits(&mut self, node: usize, out: &BTreeSet<UnitName>, what: &str) {
         let policy = self.policy.clone();
-        for Scope { name: scope, limit, members: units } in policy.scopes_of(&UnitName(format!("n{at}"))) {
+        for Scope { name: scope, limit, members: units } in policy.scopes_of(&UnitName(format!("n{node}"))) {
             let (of, room) = (units.len() as u32, limit.room(units.len() as u32));
             let count = units.iter().filter(|name| out.contains(**name)).count();
             if count as u32 > room {
-                self.break_rule(format!(
+                self.report_violation(format!(
                     "{count} of {of} units in {scope} are {what}, {room} may be: {out:?}"
                 ));
             }
@@ -646,18 +656,19 @@
 
     /// The same log gives the same state everywhere, and what is granted counts what is lost.
     #[expect(clippy::too_many_lines, reason = "all invariants of one look at the fleet")]
-    fn check_state(&mut self, at: usize) {
-        let Some(fleet) = self.procs[at].fleet.as_ref() else { return };
+    fn check_state(&mut self, node: usize) {
+        let Some(fleet) = self.processes[node].fleet.as_ref() else { return };
         let state = fleet.state();
         if state.policy.is_none() {
             return;
         }
         let applied = state.applied;
-        if !self.states.contains_key(&applied) || applied.is_multiple_of(7) {
+        if !self.state_hashes.contains_key(&applied) || applied.is_multiple_of(7) {
             let hash = fnv(&postcard::to_stdvec(state).unwrap());
-            match self.states.insert(applied, hash) {
+            match self.state_hashes.insert(applied, hash) {
                 Some(known) if known != hash => {
-                    return self.break_rule(format!("two states after entry {applied}, one at n{at}"));
+                    return self
+                        .report_violation(format!("two states after entry {applied}, one at n{node}"));
                 }
                 Some(_) => {}
                 None => {
@@ -666,7 +677,7 @@
                 }
             }
         }
-        let Some(fleet) = self.procs[at].fleet.as_ref() else { return };
+        let Some(fleet) = self.processes[node].fleet.as_ref() else { return };
         let state = fleet.state();
         if let Some(release) = &state.release {
             let late = state.units.iter().find(|(_, unit)| {
@@ -676,7 +687,7 @@
             });
             if let Some((name, _)) = late {
                 let text = format!("{name} has a grant of the halted release {}", release.number);
-                return self.break_rule(text);
+                return self.report_violation(text);
             }
             let halted = matches!(release.release_state, ReleaseState::Halted(_)).then_some(release.number);
             let begun = |unit: &glendeck_fleet::state::Unit| match unit.unit_state {
@@ -684,30 +695,30 @@
                 _ => None,
             };
             let begun: BTreeSet<Nonce> = state.units.values().filter_map(begun).collect();
-            let (applied, before, had) = &self.before;
+            let (applied, before, had) = &self.last_seen;
             if halted.is_some() && *before == halted && state.applied == applied + 1 && !begun.is_subset(had)
             {
-                return self.break_rule("a unit began after its release had been halted".into());
+                return self.report_violation("a unit began after its release had been halted".into());
             }
             if state.applied > *applied {
-                self.before = (state.applied, halted, begun);
+                self.last_seen = (state.applied, halted, begun);
             }
-            let Some(fleet) = self.procs[at].fleet.as_ref() else { return };
+            let Some(fleet) = self.processes[node].fleet.as_ref() else { return };
             let state = fleet.state();
             let Some(release) = &state.release else { return };
             match release.release_state {
-                ReleaseState::Halted(_) => drop(self.halted.entry(release.number).or_insert(self.now)),
+                ReleaseState::Halted(_) => drop(self.halted_since.entry(release.number).or_insert(self.now)),
                 ReleaseState::Running
-                    if state.applied >= self.states.keys().next_back().copied().unwrap_or(0) =>
+                    if state.applied >= self.state_hashes.keys().next_back().copied().unwrap_or(0) =>
                 {
-                    self.halted.remove(&release.number);
+                    self.halted_since.remove(&release.number);
                 }
                 _ => {}
             }
         }
-        if state.next_lease > self.permits {
-            let fresh = self.permits;
-            self.permits = state.next_lease;
+        if state.next_lease > self.next_lease_seen {
+            let fresh = self.next_lease_seen;
+            self.next_lease_seen = state.next_lease;
             let granted: Vec<(usize, Lease)> = state
                 .units
                 .iter()
@@ -720,160 +731,160 @@
                 .collect();
             // Units of no use for so long that whoever grants must know of it, and those that are out.
             let known = |process: &&Process| {
-                process.out.is_some() && !process.beyond
-                    || process.gone.is_some_and(|since| self.now >= since + LOSS_KNOWN_MS * MS)
+                process.out.is_some() && !process.out_beyond_limits
+                    || process.unavailable_since.is_some_and(|since| self.now >= since + LOSS_KNOWN_MS * MS)
             };
             let out: BTreeSet<UnitName> =
-                self.procs.iter().filter(known).map(|process| process.name.clone()).collect();
-            for (at, lease) in granted {
+                self.processes.iter().filter(known).map(|process| process.name.clone()).collect();
+            for (node, lease) in granted {
                 let mut with = out.clone();
-                with.insert(UnitName(format!("n{at}")));
-                self.check_room(at, &with, &format!("out or lost with permit {}", lease.0));
+                with.insert(UnitName(format!("n{node}")));
+                self.check_limits(node, &with, &format!("out or lost with permit {}", lease.0));
             }
         }
     }
 
     /// No more than one voter's disk is forgetful at a time: what the note promises is promised for a minority.
-    fn may_forget(&self, at: usize) -> bool {
-        let Some(state) = self.newest() else { return false };
+    fn may_forget(&self, node: usize) -> bool {
+        let Some(state) = self.newest_state() else { return false };
         state.voter_slots.iter().all(|voter_slot| {
-            let process = self.procs.iter().find(|process| process.name == voter_slot.name);
+            let process = self.processes.iter().find(|process| process.name == voter_slot.name);
             process.is_some_and(|process| {
                 let sits = process
                     .fleet
                     .as_ref()
                     .is_some_and(|fleet| fleet.voter_status() == VoterStatus::Active(voter_slot.number));
-                process.name == self.procs[at].name || sits && process.lied.is_none()
+                process.name == self.processes[node].name || sits && process.reported_disk.is_none()
             })
         })
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm a kind of fault")]
-    fn strike(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         let forgets = match fault {
-            Fault::OlderCopy(at) | Fault::NoFolder(at) | Fault::Lies(at) => Some(at),
+            Fault::RestoreDiskCopy(node) | Fault::EraseDisk(node) | Fault::DropSyncs(node) => Some(node),
             _ => None,
         };
-        if forgets.is_some_and(|at| !self.may_forget(at)) {
+        if forgets.is_some_and(|node| !self.may_forget(node)) {
             return;
         }
-        self.say(|| format!("fault {fault:?}"));
+        self.log_line(|| format!("fault {fault:?}"));
         match fault {
             Fault::Link(from, to, link) => {
                 let before = self.links.insert((from, to), link).unwrap_or(LinkState::Up);
                 if link == LinkState::Up {
-                    for event in self.waiting.remove(&(from, to)).unwrap_or_default() {
-                        self.at(1, event);
+                    for event in self.stalled_messages.remove(&(from, to)).unwrap_or_default() {
+                        self.schedule(1, event);
                     }
                     if before == LinkState::Cut {
-                        self.relink(from, to);
+                        self.notify_link_up(from, to);
                     }
                 }
             }
             Fault::Heal => {
                 for (from, to) in self.links.keys().copied().collect::<Vec<_>>() {
-                    self.strike(Fault::Link(from, to, LinkState::Up));
+                    self.apply_fault(Fault::Link(from, to, LinkState::Up));
                 }
                 for host in 0..self.hosts.hosts.len() {
-                    self.list_says(host, EndpointState::Ready);
+                    self.set_listed(host, EndpointState::Ready);
                 }
-                for at in 0..self.procs.len() {
-                    self.list_stands(at, false);
-                    self.strike(Fault::Continue(at));
-                    if self.procs[at]
+                for node in 0..self.processes.len() {
+                    self.set_list_stalled(node, false);
+                    self.apply_fault(Fault::Continue(node));
+                    if self.processes[node]
                         .fleet
                         .as_ref()
                         .is_some_and(|fleet| fleet.voter_status() == VoterStatus::NoStore)
                     {
-                        self.end(at);
+                        self.terminate(node);
                     }
-                    self.procs[at].disk_ms = 2;
-                    if self.procs[at].fleet.is_none() {
-                        let version = self.procs[at].version.clone();
-                        self.at(1, Event::Start(at, version));
+                    self.processes[node].disk_write_ms = 2;
+                    if self.processes[node].fleet.is_none() {
+                        let version = self.processes[node].version.clone();
+                        self.schedule(1, Event::Start(node, version));
                     }
                 }
             }
-            Fault::Listed(host, listed) => self.list_says(host, listed),
-            Fault::ListStands(at, stands) => self.list_stands(at, stands),
-            Fault::Gone(at) => self.end(at),
-            Fault::Kill(at) => {
-                self.end(at);
-                let (ms, version) = (500 + self.roll(6_000), self.procs[at].version.clone());
-                self.at(ms, Event::Start(at, version));
+            Fault::SetListed(host, listed) => self.set_listed(host, listed),
+            Fault::StallList(node, is_stalled) => self.set_list_stalled(node, is_stalled),
+            Fault::KillForGood(node) => self.terminate(node),
+            Fault::Kill(node) => {
+                self.terminate(node);
+                let (ms, version) = (500 + self.random_below(6_000), self.processes[node].version.clone());
+                self.schedule(ms, Event::Start(node, version));
             }
-            Fault::Stop(at) => {
-                let process = &mut self.procs[at];
+            Fault::Stop(node) => {
+                let process = &mut self.processes[node];
                 if process.fleet.is_some() {
                     process.stopped = true;
                     if process.out.is_none() {
-                        process.gone.get_or_insert(self.now);
+                        process.unavailable_since.get_or_insert(self.now);
                     }
                 }
             }
-            Fault::Continue(at) => {
-                if std::mem::take(&mut self.procs[at].stopped) {
-                    if self.procs[at].serving {
-                        self.procs[at].gone = None;
+            Fault::Continue(node) => {
+                if std::mem::take(&mut self.processes[node].stopped) {
+                    if self.processes[node].serving {
+                        self.processes[node].unavailable_since = None;
                     }
                     // It finds all that came meanwhile at once, and may look at the clock first or at its sockets.
-                    let mut held = std::mem::take(&mut self.procs[at].held);
-                    if self.roll(2) == 0 {
-                        held.sort_by_key(|event| matches!(event, Event::Tick(..)));
+                    let mut held_events = std::mem::take(&mut self.processes[node].held_events);
+                    if self.random_below(2) == 0 {
+                        held_events.sort_by_key(|event| matches!(event, Event::Tick(..)));
                     }
-                    for event in held {
-                        self.at(0, event);
+                    for event in held_events {
+                        self.schedule(0, event);
                     }
                 }
             }
-            Fault::Trust(at) => {
-                let now = self.clock(at);
-                if let Some(fleet) = &mut self.procs[at].fleet {
+            Fault::Trust(node) => {
+                let now = self.clock(node);
+                if let Some(fleet) = &mut self.processes[node].fleet {
                     fleet.trust(now);
                 }
             }
-            Fault::Copy(at) => self.procs[at].copy = self.procs[at].disk.clone(),
-            Fault::OlderCopy(at) => {
-                self.procs[at].disk = self.procs[at].copy.clone();
-                self.procs[at].unlucky = true;
-                self.strike(Fault::Kill(at));
+            Fault::CopyDisk(node) => self.processes[node].disk_copy = self.processes[node].disk.clone(),
+            Fault::RestoreDiskCopy(node) => {
+                self.processes[node].disk = self.processes[node].disk_copy.clone();
+                self.processes[node].disk_restored = true;
+                self.apply_fault(Fault::Kill(node));
             }
-            Fault::NoFolder(at) => {
-                self.procs[at].disk = StoredState::default();
-                self.strike(Fault::Kill(at));
+            Fault::EraseDisk(node) => {
+                self.processes[node].disk = StoredState::default();
+                self.apply_fault(Fault::Kill(node));
             }
-            Fault::Lies(at) => {
-                let disk = self.procs[at].disk.clone();
-                self.procs[at].lied.get_or_insert(disk);
+            Fault::DropSyncs(node) => {
+                let disk = self.processes[node].disk.clone();
+                self.processes[node].reported_disk.get_or_insert(disk);
             }
-            Fault::DiskFails(at) => {
-                self.procs[at].disk_dead = true;
-                let now = self.clock(at);
-                if let Some(fleet) = &mut self.procs[at].fleet {
+            Fault::DiskFails(node) => {
+                self.processes[node].disk_failed = true;
+                let now = self.clock(node);
+                if let Some(fleet) = &mut self.processes[node].fleet {
                     fleet.disk_died(now, "sync failed");
                 }
-                self.act(at);
+                self.run_actions(node);
             }
-            Fault::DiskSlow(at, ms) => self.procs[at].disk_ms = ms,
+            Fault::DiskSlow(node, ms) => self.processes[node].disk_write_ms = ms,
         }
     }
 
     // What tests ask.
 
-    pub(crate) fn fleet(&self, at: usize) -> Option<&Fleet> {
-        self.procs[at].fleet.as_ref()
+    pub(crate) fn fleet(&self, node: usize) -> Option<&Fleet> {
+        self.processes[node].fleet.as_ref()
     }
 
     /// The state that goes furthest.
-    pub(crate) fn newest(&self) -> Option<&glendeck_fleet::state::State> {
-        let fleets = self.procs.iter().filter_map(|process| process.fleet.as_ref());
+    pub(crate) fn newest_state(&self) -> Option<&glendeck_fleet::state::State> {
+        let fleets = self.processes.iter().filter_map(|process| process.fleet.as_ref());
         fleets.map(Fleet::state).max_by_key(|state| state.applied)
     }
 
     /// Runs on until something holds, for so long at most.
-    pub(crate) fn run_to(&mut self, most_ms: u64, holds: impl Fn(&World) -> bool) -> bool {
+    pub(crate) fn wait_for(&mut self, most_ms: u64, holds: impl Fn(&World) -> bool) -> bool {
         let until = self.now / MS + most_ms;
-        while self.now / MS < until && self.broken.is_none() {
+        while self.now / MS < until && self.violation.is_none() {
             if holds(self) {
                 return true;
             }
@@ -887,55 +898,55 @@
     }
 
     /// All links to it, from it, or both.
-    pub(crate) fn around(&mut self, at: usize, inwards: bool, outwards: bool, state: LinkState) {
-        for other in (0..self.procs.len()).filter(|other| *other != at) {
+    pub(crate) fn set_links(&mut self, node: usize, inwards: bool, outwards: bool, state: LinkState) {
+        for other in (0..self.processes.len()).filter(|other| *other != node) {
             if inwards {
-                self.strike(Fault::Link(other, at, state));
+                self.apply_fault(Fault::Link(other, node, state));
             }
             if outwards {
-                self.strike(Fault::Link(at, other, state));
+                self.apply_fault(Fault::Link(node, other, state));
             }
         }
     }
 
-    pub(crate) fn strike_now(&mut self, fault: Fault) {
-        self.strike(fault);
+    pub(crate) fn apply_fault_now(&mut self, fault: Fault) {
+        self.apply_fault(fault);
     }
 
-    pub(crate) fn order_now(&mut self, at: usize, id: &str, command: Command) {
-        self.happen(Event::Order(at, id.into(), command));
+    pub(crate) fn request_now(&mut self, node: usize, id: &str, command: Command) {
+        self.handle_event(Event::Request(node, id.into(), command));
     }
 
     /// How this process knows a unit to stand.
-    pub(crate) fn unit_state(&self, at: usize, unit: usize) -> Option<UnitState> {
-        let state = self.procs[at].fleet.as_ref()?.state();
+    pub(crate) fn unit_state(&self, node: usize, unit: usize) -> Option<UnitState> {
+        let state = self.processes[node].fleet.as_ref()?.state();
         Some(state.units.get(&UnitName(format!("n{unit}")))?.unit_state.clone())
     }
 
-    pub(crate) fn is_out(&self, at: usize) -> bool {
-        self.procs[at].out.is_some()
+    pub(crate) fn is_out(&self, node: usize) -> bool {
+        self.processes[node].out.is_some()
     }
 
     pub(crate) fn leader(&self) -> Option<usize> {
-        self.procs
+        self.processes
             .iter()
             .position(|process| !process.stopped && process.fleet.as_ref().is_some_and(Fleet::leads))
     }
 
-    pub(crate) fn answered(&self, id: &str) -> Option<&RequestResult> {
+    pub(crate) fn answer_to(&self, id: &str) -> Option<&RequestResult> {
         self.answers.get(&RequestId(id.into()))
     }
 
-    pub(crate) fn done(&self, id: &str) -> bool {
-        matches!(self.answered(id), Some(RequestResult::Answered(CommandResult::Done(_))))
+    pub(crate) fn is_done(&self, id: &str) -> bool {
+        matches!(self.answer_to(id), Some(RequestResult::Answered(CommandResult::Done(_))))
     }
 
     pub(crate) fn versions(&self) -> Vec<&str> {
-        self.procs.iter().map(|process| process.version.as_str()).collect()
+        self.processes.iter().map(|process| process.version.as_str()).collect()
     }
 
-    pub(crate) fn really_out(&self) -> usize {
-        self.procs.iter().filter(|process| process.out.is_some()).count()
+    pub(crate) fn count_out(&self) -> usize {
+        self.processes.iter().filter(|process| process.out.is_some()).count()
     }
 }
 
