--- a/crates/fleet/tests/schedules/world/mod.rs
+++ b/crates/fleet/tests/schedules/world/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet in simulated time: processes with disks, links between them, faults by a seeded schedule, and a checker that
-//! judges by what processes really did.
+//! A fleet in simulated time: processes with disks, links between them, faults of a seeded schedule, and a
+//! checker that verifies the invariants against what the processes really did. Instants are in nanoseconds of
+//! simulated time unless a name or comment says otherwise; nodes are given by index.
 
 pub(crate) mod hosts;
 
@@ -17,12 +18,15 @@
 };
 use nanorand::{Rng, WyRand};
 
-const MS: u64 = 1_000_000;
+/// Nanoseconds per millisecond.
+const NANOS_PER_MS: u64 = 1_000_000;
 
-/// How long a halt may take to hold: a begin counts for 2 s, and a tick is 0.1 s; by clocks that are slow by a 25th.
+/// Longest time until a halt takes effect, in ms: a request to begin is valid for 2 s and a tick takes 0.1 s,
+/// by clocks that may be 4 % slow.
 const HALT_HOLDS_MS: u64 = 2_260;
 
-/// A loss is known to whoever grants after 5 s without a heartbeat; the last heartbeat may have been on its way.
+/// Time after which the leader must know that a unit is lost, in ms: 5 s without a heartbeat, and the last
+/// heartbeat may still have been in transit.
 const LOSS_KNOWN_MS: u64 = 7_500;
 
 enum Event {
@@ -34,51 +38,61 @@
         sender: Incarnation,
         envelope: Box<Envelope>,
     },
+    /// The batch of this number is on disk.
     BatchWritten(usize, Incarnation, u64, Vec<StoreWrite>),
     StartServing(usize, Incarnation),
     Drained(usize, Incarnation, Lease),
+    /// A process of this version starts.
     Start(usize, String),
     DeliverList(usize, Incarnation),
+    /// The node notices that its endpoint list is stalled.
     NoticeStalledList(usize, Incarnation),
+    /// The node moves one connection off an avoided host.
     MoveConnection(usize, Incarnation),
     Fault(Fault),
-    /// An operator at this process.
+    /// An operator's request to this node, with its id.
     Request(usize, String, Command),
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
+    /// Sets the link from one node to another.
     Link(usize, usize, LinkState),
+    /// Restores links, lists, hosts and write times, continues stopped nodes, and restarts nodes that are
+    /// down or have no store.
     Heal,
+    /// Killed, and started again later.
     Kill(usize),
-    /// Killed, and nobody starts it again.
+    /// Killed, and not started again.
     KillForGood(usize),
+    /// The process is paused, as by SIGSTOP.
     Stop(usize),
     Continue(usize),
-    /// Killed, and started again with an older copy of its folder.
+    /// Killed, and started again with the older copy of its store that [`Fault::CopyDisk`] made.
     RestoreDiskCopy(usize),
-    /// Killed, and started again without its folder.
+    /// Killed, and started again with an empty store.
     EraseDisk(usize),
-    /// From here on its syncs say yes and forget.
+    /// From now on its syncs report success, but the data is lost when the process ends.
     DropSyncs(usize),
     DiskFails(usize),
-    /// It takes this long, in ms, to write anything.
+    /// Each write takes this long, in ms.
     DiskSlow(usize, u64),
+    /// Copies its store, for [`Fault::RestoreDiskCopy`].
     CopyDisk(usize),
-    /// An operator vouches for its disk.
+    /// An operator confirms that its store is complete.
     Trust(usize),
-    /// What the list says of a host.
+    /// Sets what the endpoint list shows for a host.
     SetListed(usize, EndpointState),
-    /// This node's list stands still, or is told again.
+    /// This node's endpoint list stalls, or is updated again.
     StallList(usize, bool),
 }
 
-/// How a link is, in one direction.
+/// The state of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum LinkState {
     Up,
     Cut,
-    /// Messages wait until it is up again.
+    /// Messages wait until the link is up again.
     Stalled,
     Slow,
 }
@@ -91,63 +105,78 @@
     stopped: bool,
     serving: bool,
     drained: bool,
-    /// Out by lease: from going out until it, or its next process, takes clients again.
+    /// The lease under which it is out, from going out until it, or its next process, takes clients again.
     out: Option<Lease>,
+    /// It is out by an override, which limits do not count.
     out_beyond_limits: bool,
-    /// Since when it has been of no use, unplanned.
+    /// Since when it has been down or stopped without being out by a lease.
     unavailable_since: Option<u64>,
     disk: StoredState,
-    /// Where its disk is by its own word, if that lies.
+    /// What the disk claims to hold while it drops syncs; `disk` is what remains after a restart.
     reported_disk: Option<StoredState>,
     disk_copy: StoredState,
     disk_write_ms: u64,
     disk_failed: bool,
+    /// Events that arrived while it was stopped.
     held_events: Vec<Event>,
     disk_restored: bool,
     node_hosts: hosts::NodeHosts,
-    /// Its clock: what it showed at the world's beginning, and thousandths that it goes fast or slow by.
+    /// Its clock: the reading in nanoseconds at the start of the simulation, and its rate in thousandths.
     clock: (u64, u64),
 }
 
 pub(crate) struct World {
     pub now: u64,
+    /// Orders events that are due at the same time.
     next_sequence: u64,
+    /// Due time, sequence number and index in `events`.
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
+    /// Unused indexes of `events`.
     free_slots: Vec<usize>,
     processes: Vec<Process>,
     links: BTreeMap<(usize, usize), LinkState>,
+    /// When the last message of each link arrives, in ms.
     last_due_ms: BTreeMap<(usize, usize), u64>,
     stalled_messages: BTreeMap<(usize, usize), Vec<Event>>,
     rng: WyRand,
     policy: FleetPolicy,
     incarnations_started: u64,
+    /// Hash of the state after each log entry.
     state_hashes: BTreeMap<u64, u64>,
+    /// Leases from this number on have not been checked against the limits.
     next_lease_seen: u64,
+    /// When each halted release was first seen halted.
     halted_since: BTreeMap<u64, u64>,
+    /// The process that went out under each release lease.
     lease_users: BTreeMap<Lease, Incarnation>,
-    /// Units that operators wanted out.
+    /// Units and hosts that operators asked to drain.
     requested_out: BTreeSet<UnitName>,
-    /// The last state seen: how far, which release it held halted, and what had begun.
+    /// The newest state checked: entries applied, the release that was halted, and the drains that had begun.
     last_seen: (u64, Option<u64>, BTreeSet<Nonce>),
-    /// Running when all voters were down at once, and nobody has said that it may go on.
+    /// The release that was running when all voters were down at once, until an operator resumes it or rolls
+    /// it back.
     interrupted_release: Option<u64>,
-    /// Answers operators heard.
+    /// Answers to operators' requests.
     pub answers: BTreeMap<RequestId, RequestResult>,
+    /// The first invariant violation.
     pub violation: Option<String>,
+    /// Most units out at once, without overrides.
     pub most_out: usize,
     pub messages_sent: u64,
+    /// Digest of the actions and states of all processes.
     pub trace: u64,
-    /// Versions that serve badly.
+    /// Versions that fail a quarter of their calls.
     failing_versions: BTreeSet<String>,
     pub log: Vec<String>,
     pub verbose: bool,
     pub hosts: hosts::Hosts,
-    /// Of a thousand messages so many are lost.
+    /// Lost messages per thousand.
     pub loss_per_thousand: u64,
-    /// What is lost is sent again, as TCP does: after 0.2 s, then twice as long, with all that follows waiting behind it.
+    /// Lost messages are retransmitted as by TCP: after 0.2 s, then with doubled delays, while later messages
+    /// of the link wait behind them. Otherwise they are never delivered.
     pub retransmits: bool,
-    /// Voters' links among each other lose nothing.
+    /// Links between voters lose no messages.
     pub lossless_voter_links: bool,
 }
 
@@ -256,7 +285,7 @@
         self.rng.generate_range(0..below)
     }
 
-    /// What a process's own clock shows. Clocks are apart by hours, and none goes right.
+    /// The reading of the process's own clock. Clocks differ by hours and run up to 4 % fast or slow.
     fn clock(&self, node: usize) -> Timestamp {
         let (began, rate) = self.processes[node].clock;
         Timestamp(began + self.now / 1_000 * rate)
@@ -269,15 +298,18 @@
         });
         self.events[slot] = Some(event);
         self.next_sequence += 1;
-        self.queue.push(Reverse((self.now + ms * MS, self.next_sequence, slot)));
+        self.queue.push(Reverse((self.now + ms * NANOS_PER_MS, self.next_sequence, slot)));
     }
 
     pub(crate) fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
-        self.schedule((at_ms * MS - self.now) / MS, Event::Fault(fault));
+        self.schedule((at_ms * NANOS_PER_MS - self.now) / NANOS_PER_MS, Event::Fault(fault));
     }
 
     pub(crate) fn schedule_request(&mut self, at_ms: u64, process: usize, id: &str, command: Command) {
-        self.schedule((at_ms * MS - self.now) / MS, Event::Request(process, id.into(), command));
+        self.schedule(
+            (at_ms * NANOS_PER_MS - self.now) / NANOS_PER_MS,
+            Event::Request(process, id.into(), command),
+        );
     }
 
     pub(crate) fn fail_calls_of(&mut self, version: &str) {
@@ -298,21 +330,21 @@
     }
 
     pub(crate) fn run_until(&mut self, ms: u64) {
-        while let Some(Reverse((node, _, slot))) = self.queue.peek().copied() {
-            if node > ms * MS || self.violation.is_some() {
+        while let Some(Reverse((event_time, _, slot))) = self.queue.peek().copied() {
+            if event_time > ms * NANOS_PER_MS || self.violation.is_some() {
                 break;
             }
             self.queue.pop();
-            self.now = node;
+            self.now = event_time;
             self.free_slots.push(slot);
             if let Some(event) = self.events[slot].take() {
                 self.handle_event(event);
             }
         }
-        self.now = self.now.max(ms * MS);
+        self.now = self.now.max(ms * NANOS_PER_MS);
     }
 
-    #[expect(clippy::too_many_lines, reason = "one arm an event")]
+    #[expect(clippy::too_many_lines, reason = "one match arm per event")]
     fn handle_event(&mut self, event: Event) {
         let whose = match &event {
             Event::Tick(node, incarnation)
@@ -351,7 +383,7 @@
             }
             Event::DeliverMessage { to, from, sender, envelope, .. } => {
                 if self.processes[from].incarnation != sender && self.processes[from].fleet.is_none() {
-                    // Its process has gone; what was on the way may still come.
+                    // The sending process has ended; its messages in transit may still arrive.
                 }
                 let name = self.processes[from].name.clone();
                 if let Some(fleet) = &mut self.processes[to].fleet {
@@ -387,7 +419,7 @@
             Event::Fault(fault) => self.apply_fault(fault),
             Event::Request(node, id, command) => {
                 let now = self.clock(node);
-                self.log_line(|| format!("order at n{node}: {id} {command:?}"));
+                self.log_line(|| format!("request at n{node}: {id} {command:?}"));
                 if let Command::Drain { unit } | Command::Override { unit, .. } = &command {
                     self.requested_out.insert(unit.clone());
                 }
@@ -403,7 +435,8 @@
     }
 
     fn node_status(&mut self, node: usize) -> NodeStatus {
-        let (now, bad) = (self.now / MS, self.failing_versions.contains(&self.processes[node].version));
+        let (now, bad) =
+            (self.now / NANOS_PER_MS, self.failing_versions.contains(&self.processes[node].version));
         let process = &self.processes[node];
         let calls = now / 20;
         NodeStatus {
@@ -425,7 +458,8 @@
         self.incarnations_started += 1;
         let (incarnation, seed) = (Incarnation(self.incarnations_started), self.random_below(1 << 40));
         let small = self.processes.len() < 50;
-        self.processes[node].clock = (self.random_below(20_000_000) * MS, 960 + self.random_below(81));
+        self.processes[node].clock =
+            (self.random_below(20_000_000) * NANOS_PER_MS, 960 + self.random_below(81));
         let now = self.clock(node);
         let process = &mut self.processes[node];
         process.incarnation = incarnation;
@@ -445,12 +479,12 @@
             version: process.version.clone(),
             saved: Some(process.disk.clone()),
             spoilt: false,
-            // Small fleets have short days, which are to see many epochs.
+            // Schedules of small fleets are short but should cover many epochs.
             longest_log: if small { 40 } else { glendeck_fleet::LONGEST_LOG },
         };
         process.fleet = Some(Fleet::new(setup, now));
         self.reset_node_hosts(node);
-        self.log_line(|| format!("n{node} starts, life {}", incarnation.0));
+        self.log_line(|| format!("n{node} starts, incarnation {}", incarnation.0));
         self.run_actions(node);
         for other in 0..self.processes.len() {
             if other != node {
@@ -476,14 +510,15 @@
         let running = self.newest_state().and_then(|state| {
             let release =
                 state.release.as_ref().filter(|release| release.release_state == ReleaseState::Running)?;
-            let is_left = |voter_slot: &glendeck_fleet::state::VoterSlot| {
+            let is_down = |voter_slot: &glendeck_fleet::state::VoterSlot| {
                 let of = |process: &&Process| process.name == voter_slot.name;
                 let begun = matches!(state.units[&voter_slot.name].unit_state, UnitState::Begun { .. });
-                // Its own leaving was planned, and it is the only voter.
+                // A planned exit, after the drain has begun, does not interrupt the release, even if this is
+                // the only voter.
                 (voter_slot.name == self.processes[node].name && !begun)
                     || self.processes.iter().find(of).is_some_and(|process| process.fleet.is_none())
             };
-            state.voter_slots.iter().all(is_left).then_some(release.number)
+            state.voter_slots.iter().all(is_down).then_some(release.number)
         });
         if running.is_some() {
             self.interrupted_release = running;
@@ -505,7 +540,7 @@
         }
     }
 
-    /// Carries out what a process wants done.
+    /// Carries out the actions of a process.
     fn run_actions(&mut self, node: usize) {
         let incarnation = self.processes[node].incarnation;
         let Some(fleet) = self.processes[node].fleet.as_mut() else { return };
@@ -520,13 +555,13 @@
                 }
                 Action::StartDrain { lease, cause } => self.go_out(node, lease, cause),
                 Action::Resume => {
-                    self.log_line(|| format!("n{node} returns"));
+                    self.log_line(|| format!("n{node} takes clients again"));
                     let process = &mut self.processes[node];
                     (process.out, process.drained, process.serving, process.out_beyond_limits) =
                         (None, false, true, false);
                 }
                 Action::Exit { version } => {
-                    self.log_line(|| format!("n{node} leaves for {version}"));
+                    self.log_line(|| format!("n{node} exits to be replaced by {version}"));
                     self.terminate(node);
                     let ms = 1_000 + self.random_below(2_000);
                     self.schedule(ms, Event::Start(node, version));
@@ -544,7 +579,7 @@
         self.check_hosts_empty(node);
     }
 
-    /// Takes an action into the digest of all that the processes did: what goes out by its bytes, the rest by value.
+    /// Adds an action to the digest of the processes' actions: messages by their bytes, the rest by value.
     /// Log texts are left out, as they may change without a change of behaviour.
     fn trace_action(&mut self, node: usize, action: &Action) {
         let bytes = match action {
@@ -578,7 +613,7 @@
         if self.processes[to].fleet.is_none() {
             return;
         }
-        let envelope = Envelope::decode(&envelope.encode()).expect("what is said can be read");
+        let envelope = Envelope::decode(&envelope.encode()).expect("an encoded envelope can be decoded");
         let event = Event::DeliverMessage { to, incarnation, from, sender, envelope: Box::new(envelope) };
         let mut again = 0;
         let spared = self.lossless_voter_links && from.max(to) < self.policy.voters.len();
@@ -594,38 +629,38 @@
             LinkState::Slow => 200 + self.random_below(300),
             LinkState::Up => 1 + self.random_below(4) + again,
         };
-        // What goes over one link keeps its order.
-        let due = (self.now / MS + ms).max(self.last_due_ms.get(&(from, to)).copied().unwrap_or(0));
+        // Messages of one link arrive in order.
+        let due = (self.now / NANOS_PER_MS + ms).max(self.last_due_ms.get(&(from, to)).copied().unwrap_or(0));
         self.last_due_ms.insert((from, to), due);
-        self.schedule(due - self.now / MS, event);
+        self.schedule(due - self.now / NANOS_PER_MS, event);
     }
 
     fn go_out(&mut self, node: usize, lease: Lease, cause: Cause) {
-        self.log_line(|| format!("n{node} goes out by {lease:?} for {cause:?}"));
+        self.log_line(|| format!("n{node} goes out under {lease:?} for {cause:?}"));
         let incarnation = self.processes[node].incarnation;
         self.processes[node].out = Some(lease);
         self.processes[node].out_beyond_limits = cause == Cause::Override;
         let ms = 500 + self.random_below(3_000);
         self.schedule(ms, Event::Drained(node, incarnation, lease));
         if cause == Cause::Drain && !self.requested_out.contains(&self.processes[node].name) {
-            self.report_violation(format!("n{node} went out as drained, and no operator had asked"));
+            self.report_violation(format!("n{node} went out for a drain that no operator requested"));
         }
         if let Cause::Release(number) = cause {
             if self.lease_users.insert(lease, incarnation).is_some_and(|before| before != incarnation) {
                 self.report_violation(format!(
-                    "n{node} went out by permit {} that another process used",
+                    "n{node} went out under lease {} that another process had used",
                     lease.0
                 ));
             }
             if self.interrupted_release == Some(number) {
                 self.report_violation(format!(
-                    "n{node} went out for release {number} after all voters were lost"
+                    "n{node} went out for release {number}, interrupted when all voters were down"
                 ));
             }
             if let Some(halted) = self.halted_since.get(&number).copied()
-                && self.now > halted + HALT_HOLDS_MS * MS
+                && self.now > halted + HALT_HOLDS_MS * NANOS_PER_MS
             {
-                let late = (self.now - halted) / MS;
+                let late = (self.now - halted) / NANOS_PER_MS;
                 self.report_violation(format!(
                     "n{node} went out for release {number}, {late} ms after its halt"
                 ));
@@ -638,7 +673,7 @@
             .map(|process| process.name.clone())
             .collect();
         self.most_out = self.most_out.max(out.len());
-        self.check_limits(node, &out, "really out");
+        self.check_limits(node, &out, "out");
     }
 
     fn check_limits(&mut self, node: usize, out: &BTreeSet<UnitName>, what: &str) {
@@ -648,14 +683,15 @@
             let count = units.iter().filter(|name| out.contains(**name)).count();
             if count as u32 > room {
                 self.report_violation(format!(
-                    "{count} of {of} units in {scope} are {what}, {room} may be: {out:?}"
+                    "{count} of {of} units in {scope} are {what}, at most {room} may be: {out:?}"
                 ));
             }
         }
     }
 
-    /// The same log gives the same state everywhere, and what is granted counts what is lost.
-    #[expect(clippy::too_many_lines, reason = "all invariants of one look at the fleet")]
+    /// Checks that the same log gives the same state at every node, that nothing is granted or begun for a
+    /// halted release, and that the limits on granted leases count lost units.
+    #[expect(clippy::too_many_lines, reason = "all invariants of the fleet's state in one function")]
     fn check_state(&mut self, node: usize) {
         let Some(fleet) = self.processes[node].fleet.as_ref() else { return };
         let state = fleet.state();
@@ -667,8 +703,9 @@
             let hash = fnv(&postcard::to_stdvec(state).unwrap());
             match self.state_hashes.insert(applied, hash) {
                 Some(known) if known != hash => {
-                    return self
-                        .report_violation(format!("two states after entry {applied}, one at n{node}"));
+                    return self.report_violation(format!(
+                        "the state after entry {applied} at n{node} differs from another node's"
+                    ));
                 }
                 Some(_) => {}
                 None => {
@@ -686,7 +723,7 @@
                     && matches!(release.release_state, ReleaseState::Halted(_))
             });
             if let Some((name, _)) = late {
-                let text = format!("{name} has a grant of the halted release {}", release.number);
+                let text = format!("{name} holds a granted lease of halted release {}", release.number);
                 return self.report_violation(text);
             }
             let halted = matches!(release.release_state, ReleaseState::Halted(_)).then_some(release.number);
@@ -698,7 +735,7 @@
             let (applied, before, had) = &self.last_seen;
             if halted.is_some() && *before == halted && state.applied == applied + 1 && !begun.is_subset(had)
             {
-                return self.report_violation("a unit began after its release had been halted".into());
+                return self.report_violation("a unit began its drain after its release was halted".into());
             }
             if state.applied > *applied {
                 self.last_seen = (state.applied, halted, begun);
@@ -717,55 +754,60 @@
             }
         }
         if state.next_lease > self.next_lease_seen {
-            let fresh = self.next_lease_seen;
+            let first_unchecked = self.next_lease_seen;
             self.next_lease_seen = state.next_lease;
             let granted: Vec<(usize, Lease)> = state
                 .units
                 .iter()
                 .filter_map(|(name, unit)| match unit.unit_state {
-                    UnitState::Granted { lease, cause } if lease.0 >= fresh && cause != Cause::Override => {
+                    UnitState::Granted { lease, cause }
+                        if lease.0 >= first_unchecked && cause != Cause::Override =>
+                    {
                         Some((name.0[1..].parse().ok()?, lease))
                     }
                     _ => None,
                 })
                 .collect();
-            // Units of no use for so long that whoever grants must know of it, and those that are out.
+            // Units that are out, and units that have been unavailable for so long that the leader must know.
             let known = |process: &&Process| {
                 process.out.is_some() && !process.out_beyond_limits
-                    || process.unavailable_since.is_some_and(|since| self.now >= since + LOSS_KNOWN_MS * MS)
+                    || process
+                        .unavailable_since
+                        .is_some_and(|since| self.now >= since + LOSS_KNOWN_MS * NANOS_PER_MS)
             };
             let out: BTreeSet<UnitName> =
                 self.processes.iter().filter(known).map(|process| process.name.clone()).collect();
             for (node, lease) in granted {
                 let mut with = out.clone();
                 with.insert(UnitName(format!("n{node}")));
-                self.check_limits(node, &with, &format!("out or lost with permit {}", lease.0));
+                self.check_limits(node, &with, &format!("out or lost when lease {} is granted", lease.0));
             }
         }
     }
 
-    /// No more than one voter's disk is forgetful at a time: what the note promises is promised for a minority.
-    fn may_forget(&self, node: usize) -> bool {
+    /// Whether this node's disk may lose data now: at most one voter's disk may at a time, as the fleet
+    /// guarantees its invariants only when a minority of the voters loses data.
+    fn may_lose_data(&self, node: usize) -> bool {
         let Some(state) = self.newest_state() else { return false };
         state.voter_slots.iter().all(|voter_slot| {
             let process = self.processes.iter().find(|process| process.name == voter_slot.name);
             process.is_some_and(|process| {
-                let sits = process
+                let is_active = process
                     .fleet
                     .as_ref()
                     .is_some_and(|fleet| fleet.voter_status() == VoterStatus::Active(voter_slot.number));
-                process.name == self.processes[node].name || sits && process.reported_disk.is_none()
+                process.name == self.processes[node].name || is_active && process.reported_disk.is_none()
             })
         })
     }
 
-    #[expect(clippy::too_many_lines, reason = "one arm a kind of fault")]
+    #[expect(clippy::too_many_lines, reason = "one match arm per kind of fault")]
     fn apply_fault(&mut self, fault: Fault) {
-        let forgets = match fault {
+        let loses_data = match fault {
             Fault::RestoreDiskCopy(node) | Fault::EraseDisk(node) | Fault::DropSyncs(node) => Some(node),
             _ => None,
         };
-        if forgets.is_some_and(|node| !self.may_forget(node)) {
+        if loses_data.is_some_and(|node| !self.may_lose_data(node)) {
             return;
         }
         self.log_line(|| format!("fault {fault:?}"));
@@ -827,7 +869,8 @@
                     if self.processes[node].serving {
                         self.processes[node].unavailable_since = None;
                     }
-                    // It finds all that came meanwhile at once, and may look at the clock first or at its sockets.
+                    // The process receives all held events at once; it may handle ticks or other events
+                    // first.
                     let mut held_events = std::mem::take(&mut self.processes[node].held_events);
                     if self.random_below(2) == 0 {
                         held_events.sort_by_key(|event| matches!(event, Event::Tick(..)));
@@ -869,35 +912,35 @@
         }
     }
 
-    // What tests ask.
+    // Queries and controls for tests.
 
     pub(crate) fn fleet(&self, node: usize) -> Option<&Fleet> {
         self.processes[node].fleet.as_ref()
     }
 
-    /// The state that goes furthest.
+    /// The state with the most entries applied.
     pub(crate) fn newest_state(&self) -> Option<&glendeck_fleet::state::State> {
         let fleets = self.processes.iter().filter_map(|process| process.fleet.as_ref());
         fleets.map(Fleet::state).max_by_key(|state| state.applied)
     }
 
-    /// Runs on until something holds, for so long at most.
-    pub(crate) fn wait_for(&mut self, most_ms: u64, holds: impl Fn(&World) -> bool) -> bool {
-        let until = self.now / MS + most_ms;
-        while self.now / MS < until && self.violation.is_none() {
-            if holds(self) {
+    /// Runs until the condition holds, for at most `most_ms`; returns whether it holds.
+    pub(crate) fn wait_for(&mut self, most_ms: u64, condition: impl Fn(&World) -> bool) -> bool {
+        let until = self.now / NANOS_PER_MS + most_ms;
+        while self.now / NANOS_PER_MS < until && self.violation.is_none() {
+            if condition(self) {
                 return true;
             }
-            self.run_until(self.now / MS + 1);
+            self.run_until(self.now / NANOS_PER_MS + 1);
         }
-        holds(self)
+        condition(self)
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
-        self.now / MS
+        self.now / NANOS_PER_MS
     }
 
-    /// All links to it, from it, or both.
+    /// Sets all links to a node, from it, or both.
     pub(crate) fn set_links(&mut self, node: usize, inwards: bool, outwards: bool, state: LinkState) {
         for other in (0..self.processes.len()).filter(|other| *other != node) {
             if inwards {
@@ -917,7 +960,7 @@
         self.handle_event(Event::Request(node, id.into(), command));
     }
 
-    /// How this process knows a unit to stand.
+    /// The state of a unit as this node knows it.
     pub(crate) fn unit_state(&self, node: usize, unit: usize) -> Option<UnitState> {
         let state = self.processes[node].fleet.as_ref()?.state();
         Some(state.units.get(&UnitName(format!("n{unit}")))?.unit_state.clone())
@@ -950,6 +993,7 @@
     }
 }
 
+/// FNV-1a hash.
 fn fnv(bytes: &[u8]) -> u64 {
     bytes
         .iter()
