--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -1,5 +1,6 @@
-//! A model of leases and halts, checked in all orders of events: two units of three that may go out one at a time,
-//! a leader that grants at any moment, messages that come late, twice or never, operators that halt and resume.
+//! Model checking of leases and halts over all orders of events: a release of two of three units, of which
+//! one may be out at a time; a leader that grants at any moment; messages that are late, repeated or lost;
+//! operators that halt and resume.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -18,13 +19,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Unit {
-    /// Index of the last log entry that it knows.
+    /// Index of the last log entry that the unit knows.
     known_entries: usize,
     incarnation: u64,
     count: u64,
     asked: Option<(Lease, Nonce)>,
-    /// It asked less than 2 s ago.
-    has_asked_lately: bool,
+    /// The unit asked to begin less than 2 s ago.
+    has_asked_recently: bool,
     out: bool,
 }
 
@@ -33,7 +34,7 @@
     /// The state after each entry.
     log: Vec<State>,
     units: Vec<Unit>,
-    /// Requests to begin that were sent; what has arrived may arrive again.
+    /// Requests to begin that were sent; each may arrive any number of times.
     begins_in_flight: BTreeSet<(usize, Lease, Nonce)>,
     /// The release has been halted for 2 s or longer.
     is_halted_for_long: bool,
@@ -56,7 +57,7 @@
     GrantTurn(usize),
     Halt,
     Resume,
-    /// A request to begin is decided, for the first time or again.
+    /// A request to begin arrives and is decided, for the first time or again.
     DeliverBegin(usize, Lease, Nonce),
     /// A unit learns of the next entry.
     LearnEntry(usize),
@@ -64,29 +65,29 @@
     GoOut(usize),
     /// Two seconds pass.
     Wait,
-    /// It leaves and its next process serves.
+    /// The unit exits, and its next process serves.
     LeaveAndRestart(usize),
-    /// The leader has seen its next process serve.
+    /// The leader has seen the unit's next process serve.
     MarkServing(usize),
 }
 
-/// Which of the program's guards the model leaves out.
+/// The model, and which of the program's guards it leaves out.
 #[derive(Clone, Copy, Default)]
 struct LeaseModel {
-    /// A begin of any age lets a unit out.
+    /// Leaves out the check that a begin is recent.
     any_age: bool,
-    /// A grant alone lets a unit out.
+    /// Lets a unit go out on a grant alone, without a begin.
     out_on_grant: bool,
-    /// Entries after which no more are added.
+    /// Number of log entries after which none is added.
     longest_log: usize,
 }
 
-fn newest(model: &ModelState) -> &State {
+fn newest_state(model: &ModelState) -> &State {
     model.log.last().unwrap()
 }
 
-fn unit_state(state: &State, at: usize) -> &UnitState {
-    &state.units[&name(at)].unit_state
+fn unit_state(state: &State, unit_index: usize) -> &UnitState {
+    &state.units[&name(unit_index)].unit_state
 }
 
 fn is_halted(state: &State) -> bool {
@@ -94,7 +95,7 @@
 }
 
 fn append(model: &mut ModelState, command: Command) {
-    let mut state = newest(model).clone();
+    let mut state = newest_state(model).clone();
     state.apply(&Entry { id: None, command });
     model.log.push(state);
 }
@@ -114,7 +115,7 @@
             },
             hosts: None,
             work: None,
-            units: (0..UNITS + 1).map(|at| (name(at), place.clone())).collect(),
+            units: (0..UNITS + 1).map(|unit_index| (name(unit_index), place.clone())).collect(),
         };
         let plan = Plan {
             version: "v2".into(),
@@ -128,8 +129,8 @@
         };
         let mut state = State::before_founding(&policy.voters);
         let mut commands = vec![Command::Bootstrap(Box::new(policy))];
-        commands.extend((0..UNITS + 1).map(|at| Command::MarkServing {
-            unit: name(at),
+        commands.extend((0..UNITS + 1).map(|unit_index| Command::MarkServing {
+            unit: name(unit_index),
             lease: None,
             version: "v1".into(),
         }));
@@ -142,7 +143,7 @@
             incarnation: 1,
             count: 0,
             asked: None,
-            has_asked_lately: false,
+            has_asked_recently: false,
             out: false,
         };
         vec![ModelState {
@@ -155,51 +156,52 @@
     }
 
     fn actions(&self, model: &ModelState, steps: &mut Vec<Step>) {
-        let room = model.log.len() < self.longest_log;
-        if room {
+        let has_room = model.log.len() < self.longest_log;
+        if has_room {
             steps.extend([Step::Halt, Step::Resume]);
             steps.extend(
                 model
                     .begins_in_flight
                     .iter()
-                    .map(|(at, lease, nonce)| Step::DeliverBegin(*at, *lease, *nonce)),
+                    .map(|(unit_index, lease, nonce)| Step::DeliverBegin(*unit_index, *lease, *nonce)),
             );
         }
         steps.push(Step::Wait);
-        for (at, unit) in model.units.iter().enumerate() {
-            if room {
-                steps.push(Step::GrantTurn(at));
+        for (unit_index, unit) in model.units.iter().enumerate() {
+            if has_room {
+                steps.push(Step::GrantTurn(unit_index));
             }
             if unit.known_entries + 1 < model.log.len() {
-                steps.push(Step::LearnEntry(at));
+                steps.push(Step::LearnEntry(unit_index));
             }
-            let known = unit_state(&model.log[unit.known_entries], at);
+            let known = unit_state(&model.log[unit.known_entries], unit_index);
             let may_ask = match known {
                 UnitState::Granted { .. } => true,
                 UnitState::Begun { nonce, .. } => nonce.incarnation == Incarnation(unit.incarnation),
                 _ => false,
             };
             if may_ask && !unit.out && unit.count < 2 {
-                steps.push(Step::AskToBegin(at));
+                steps.push(Step::AskToBegin(unit_index));
             }
-            let begun = match known {
+            let may_go_out = match known {
                 UnitState::Begun { lease, nonce, .. } => unit.asked == Some((*lease, *nonce)),
                 UnitState::Granted { .. } => self.out_on_grant,
                 _ => false,
             };
-            if begun && !unit.out && (unit.has_asked_lately || self.any_age || self.out_on_grant) {
-                steps.push(Step::GoOut(at));
+            if may_go_out && !unit.out && (unit.has_asked_recently || self.any_age || self.out_on_grant) {
+                steps.push(Step::GoOut(unit_index));
             }
-            // Without its guards a unit could leave for ever, and there would be no end to it.
+            // Restarts are bounded, as without the guards a unit could exit endlessly and the state space
+            // would be infinite.
             if unit.out && unit.incarnation < 3 {
-                steps.push(Step::LeaveAndRestart(at));
+                steps.push(Step::LeaveAndRestart(unit_index));
             }
-            let gone = match unit_state(newest(model), at) {
+            let has_restarted = match unit_state(newest_state(model), unit_index) {
                 UnitState::Begun { nonce, .. } => nonce.incarnation != Incarnation(unit.incarnation),
                 _ => false,
             };
-            if room && gone && !unit.out {
-                steps.push(Step::MarkServing(at));
+            if has_room && has_restarted && !unit.out {
+                steps.push(Step::MarkServing(unit_index));
             }
         }
     }
@@ -207,54 +209,60 @@
     fn next_state(&self, before: &ModelState, step: Step) -> Option<ModelState> {
         let mut model = before.clone();
         match step {
-            Step::GrantTurn(at) => append(&mut model, Command::GrantTurn { release: 1, unit: name(at) }),
+            Step::GrantTurn(unit_index) => {
+                append(&mut model, Command::GrantTurn { release: 1, unit: name(unit_index) })
+            }
             Step::Halt => append(&mut model, Command::Halt { why: "h".into() }),
             Step::Resume => append(&mut model, Command::Resume),
-            Step::DeliverBegin(at, lease, nonce) => {
+            Step::DeliverBegin(unit_index, lease, nonce) => {
                 let call_counts = CallCounts::default();
-                append(&mut model, Command::BeginDrain { unit: name(at), lease, nonce, call_counts });
+                append(&mut model, Command::BeginDrain { unit: name(unit_index), lease, nonce, call_counts });
             }
-            Step::LearnEntry(at) => model.units[at].known_entries += 1,
-            Step::AskToBegin(at) => {
-                let lease = unit_state(&model.log[model.units[at].known_entries], at).lease()?;
-                let unit = &mut model.units[at];
+            Step::LearnEntry(unit_index) => model.units[unit_index].known_entries += 1,
+            Step::AskToBegin(unit_index) => {
+                let lease =
+                    unit_state(&model.log[model.units[unit_index].known_entries], unit_index).lease()?;
+                let unit = &mut model.units[unit_index];
                 unit.count += 1;
                 let nonce = Nonce { incarnation: Incarnation(unit.incarnation), count: unit.count };
                 unit.asked = Some((lease, nonce));
-                unit.has_asked_lately = true;
-                model.begins_in_flight.insert((at, lease, nonce));
+                unit.has_asked_recently = true;
+                model.begins_in_flight.insert((unit_index, lease, nonce));
             }
-            Step::GoOut(at) => {
-                model.units[at].out = true;
+            Step::GoOut(unit_index) => {
+                model.units[unit_index].out = true;
                 model.has_gone_out_late |= model.is_halted_for_long;
             }
             Step::Wait => {
-                model.units.iter_mut().for_each(|unit| unit.has_asked_lately = false);
-                model.is_halted_for_long = is_halted(newest(&model));
+                model.units.iter_mut().for_each(|unit| unit.has_asked_recently = false);
+                model.is_halted_for_long = is_halted(newest_state(&model));
             }
-            Step::LeaveAndRestart(at) => {
-                let unit = &mut model.units[at];
+            Step::LeaveAndRestart(unit_index) => {
+                let unit = &mut model.units[unit_index];
                 *unit = Unit {
                     incarnation: unit.incarnation + 1,
                     count: 0,
                     asked: None,
-                    has_asked_lately: false,
+                    has_asked_recently: false,
                     out: false,
                     ..unit.clone()
                 };
             }
-            Step::MarkServing(at) => {
-                let lease = unit_state(newest(&model), at).lease();
-                append(&mut model, Command::MarkServing { unit: name(at), lease, version: "v2".into() });
+            Step::MarkServing(unit_index) => {
+                let lease = unit_state(newest_state(&model), unit_index).lease();
+                append(
+                    &mut model,
+                    Command::MarkServing { unit: name(unit_index), lease, version: "v2".into() },
+                );
             }
         }
-        if !is_halted(newest(&model)) {
+        if !is_halted(newest_state(&model)) {
             model.is_halted_for_long = false;
         }
-        // An entry that changes nothing is no new place to go on from.
+        // An entry that changes nothing but the applied count leads to no new state to explore.
         let changed = model.log.len() == before.log.len() || {
-            let mut now = newest(&model).clone();
-            let then = newest(before);
+            let mut now = newest_state(&model).clone();
+            let then = newest_state(before);
             now.applied = then.applied;
             now != *then
         };
@@ -263,12 +271,12 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no more out than may be", |_, model| {
+            Property::<Self>::always("no more units out than the limit", |_, model| {
                 model.units.iter().filter(|unit| unit.out).count() <= 1
             }),
-            Property::<Self>::always("nobody goes out 2 s after a halt", |_, model| !model.has_gone_out_late),
-            Property::<Self>::sometimes("both are changed", |_, model| {
-                newest(model).release.as_ref().is_some_and(|release| release.done.len() == UNITS)
+            Property::<Self>::always("no drain starts 2 s after a halt", |_, model| !model.has_gone_out_late),
+            Property::<Self>::sometimes("both units are changed", |_, model| {
+                newest_state(model).release.as_ref().is_some_and(|release| release.done.len() == UNITS)
             }),
         ]
     }
@@ -278,7 +286,7 @@
     model.checker().threads(std::thread::available_parallelism().map_or(2, usize::from)).spawn_bfs().join()
 }
 
-/// `ENTRIES=8` looks further, for as many minutes as seconds.
+/// `ENTRIES=8` explores one more log entry, and takes as many minutes as the default of 7 takes seconds.
 #[test]
 fn every_order_of_events_keeps_the_limit_and_the_halt() {
     let longest_log = std::env::var("ENTRIES").ok().and_then(|text| text.parse().ok()).unwrap_or(7);
@@ -287,12 +295,12 @@
     checked.assert_properties();
 }
 
-/// Without either of its two guards the model breaks a property, and the checker finds it.
+/// Without either of its two guards the model violates a property, and the checker finds it.
 #[test]
 fn without_its_guards_the_model_fails() {
-    let aged = check(LeaseModel { any_age: true, longest_log: 5, ..LeaseModel::default() });
-    assert!(aged.discovery("nobody goes out 2 s after a halt").is_some());
-    let granted = check(LeaseModel { out_on_grant: true, longest_log: 5, ..LeaseModel::default() });
-    assert!(granted.discovery("nobody goes out 2 s after a halt").is_some());
-    assert!(granted.discovery("no more out than may be").is_some());
+    let without_age_check = check(LeaseModel { any_age: true, longest_log: 5, ..LeaseModel::default() });
+    assert!(without_age_check.discovery("no drain starts 2 s after a halt").is_some());
+    let without_begin = check(LeaseModel { out_on_grant: true, longest_log: 5, ..LeaseModel::default() });
+    assert!(without_begin.discovery("no drain starts 2 s after a halt").is_some());
+    assert!(without_begin.discovery("no more units out than the limit").is_some());
 }
--- a/crates/fleet/tests/schedules/common.rs
+++ b/crates/fleet/tests/schedules/common.rs
@@ -1,4 +1,4 @@
-//! Helpers of the schedules.
+//! Helpers for the schedules.
 
 use glendeck_fleet::policy::{Act, OnHalt, UnitName};
 use glendeck_fleet::state::{Command, ReleaseState};
@@ -17,11 +17,12 @@
     UnitName(format!("h{at}"))
 }
 
-/// A fleet that has been founded and whose leader knows who is there.
-pub(crate) fn settled(nodes: usize, voters: usize) -> (World, usize) {
+/// Starts a fleet and runs it until it is founded and its leader knows all members; returns it and the
+/// leader.
+pub(crate) fn started_fleet(nodes: usize, voters: usize) -> (World, usize) {
     let mut world = World::new(7, policy(nodes, voters));
     world.run_until(14_000);
-    let leader = world.leader().expect("somebody leads");
+    let leader = world.leader().expect("a leader is elected");
     (world, leader)
 }
 
@@ -33,6 +34,7 @@
     world.request_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::Hold) });
 }
 
+/// Runs the job for all seeds of a range in parallel; returns its results in the order of the seeds.
 pub(crate) fn in_parallel<T: Send>(from: u64, to: u64, job: impl Fn(u64) -> Option<T> + Sync) -> Vec<T> {
     let next = std::sync::atomic::AtomicU64::new(from);
     let found = std::sync::Mutex::new(Vec::new());
--- a/crates/fleet/tests/schedules/hosts.rs
+++ b/crates/fleet/tests/schedules/hosts.rs
@@ -7,7 +7,7 @@
 use crate::world::{Fault, World, policy};
 
 #[test]
-fn a_host_is_eased_off_said_to_be_empty_and_taken_back() {
+fn a_host_is_drained_reported_as_empty_and_activated() {
     let mut world = World::new(5, policy(5, 3));
     world.create_hosts(6);
     world.run_until(16_000);
@@ -15,7 +15,7 @@
     world.request_now((leader + 1) % 5, "drain", Command::Drain { unit: host(1) });
     world.run_until(17_000);
     assert!(world.is_done("drain") && world.connections_at(1) > 0, "{:?}", world.answers);
-    // Another of its zone has to wait, one of another zone need not; the list's own count too.
+    // A second host of its zone has to wait, as does a host of a zone where the list shows one as out.
     world.apply_fault_now(Fault::SetListed(2, EndpointState::Draining));
     world.run_until(20_000);
     for (unit, id) in [(4, "same zone"), (5, "the list's zone")] {
@@ -38,9 +38,10 @@
     assert!(world.connections_at(1) > 0 && world.violation.is_none(), "{:?}", world.violation);
 }
 
-/// While a node is not heard nobody knows what it holds; an operator who knows that it is dead says so.
+/// While a node is not heard, it may still hold connections at the host. The host counts as empty once an
+/// operator has confirmed that the node is dead.
 #[test]
-fn a_host_is_not_said_to_be_empty_while_a_node_is_not_heard() {
+fn a_host_is_not_reported_as_empty_while_a_node_is_not_heard() {
     let mut world = World::new(5, policy(5, 3));
     world.create_hosts(6);
     world.run_until(16_000);
--- a/crates/fleet/tests/schedules/injected_faults.rs
+++ b/crates/fleet/tests/schedules/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Each injected fault is noticed by the checker.
+//! The checker detects each injected fault.
 
 use glendeck_fleet::fault_injection::{InjectedFault, inject};
 use glendeck_fleet::hosts::EndpointState;
@@ -7,11 +7,12 @@
 use test_case::test_case;
 
 use crate::common::{halt, host, in_parallel, name};
-use crate::draws::{draw, play, sizes};
+use crate::schedule_generator::{fleet_size, random_schedule, run_schedule};
 use crate::world::{Fault, LinkState, World, plan, policy};
 
-/// A release whose first unit has asked to begin, and does not hear what came of it. Who leads, and who asks.
-fn begin_unheard(seed: u64, act: Act) -> Option<(World, usize, usize)> {
+/// Starts a release whose first unit asks to begin its drain and is stopped before it receives the answer.
+/// Returns the leader and the unit.
+fn begin_without_answer(seed: u64, act: Act) -> Option<(World, usize, usize)> {
     let mut world = World::new(seed, policy(5, 3));
     world.run_until(10_000);
     let mut plan = plan("v2", act, OnHalt::Hold);
@@ -24,29 +25,30 @@
         return None;
     }
     let unit = asks(&world)?;
-    // What it has asked is on its way; what is said to it waits, as it does itself.
+    // The unit's request is in transit; the answer waits until the unit continues.
     world.apply_fault_now(Fault::Stop(unit));
     world.run_until(world.now_ms() + 300);
     let leader = world.leader().filter(|leader| *leader != unit)?;
     Some((world, leader, unit))
 }
 
-/// A schedule made for one injected fault. The program without it passes all of them.
-#[expect(clippy::too_many_lines, reason = "one schedule a fault, side by side")]
-fn script(fault: InjectedFault, seed: u64) -> Option<World> {
+/// Runs a schedule written for one injected fault. Without the fault, no invariant is violated on any of
+/// them.
+#[expect(clippy::too_many_lines, reason = "one schedule per fault, side by side")]
+fn run_written_schedule(fault: InjectedFault, seed: u64) -> Option<World> {
     match fault {
-        // Begun, halted, and heard of only much later.
+        // The drain begins and the release is halted, but the unit receives both only much later.
         InjectedFault::AnyAge => {
-            let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
+            let (mut world, leader, unit) = begin_without_answer(seed, Act::Exit)?;
             world.request_now(leader, "halt", halt("an operator"));
             world.run_until(world.now_ms() + 4_000);
             world.apply_fault_now(Fault::Continue(unit));
             world.run_until(world.now_ms() + 6_000);
             Some(world)
         }
-        // It hears late that it has begun, asks anew, and that arrives after the halt.
+        // The unit learns late that its drain has begun and asks again; that request arrives after the halt.
         InjectedFault::HaltForgotten => {
-            let (mut world, leader, unit) = begin_unheard(seed, Act::Exit)?;
+            let (mut world, leader, unit) = begin_without_answer(seed, Act::Exit)?;
             world.run_until(world.now_ms() + 2_500);
             world.set_links(unit, false, true, LinkState::Stalled);
             world.apply_fault_now(Fault::Continue(unit));
@@ -58,7 +60,7 @@
             world.run_until(world.now_ms() + 6_000);
             Some(world)
         }
-        // It asks with a lease that is gone by the time it arrives.
+        // The unit asks to begin under a lease that is withdrawn before the request arrives.
         InjectedFault::OldLeaseBegins => {
             let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
@@ -78,7 +80,7 @@
             world.run_until(world.now_ms() + 8_000);
             Some(world)
         }
-        // One is gone, another is wanted out, and only one may be.
+        // One unit is lost, an operator drains another, and only one may be out.
         InjectedFault::LostNotCounted => {
             let mut world = World::new(seed, policy(5, 3));
             world.run_until(10_000);
@@ -89,7 +91,7 @@
             world.run_until(26_000);
             Some(world)
         }
-        // A node cut off from the group goes on with the clients that it has at the host.
+        // A node that is cut off from the fleet keeps its connections at the host.
         InjectedFault::EmptyWithoutLost => {
             let mut world = World::new(seed, policy(5, 3));
             world.create_hosts(6);
@@ -101,7 +103,7 @@
             world.run_until(45_000);
             Some(world)
         }
-        // The list shows one as out, for long.
+        // The endpoint list shows one host as out for a long time.
         InjectedFault::ListNotCounted => {
             let mut world = World::new(seed, policy(5, 3));
             world.create_hosts(6);
@@ -109,12 +111,12 @@
             world.apply_fault_now(Fault::SetListed(1, EndpointState::Draining));
             world.run_until(50_000);
             let leader = world.leader()?;
-            // Of the same zone.
+            // A host of the same zone.
             world.request_now(leader, "drain", Command::Drain { unit: host(4) });
             world.run_until(55_000);
             Some(world)
         }
-        // Taken back, and one node has not heard so.
+        // A host is activated, and one node has not been told.
         InjectedFault::HostBackAtOnce => {
             let mut world = World::new(seed, policy(5, 3));
             world.create_hosts(6);
@@ -133,52 +135,58 @@
     }
 }
 
-/// Each injected fault is caught, on a day made for it or on one drawn, and the sound program passes that day.
-#[test_case(InjectedFault::LostNotCounted; "limits that do not count what is lost")]
-#[test_case(InjectedFault::TurnWhileHalted; "turns granted while halted")]
-#[test_case(InjectedFault::OldLeaseBegins; "an old permit that begins")]
-#[test_case(InjectedFault::HaltForgotten; "a halted release whose units may begin")]
-#[test_case(InjectedFault::HaltNotKept; "a halt not kept over the loss of all processes")]
-#[test_case(InjectedFault::AnyAge; "a begin of any age")]
-#[test_case(InjectedFault::OutOnGrant; "a unit out on its grant alone")]
-#[test_case(InjectedFault::OlderDiskVotes; "an older disk that votes")]
-#[test_case(InjectedFault::SentBeforeSynced; "words out before the disk has them")]
-#[test_case(InjectedFault::BackWhenHeard; "a unit back as soon as it is heard")]
-#[test_case(InjectedFault::EmptyWithoutLost; "a host empty though a lost node holds connections")]
-#[test_case(InjectedFault::ListNotCounted; "hosts out by the list that do not count")]
-#[test_case(InjectedFault::HostBackAtOnce; "a host back before all have heard")]
-fn checker_notices_injected_fault(fault: InjectedFault) {
-    let scripts = (0..10).filter_map(|seed| {
-        let correct = script(fault, seed)?;
+/// The checker detects each injected fault, on a schedule written for it or else on a random one. Without the
+/// fault the program passes the written schedule here, and the random one in `random_schedules`.
+#[test_case(InjectedFault::LostNotCounted; "limits do not count lost units")]
+#[test_case(InjectedFault::TurnWhileHalted; "turns are granted while halted")]
+#[test_case(InjectedFault::OldLeaseBegins; "an old lease begins a drain")]
+#[test_case(InjectedFault::HaltForgotten; "units of a halted release may begin")]
+#[test_case(InjectedFault::HaltNotKept; "a release continues after the loss of all processes")]
+#[test_case(InjectedFault::AnyAge; "a begin of any age is valid")]
+#[test_case(InjectedFault::OutOnGrant; "a unit goes out on its grant alone")]
+#[test_case(InjectedFault::OlderDiskVotes; "a voter with an older disk votes")]
+#[test_case(InjectedFault::SentBeforeSynced; "messages are sent before the disk is synced")]
+#[test_case(InjectedFault::BackWhenHeard; "a unit is back as soon as it is heard")]
+#[test_case(InjectedFault::EmptyWithoutLost; "a host is empty while a lost node holds connections")]
+#[test_case(InjectedFault::ListNotCounted; "limits do not count hosts out by the list")]
+#[test_case(InjectedFault::HostBackAtOnce; "a host is back before all nodes know")]
+fn checker_detects_injected_fault(fault: InjectedFault) {
+    let detected_seeds = (0..10).filter_map(|seed| {
+        let correct = run_written_schedule(fault, seed)?;
         assert_eq!(
             correct.violation, None,
-            "the program without a fault on the day for {fault:?}, seed {seed}"
+            "without a fault, the schedule for {fault:?} violates an invariant, seed {seed}"
         );
         inject(Some(fault));
-        let faulty = script(fault, seed);
+        let faulty = run_written_schedule(fault, seed);
         inject(None);
         faulty?.violation.map(|why| (seed, why))
     });
-    let scripted: Vec<(u64, String)> = scripts.collect();
-    if let Some(first) = scripted.first() {
-        return println!("{fault:?}: caught on {} of 10 days made for it, first {first:?}", scripted.len());
+    let detections: Vec<(u64, String)> = detected_seeds.collect();
+    if let Some(first) = detections.first() {
+        return println!(
+            "{fault:?}: detected on {} of 10 schedules written for it, first {first:?}",
+            detections.len()
+        );
     }
-    let caught = std::sync::atomic::AtomicBool::new(false);
+    let is_detected = std::sync::atomic::AtomicBool::new(false);
     let found = in_parallel(0, 2_000, |seed| {
-        if caught.load(std::sync::atomic::Ordering::Relaxed) {
+        if is_detected.load(std::sync::atomic::Ordering::Relaxed) {
             return None;
         }
         inject(Some(fault));
-        let (nodes, voters) = sizes(seed);
-        let mut world = draw(seed, nodes, voters);
-        let why = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play(&mut world, nodes).err()));
+        let (nodes, voters) = fleet_size(seed);
+        let mut world = random_schedule(seed, nodes, voters);
+        let why =
+            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run_schedule(&mut world, nodes).err()));
         inject(None);
-        // Only what breaks a rule counts, not what does not end.
+        // Only a violated invariant counts, not a schedule that does not finish.
         let why = why.unwrap_or_else(|_| Some("it panicked".into()));
-        let violation = why.filter(|why| !why.starts_with("not over") && !why.starts_with("nobody"))?;
-        caught.store(true, std::sync::atomic::Ordering::Relaxed);
+        let violation =
+            why.filter(|why| !why.starts_with("not finished") && !why.starts_with("no leader"))?;
+        is_detected.store(true, std::sync::atomic::Ordering::Relaxed);
         Some((seed, violation))
     });
-    println!("{fault:?}: caught on drawn day {:?}", found.first());
-    assert!(!found.is_empty(), "{fault:?} is not caught");
+    println!("{fault:?}: detected on random schedule {:?}", found.first());
+    assert!(!found.is_empty(), "{fault:?} is not detected");
 }
--- a/crates/fleet/tests/schedules/main.rs
+++ b/crates/fleet/tests/schedules/main.rs
@@ -1,12 +1,12 @@
-//! Thousands of seeded schedules of faults in simulated time, the checker's own check by injected faults, and the hard
-//! cases one by one.
+//! A fleet in simulated time: thousands of random schedules of faults, injected faults that the checker must
+//! detect, and tests of single hard cases.
 
 mod common;
-mod drawn;
-mod draws;
 mod hosts;
 mod injected_faults;
+mod random_schedules;
 mod releases;
 mod scale;
+mod schedule_generator;
 mod voters;
 mod world;
--- a/crates/fleet/tests/schedules/drawn.rs
+++ b/crates/fleet/tests/schedules/random_schedules.rs
@@ -1,24 +1,24 @@
-//! Drawn schedules: thousands by the checker, some by their recorded actions.
+//! Random schedules: thousands are run by the checker, some are compared with their recorded actions.
 
 use crate::common::in_parallel;
-use crate::draws::{draw, play, sizes};
+use crate::schedule_generator::{fleet_size, random_schedule, run_schedule};
 
-fn look(seed: u64) {
-    let (nodes, voters) = sizes(seed);
-    let mut world = draw(seed, nodes, voters);
+fn print_log(seed: u64) {
+    let (nodes, voters) = fleet_size(seed);
+    let mut world = random_schedule(seed, nodes, voters);
     world.verbose = true;
-    let ended = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play(&mut world, nodes)));
+    let ended = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run_schedule(&mut world, nodes)));
     for line in &world.log {
         println!("{line}");
     }
     println!("seed {seed}, {nodes} nodes, {voters} voters: {ended:?}");
 }
 
-/// `SEEDS=from..to` plays others, `LOOK=seed` tells one day in full.
+/// `SEEDS=from..to` runs other seeds, `LOOK=seed` prints the whole log of one schedule.
 #[test]
-fn drawn_days() {
+fn random_schedules_violate_no_invariant() {
     if let Some(seed) = std::env::var("LOOK").ok().and_then(|seed| seed.parse().ok()) {
-        return look(seed);
+        return print_log(seed);
     }
     let given = std::env::var("SEEDS").ok();
     let (from, to) = given
@@ -27,15 +27,15 @@
         .and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)))
         .unwrap_or((0, 2_000));
     let failed = in_parallel(from, to, |seed| {
-        let (nodes, voters) = sizes(seed);
-        let mut world = draw(seed, nodes, voters);
-        play(&mut world, nodes)
+        let (nodes, voters) = fleet_size(seed);
+        let mut world = random_schedule(seed, nodes, voters);
+        run_schedule(&mut world, nodes)
             .err()
             .map(|why| format!("seed {seed} ({nodes} nodes, {voters} voters): {why}"))
     });
     assert!(
         failed.is_empty(),
-        "{} of {} days: {:#?}",
+        "{} of {} schedules failed, at first: {:#?}",
         failed.len(),
         to - from,
         &failed[..failed.len().min(12)]
@@ -46,16 +46,16 @@
 fn the_same_events_give_the_same_actions() {
     let traces: Vec<(u64, u64)> = (0..2)
         .map(|_| {
-            let mut world = draw(3, 5, 3);
-            let _ = play(&mut world, 5);
+            let mut world = random_schedule(3, 5, 3);
+            let _ = run_schedule(&mut world, 5);
             (world.trace, world.messages_sent)
         })
         .collect();
     assert_eq!(traces[0], traces[1]);
 }
 
-/// Seed, nodes, voters, and the recorded digest of all that the processes did. A change of behaviour on purpose changes
-/// these; a change of the code's shape must not.
+/// Seed, nodes, voters, and the recorded digest of the actions and states of all processes. An intended
+/// change of behaviour changes the digests; a refactoring must not.
 const RECORDED_TRACES: [(u64, usize, usize, u64); 8] = [
     (3, 5, 3, 0x8892_66fb_4a28_d54d),
     (4, 1, 1, 0x253f_c20e_7b6b_546d),
@@ -73,8 +73,8 @@
     let traces: Vec<String> = RECORDED_TRACES
         .iter()
         .map(|(seed, nodes, voters, _)| {
-            let mut world = draw(*seed, *nodes, *voters);
-            let _ = play(&mut world, *nodes);
+            let mut world = random_schedule(*seed, *nodes, *voters);
+            let _ = run_schedule(&mut world, *nodes);
             format!("{:#018x}", world.trace)
         })
         .collect();
--- a/crates/fleet/tests/schedules/releases.rs
+++ b/crates/fleet/tests/schedules/releases.rs
@@ -3,12 +3,12 @@
 use glendeck_fleet::policy::{Act, OnHalt};
 use glendeck_fleet::state::{Command, ReleaseState};
 
-use crate::common::{name, release, release_state, settled};
+use crate::common::{name, release, release_state, started_fleet};
 use crate::world::{Fault, plan};
 
 #[test]
-fn a_build_that_serves_badly_halts_its_release_and_goes_back() {
-    let (mut world, leader) = settled(5, 3);
+fn a_version_that_fails_calls_halts_its_release_and_is_rolled_back() {
+    let (mut world, leader) = started_fleet(5, 3);
     world.fail_calls_of("v2");
     release(&mut world, leader, "v2");
     assert!(world.wait_for(60_000, |world| matches!(release_state(world), Some(ReleaseState::Halted(_)))));
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_plan_sent_twice_is_one_release_and_back_needs_a_halt() {
-    let (mut world, leader) = settled(5, 3);
+fn a_repeated_plan_is_one_release_and_rollback_needs_a_halt() {
+    let (mut world, leader) = started_fleet(5, 3);
     release(&mut world, leader, "v2");
     world.run_until(world.now_ms() + 500);
     release(&mut world, (leader + 1) % 5, "v2");
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_unit_that_never_returns_halts_the_release() {
-    let (mut world, leader) = settled(5, 3);
+    let (mut world, leader) = started_fleet(5, 3);
     let mut plan = plan("v2", Act::Exit, OnHalt::Hold);
     (plan.units, plan.unit_limit_s) = (vec![name(3), name(4)], 30);
     world.request_now(leader, "v2", Command::StartRelease { plan });
--- a/crates/fleet/tests/schedules/scale.rs
+++ b/crates/fleet/tests/schedules/scale.rs
@@ -3,15 +3,15 @@
 use glendeck_fleet::state::ReleaseState;
 use test_case::test_case;
 
-use crate::common::{release, release_state, settled};
+use crate::common::{release, release_state, started_fleet};
 
 #[test_case(1, 1, 60_000)]
 #[test_case(2, 2, 90_000)]
 #[test_case(3, 3, 120_000)]
 #[test_case(60, 5, 400_000)]
 #[test_case(300, 5, 400_000)]
-fn fleets_of_many_sizes_are_released(nodes: usize, voters: usize, within_ms: u64) {
-    let (mut world, _) = settled(nodes, voters);
+fn releases_finish_in_fleets_of_many_sizes(nodes: usize, voters: usize, within_ms: u64) {
+    let (mut world, _) = started_fleet(nodes, voters);
     release(&mut world, nodes - 1, "v2");
     assert!(
         world.wait_for(within_ms, |world| release_state(world) == Some(ReleaseState::Finished)),
@@ -20,46 +20,54 @@
     );
     assert_eq!(world.violation, None);
     assert!(world.versions().iter().all(|version| *version == "v2"));
-    println!("{nodes} nodes: over after {} s, most out {}", world.now_ms() / 1_000 - 14, world.most_out);
+    println!("{nodes} nodes: finished after {} s, most out {}", world.now_ms() / 1_000 - 14, world.most_out);
 }
 
-/// Nobody is lost, and so often somebody is called lost; and so often the leader changes.
-fn false_verdicts(lost: u64, retransmits: bool, lossless_voter_links: bool, seconds: u64) -> (u64, usize) {
-    let (mut world, mut leader) = settled(300, 5);
+/// Runs a fleet in which no member fails, while messages are lost. Returns how often a member was marked
+/// lost, and how often the leader changed.
+fn count_false_losses(
+    lost: u64,
+    retransmits: bool,
+    lossless_voter_links: bool,
+    seconds: u64,
+) -> (u64, usize) {
+    let (mut world, mut leader) = started_fleet(300, 5);
     (world.loss_per_thousand, world.retransmits, world.lossless_voter_links) =
         (lost, retransmits, lossless_voter_links);
-    let mut leaders = 0;
+    let mut leader_changes = 0;
     for _ in 0..seconds {
         world.run_until(world.now_ms() + 1_000);
         if let Some(now) = world.leader().filter(|now| *now != leader) {
-            (leader, leaders) = (now, leaders + 1);
+            (leader, leader_changes) = (now, leader_changes + 1);
         }
     }
     assert_eq!(world.violation, None);
-    let settings = world.newest_state().unwrap().units.values().map(|unit| unit.term);
-    (settings.sum(), leaders)
+    let times_lost = world.newest_state().unwrap().units.values().map(|unit| unit.term);
+    (times_lost.sum(), leader_changes)
 }
 
-/// `LOST_S=seconds` plays so long at each rate; in CI it is short. That it can be more than none shows at the high rate.
+/// `LOST_S=seconds` runs each loss rate for that long; the default is short, for CI. The last, high rate
+/// shows that the count can be above zero.
 #[test]
-fn members_are_seldom_called_lost_that_live() {
+fn running_members_are_seldom_marked_lost() {
     let given = std::env::var("LOST_S").ok().and_then(|text| text.parse().ok());
-    let of = |lost, retransmits, lossless_voter_links, seconds| {
-        let (called, leaders) = false_verdicts(lost, retransmits, lossless_voter_links, seconds);
+    let run_at_rate = |lost, retransmits, lossless_voter_links, seconds| {
+        let (marked_lost, leader_changes) =
+            count_false_losses(lost, retransmits, lossless_voter_links, seconds);
         println!(
-            "{lost} of 1000 lost, sent again {retransmits}, between voters none {lossless_voter_links}, {seconds} s: {called} called \
-             lost, {leaders} new leaders"
+            "{lost} of 1000 lost, retransmits {retransmits}, lossless voter links {lossless_voter_links}, \
+             {seconds} s: {marked_lost} marked lost, {leader_changes} leader changes"
         );
-        called
+        marked_lost
     };
-    assert_eq!(of(20, true, false, given.unwrap_or(60)), 0);
-    assert_eq!(of(20, false, false, given.unwrap_or(20)), 0);
+    assert_eq!(run_at_rate(20, true, false, given.unwrap_or(60)), 0);
+    assert_eq!(run_at_rate(20, false, false, given.unwrap_or(20)), 0);
     if let Some(seconds) = given {
         for lost in [50, 100, 200, 300, 500] {
-            of(lost, true, false, seconds);
-            of(lost, true, true, seconds);
-            of(lost, false, true, seconds);
+            run_at_rate(lost, true, false, seconds);
+            run_at_rate(lost, true, true, seconds);
+            run_at_rate(lost, false, true, seconds);
         }
     }
-    assert!(of(800, false, true, 20) > 0);
+    assert!(run_at_rate(800, false, true, 20) > 0);
 }
--- a/crates/fleet/tests/schedules/voters.rs
+++ b/crates/fleet/tests/schedules/voters.rs
@@ -3,15 +3,15 @@
 use glendeck_fleet::RequestResult;
 use glendeck_fleet::state::{Command, ReleaseState};
 
-use crate::common::{name, release, release_state, settled};
+use crate::common::{name, release, release_state, started_fleet};
 use crate::world::{Fault, LinkState, World, policy};
 
 #[test]
-fn on_both_sides_of_a_split_only_the_majority_decides() {
-    let (mut world, leader) = settled(5, 3);
-    let lone = (0..3).find(|at| *at != leader).unwrap();
-    world.set_links(lone, true, true, LinkState::Cut);
-    release(&mut world, lone, "v2");
+fn in_a_partition_only_the_majority_decides() {
+    let (mut world, leader) = started_fleet(5, 3);
+    let minority_node = (0..3).find(|at| *at != leader).unwrap();
+    world.set_links(minority_node, true, true, LinkState::Cut);
+    release(&mut world, minority_node, "v2");
     release(&mut world, leader, "v3");
     world.run_until(world.now_ms() + 2_000);
     assert!(
@@ -19,18 +19,18 @@
         "{:?}",
         world.answers
     );
-    world.set_links(lone, true, true, LinkState::Up);
+    world.set_links(minority_node, true, true, LinkState::Up);
     world.run_until(world.now_ms() + 3_000);
     assert_eq!(world.newest_state().unwrap().release.as_ref().unwrap().plan.version, "v3");
 }
 
-/// A leader that was stopped for longer than an election believes that it leads. It decides nothing, and what it says to
-/// an operator is not confirmed.
+/// A leader that was stopped for longer than an election takes still believes that it leads. It decides
+/// nothing, and the status that it reports to an operator is not confirmed.
 #[test]
-fn a_leader_stopped_and_continued_decides_nothing() {
-    let (mut world, leader) = settled(5, 3);
+fn a_leader_that_was_stopped_decides_nothing() {
+    let (mut world, leader) = started_fleet(5, 3);
     world.apply_fault_now(Fault::Stop(leader));
-    assert!(world.wait_for(6_000, |world| world.leader().is_some_and(|at| at != leader)), "nobody took over");
+    assert!(world.wait_for(6_000, |world| world.leader().is_some_and(|at| at != leader)), "no new leader");
     let next = world.leader().unwrap();
     world.run_until(world.now_ms() + 6_000);
     world.request_now(next, "drain", Command::Drain { unit: name(3) });
@@ -39,15 +39,15 @@
     world.request_now(leader, "look", Command::Confirm);
     world.request_now(leader, "too many", Command::Drain { unit: name(4) });
     world.run_until(world.now_ms() + 3_000);
-    // The stopped one is lost, and uses up the room there is.
+    // The stopped node counts as lost and uses up the limit.
     assert!(!world.is_done("drain") && !world.is_done("too many"), "{:?}", world.answers);
     assert!(!world.is_out(4));
     assert_eq!(world.violation, None);
 }
 
 #[test]
-fn without_a_majority_nothing_new_goes_out_and_it_goes_on_by_itself() {
-    let (mut world, leader) = settled(5, 3);
+fn without_a_majority_no_unit_goes_out_and_the_release_continues_afterwards() {
+    let (mut world, leader) = started_fleet(5, 3);
     release(&mut world, leader, "v2");
     assert!(world.wait_for(5_000, |world| world.count_out() == 1));
     let others: Vec<usize> = (0..3).filter(|at| *at != leader).collect();
@@ -62,9 +62,10 @@
     for at in &others {
         world.set_links(*at, true, true, LinkState::Up);
     }
-    // What was cut off counts as lost until it was seen: the release halts by its gate or goes on.
+    // Units that were cut off count as lost until they are seen to serve, so the release is halted by its
+    // gate or continues.
     world.run_until(world.now_ms() + 20_000);
-    let at = world.leader().expect("a leader once healed");
+    let at = world.leader().expect("a leader is elected once the links are up");
     if matches!(release_state(&world), Some(ReleaseState::Halted(_))) {
         world.request_now(at, "resume", Command::Resume);
     }
@@ -78,13 +79,13 @@
 
 #[test]
 fn a_voter_is_replaced_for_good() {
-    let (mut world, leader) = settled(5, 3);
+    let (mut world, leader) = started_fleet(5, 3);
     let old = (0..3).find(|at| *at != leader).unwrap();
     world.apply_fault_now(Fault::KillForGood(old));
     world.request_now(leader, "replace", Command::ReplaceVoter { old: name(old), new: name(4) });
     assert!(world.wait_for(15_000, |world| world.newest_state().unwrap().voter_slot_of(&name(4)).is_some()));
     world.run_until(world.now_ms() + 5_000);
-    // Two of the three that are left decide, the new one among them.
+    // One more voter is killed; the remaining two of three, among them the new one, decide.
     let at = world.leader().unwrap();
     let other = (0..3).find(|other| *other != old && *other != at).unwrap_or(at);
     world.apply_fault_now(Fault::KillForGood(if at == 4 {
@@ -93,15 +94,16 @@
         (0..3).find(|of| ![old, at].contains(of)).unwrap()
     }));
     world.run_until(world.now_ms() + 3_000);
-    let at = world.leader().expect("the new voter makes a majority");
+    let at = world.leader().expect("the new voter completes the majority");
     world.request_now(at, "confirm", Command::Confirm);
     world.run_until(world.now_ms() + 1_000);
     assert!(world.is_done("confirm"), "{:?}", world.answers);
 }
 
-/// All voters in one zone, and that zone lost: the release is found again where it stood, halted.
+/// All voters are in one zone, and that zone is lost. After their restart the release is halted where it
+/// stood.
 #[test]
-fn a_release_is_halted_after_all_voters_were_lost() {
+fn a_release_is_halted_after_all_voters_are_lost() {
     let mut of = policy(9, 3);
     of.voters = vec![name(0), name(3), name(6)];
     let mut world = World::new(3, of);
--- a/crates/fleet/tests/schedules/world/mod.rs
+++ b/crates/fleet/tests/schedules/world/mod.rs
@@ -301,11 +301,11 @@
         self.queue.push(Reverse((self.now + ms * NANOS_PER_MS, self.next_sequence, slot)));
     }
 
-    pub(crate) fn schedule_fault(&mut self, at_ms: u64, fault: Fault) {
+    pub(crate) fn fault_at(&mut self, at_ms: u64, fault: Fault) {
         self.schedule((at_ms * NANOS_PER_MS - self.now) / NANOS_PER_MS, Event::Fault(fault));
     }
 
-    pub(crate) fn schedule_request(&mut self, at_ms: u64, process: usize, id: &str, command: Command) {
+    pub(crate) fn request_at(&mut self, at_ms: u64, process: usize, id: &str, command: Command) {
         self.schedule(
             (at_ms * NANOS_PER_MS - self.now) / NANOS_PER_MS,
             Event::Request(process, id.into(), command),
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes that voters keep on disk and that nodes send each other, and the JSON that operators see, as recorded in
-//! `tests/fixtures/`. `postcard` is positional: the order of fields and of variants is part of the form.
+//! Compares the bytes that voters store and that nodes send each other, and the JSON that operators see, with
+//! the recordings in `tests/fixtures/`. `postcard` is positional, so the order of fields and variants is part
+//! of the format.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -18,7 +19,7 @@
 use glendeck_fleet::{Fleet, FleetConfig, LONGEST_LOG, StoreKey, StoreWrite, StoredState, Timestamp};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
-const SHOWN: &str = include_str!("fixtures/shown.json");
+const OPERATOR_JSON: &str = include_str!("fixtures/shown.json");
 
 fn unit(name: &str) -> UnitName {
     name.into()
@@ -30,11 +31,11 @@
         "hosts": {"limits": {"fleet": {"most_out": "25%"}}, "moves_per_second": 7, "forget_after_s": 60},
         "work": {"recall_s": 45},
         "units": {"a": {"zone": "z1", "cell": "1", "kind": "k"}, "b": {"zone": "z2"}, "c": {"zone": "z3"}, "d": {}}}"#;
-    serde_json::from_str(text).expect("the charter is well formed")
+    serde_json::from_str(text).expect("the policy is valid")
 }
 
 fn plan() -> Plan {
-    let mut plan: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("the plan is well formed");
+    let mut plan: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("the plan is valid");
     plan.units = vec![unit("a"), unit("b")];
     plan.waves = vec![Amount::Count(1), Amount::Part(500)];
     (plan.watch_s, plan.unit_limit_s, plan.act, plan.on_halt) = (3, 30, Act::Drain, OnHalt::Return);
@@ -106,7 +107,7 @@
     ]
 }
 
-/// What a group has agreed on after some entries of every kind.
+/// The state of a fleet after some entries of every kind.
 fn state() -> State {
     let mut state = State::before_founding(&policy().voters);
     let mut apply = |id: Option<&str>, command: Command| {
@@ -149,7 +150,7 @@
     }
 }
 
-fn told(log_update: LogUpdate) -> HeartbeatReply {
+fn heartbeat_reply(log_update: LogUpdate) -> HeartbeatReply {
     HeartbeatReply {
         echo: Echo { incarnation: Incarnation(5), at: 99 },
         leader: Some(unit("b")),
@@ -173,9 +174,9 @@
         ("beat_forgot", Message::Heartbeat(heartbeat(VoterStatus::StateLost))),
         ("beat_asks", Message::Heartbeat(heartbeat(VoterStatus::Recovering(3)))),
         ("beat_sits", Message::Heartbeat(heartbeat(VoterStatus::Active(3)))),
-        ("told_none", Message::HeartbeatReply(told(LogUpdate::None))),
-        ("told_since", Message::HeartbeatReply(told(since))),
-        ("told_whole", Message::HeartbeatReply(told(LogUpdate::Whole(Box::new(state()))))),
+        ("told_none", Message::HeartbeatReply(heartbeat_reply(LogUpdate::None))),
+        ("told_since", Message::HeartbeatReply(heartbeat_reply(since))),
+        ("told_whole", Message::HeartbeatReply(heartbeat_reply(LogUpdate::Whole(Box::new(state()))))),
         ("ask", Message::Request { id: Some(RequestId("q".into())), command: Command::Resume }),
         ("nudge", Message::Resync),
         ("witnessed", Message::DurableMarkOnly),
@@ -188,7 +189,7 @@
             ),
         ),
     ];
-    // What the library's engine says to begin an election, and what it is answered.
+    // The messages with which the consensus library starts an election, and the replies.
     let voter_slots = state().voter_slots;
     let mut voters: Vec<Voter> = voter_slots
         .iter()
@@ -211,19 +212,19 @@
     messages
 }
 
-fn line(text: &mut String, name: &str, bytes: &[u8]) {
+fn push_line(text: &mut String, name: &str, bytes: &[u8]) {
     let digits = bytes.iter().fold(String::new(), |digits, byte| digits + &format!("{byte:02x}"));
-    writeln!(text, "{name} {digits}").expect("a string takes all");
+    writeln!(text, "{name} {digits}").expect("writing to a string does not fail");
 }
 
 fn bytes(value: &impl serde::Serialize) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("plain values are encoded")
+    postcard::to_stdvec(value).expect("the value can be encoded")
 }
 
 fn frames() -> String {
     let mut text = String::new();
     for (name, command) in commands() {
-        line(
+        push_line(
             &mut text,
             &format!("entry_{name}"),
             &bytes(&Entry { id: Some(RequestId("q".into())), command }),
@@ -231,31 +232,31 @@
     }
     for (name, message) in messages() {
         let envelope = Envelope { durable_mark: Some(DurableMark { voter_slot: 2, stamp: 300 }), message };
-        line(&mut text, &format!("message_{name}"), &envelope.encode());
+        push_line(&mut text, &format!("message_{name}"), &envelope.encode());
     }
     let hello =
         Hello { version: VERSION, group: "north".into(), name: unit("a"), incarnation: Incarnation(77) };
-    line(&mut text, "hello", &bytes(&hello));
-    line(&mut text, "state", &bytes(&state()));
-    let standings = [
+    push_line(&mut text, "hello", &bytes(&hello));
+    push_line(&mut text, "state", &bytes(&state()));
+    let unit_states = [
         UnitState::Serving,
         UnitState::Granted { lease: Lease(1), cause: Cause::Drain },
         UnitState::Begun { lease: Lease(1), cause: Cause::Release(2), nonce: nonce(), before: call_counts() },
         UnitState::Returning { lease: Lease(1), cause: Cause::Override },
     ];
-    line(&mut text, "standings", &bytes(&standings));
-    line(&mut text, "keys", &StoreKey::ALL.map(|key| key as u8));
+    push_line(&mut text, "standings", &bytes(&unit_states));
+    push_line(&mut text, "keys", &StoreKey::ALL.map(|key| key as u8));
     let writes = vec![
         StoreWrite::Put(StoreKey::VoterSlot, vec![1]),
         StoreWrite::Remove(StoreKey::Promise),
         StoreWrite::Log(7, vec![2, 3]),
         StoreWrite::Cut(5),
     ];
-    line(&mut text, "writes", &bytes(&writes));
+    push_line(&mut text, "writes", &bytes(&writes));
     text
 }
 
-fn setup(saved: Option<StoredState>) -> FleetConfig {
+fn fleet_config(saved: Option<StoredState>) -> FleetConfig {
     FleetConfig {
         name: unit("a"),
         policy: policy(),
@@ -268,8 +269,9 @@
     }
 }
 
-/// What the admin interface shows: the state, and the view of a node that holds a voter's store.
-fn shown() -> String {
+/// The JSON that the admin interface shows: the state, and the views of nodes with a voter's store, with an
+/// empty store and without a store.
+fn operator_json() -> String {
     let values = BTreeMap::from([
         (StoreKey::BootCount, bytes(&4u64)),
         (StoreKey::Stamp, bytes(&17u64)),
@@ -280,30 +282,30 @@
             bytes(&BTreeMap::from([(unit("b"), DurableMark { voter_slot: 2, stamp: 9 })])),
         ),
     ]);
-    let voter = Fleet::new(setup(Some(StoredState { values, log: vec![] })), Timestamp::ms(1_000));
-    let empty = Fleet::new(setup(Some(StoredState::default())), Timestamp::ms(1_000));
-    let without = Fleet::new(setup(None), Timestamp::ms(1_000));
-    let views = [voter.view(), empty.view(), without.view()]
-        .map(|view| serde_json::to_string(&view).expect("a view is plain"));
-    format!("{}\n{}\n", serde_json::to_string(&state()).expect("a state is plain"), views.join("\n"))
+    let voter = Fleet::new(fleet_config(Some(StoredState { values, log: vec![] })), Timestamp::ms(1_000));
+    let empty = Fleet::new(fleet_config(Some(StoredState::default())), Timestamp::ms(1_000));
+    let without_store = Fleet::new(fleet_config(None), Timestamp::ms(1_000));
+    let views = [voter.view(), empty.view(), without_store.view()]
+        .map(|view| serde_json::to_string(&view).expect("a view can be serialised"));
+    format!("{}\n{}\n", serde_json::to_string(&state()).expect("a state can be serialised"), views.join("\n"))
 }
 
 #[test]
-fn frames_and_entries_are_the_recorded_bytes() {
+fn frames_and_entries_match_the_recorded_bytes() {
     let now = frames();
     for (recorded, now) in FRAMES.lines().zip(now.lines()) {
         assert_eq!(recorded, now);
     }
-    assert_eq!(FRAMES.lines().count(), now.lines().count(), "as played now:\n{now}");
+    assert_eq!(FRAMES.lines().count(), now.lines().count(), "generated now:\n{now}");
 }
 
 #[test]
 fn recorded_bytes_are_read_and_written_again() {
     for recorded in FRAMES.lines() {
-        let (name, digits) = recorded.split_once(' ').expect("a name and digits");
+        let (name, digits) = recorded.split_once(' ').expect("the line holds a name and digits");
         let recorded: Vec<u8> = (0..digits.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits"))
+            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits come in pairs"))
             .collect();
         if name.starts_with("entry_") {
             let entry: Entry = postcard::from_bytes(&recorded).expect(name);
@@ -317,27 +319,27 @@
 }
 
 #[test]
-fn operators_are_shown_the_recorded_json() {
-    let now = shown();
-    for (recorded, now) in SHOWN.lines().zip(now.lines()) {
+fn operator_json_matches_the_recording() {
+    let now = operator_json();
+    for (recorded, now) in OPERATOR_JSON.lines().zip(now.lines()) {
         assert_eq!(recorded, now);
     }
-    assert_eq!(SHOWN.lines().count(), now.lines().count(), "as played now:\n{now}");
+    assert_eq!(OPERATOR_JSON.lines().count(), now.lines().count(), "generated now:\n{now}");
 }
 
-/// Each is what the older program wrote for the defaults, and for every other word that the keys take.
+/// Plans as an earlier version wrote them: with the defaults, and with every other word that the keys accept.
 const PLANS: [&str; 2] = [
     r#"{"version":"v2","units":[],"waves":[1,"10%","100%"],"watch_s":10,"unit_limit_s":120,"act":"exit","on_halt":"hold","gates":{"failures_per_thousand":20,"busy_per_thousand":100,"least_calls":20,"most_lost":0,"waiting":null,"hosts_down":null}}"#,
     r#"{"version":"v2","units":["a"],"waves":["12.5%",3],"watch_s":3,"unit_limit_s":30,"act":"drain","on_halt":"return","gates":{"failures_per_thousand":1,"busy_per_thousand":2,"least_calls":3,"most_lost":4,"waiting":5,"hosts_down":6}}"#,
 ];
 
 #[test]
-fn release_plans_keep_their_keys_and_words() {
-    let minimal: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("only the version is needed");
-    assert_eq!(serde_json::to_string(&minimal).expect("a plan is plain"), PLANS[0]);
+fn release_plans_keep_their_keys_and_values() {
+    let minimal: Plan = serde_json::from_str(r#"{"version": "v2"}"#).expect("only the version is required");
+    assert_eq!(serde_json::to_string(&minimal).expect("a plan can be serialised"), PLANS[0]);
     for recorded in PLANS {
-        let plan: Plan = serde_json::from_str(recorded).expect("a recorded plan is read");
-        assert_eq!(serde_json::to_string(&plan).expect("a plan is plain"), recorded);
+        let plan: Plan = serde_json::from_str(recorded).expect("a recorded plan can be read");
+        assert_eq!(serde_json::to_string(&plan).expect("a plan can be serialised"), recorded);
     }
 }
 
@@ -345,8 +347,8 @@
 fn plan_files_keep_their_keys() {
     for (act, on_halt) in [("exit", "hold"), ("drain", "return")] {
         let text = format!(r#"{{"version": "v2", "act": "{act}", "on_halt": "{on_halt}"}}"#);
-        let plan: Plan = serde_json::from_str(&text).expect("the documented keys are read");
-        let written = serde_json::to_value(&plan).expect("a plan is plain");
+        let plan: Plan = serde_json::from_str(&text).expect("the documented keys are accepted");
+        let written = serde_json::to_value(&plan).expect("a plan can be serialised");
         assert_eq!((&written["act"], &written["on_halt"]), (&act.into(), &on_halt.into()));
     }
 }
