--- a/crates/fleet/tests/schedules/schedule_generator.rs
+++ b/crates/fleet/tests/schedules/schedule_generator.rs
@@ -9,7 +9,7 @@
 use crate::common::{halt, host, name};
 use crate::world::{Fault, LinkState, World, plan, policy};
 
-/// Earliest and latest start of a fault, in seconds; afterwards the fleet has time to settle.
+/// Start and end of the period in which faults occur, in seconds; afterwards the fleet has time to settle.
 const FIRST_S: u64 = 10;
 const LAST_S: u64 = 50;
 
