--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Unit {
     /// Index of the last log entry that the unit knows.
-    known_entries: usize,
+    last_known_entry: usize,
     incarnation: u64,
     count: u64,
     asked: Option<(Lease, Nonce)>,
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct ModelState {
-    /// The state after each entry.
+    /// The initial state, and the state after each appended entry.
     log: Vec<State>,
     units: Vec<Unit>,
     /// Requests to begin that were sent; each may arrive any number of times.
@@ -78,7 +78,7 @@
     any_age: bool,
     /// Lets a unit go out on a grant alone, without a begin.
     out_on_grant: bool,
-    /// Number of log entries after which none is added.
+    /// No entry is added once `log` holds this many states, including the initial one.
     longest_log: usize,
 }
 
@@ -139,7 +139,7 @@
             state.apply(&Entry { id: None, command });
         }
         let unit = Unit {
-            known_entries: 0,
+            last_known_entry: 0,
             incarnation: 1,
             count: 0,
             asked: None,
@@ -171,10 +171,10 @@
             if has_room {
                 steps.push(Step::GrantTurn(unit_index));
             }
-            if unit.known_entries + 1 < model.log.len() {
+            if unit.last_known_entry + 1 < model.log.len() {
                 steps.push(Step::LearnEntry(unit_index));
             }
-            let known = unit_state(&model.log[unit.known_entries], unit_index);
+            let known = unit_state(&model.log[unit.last_known_entry], unit_index);
             let may_ask = match known {
                 UnitState::Granted { .. } => true,
                 UnitState::Begun { nonce, .. } => nonce.incarnation == Incarnation(unit.incarnation),
@@ -218,10 +218,10 @@
                 let call_counts = CallCounts::default();
                 append(&mut model, Command::BeginDrain { unit: name(unit_index), lease, nonce, call_counts });
             }
-            Step::LearnEntry(unit_index) => model.units[unit_index].known_entries += 1,
+            Step::LearnEntry(unit_index) => model.units[unit_index].last_known_entry += 1,
             Step::AskToBegin(unit_index) => {
                 let lease =
-                    unit_state(&model.log[model.units[unit_index].known_entries], unit_index).lease()?;
+                    unit_state(&model.log[model.units[unit_index].last_known_entry], unit_index).lease()?;
                 let unit = &mut model.units[unit_index];
                 unit.count += 1;
                 let nonce = Nonce { incarnation: Incarnation(unit.incarnation), count: unit.count };
@@ -295,7 +295,7 @@
     checked.assert_properties();
 }
 
-/// Without either of its two guards the model violates a property, and the checker finds it.
+/// With either of its two guards left out, the model violates a property, and the checker finds it.
 #[test]
 fn without_its_guards_the_model_fails() {
     let without_age_check = check(LeaseModel { any_age: true, longest_log: 5, ..LeaseModel::default() });
--- a/crates/fleet/tests/schedules/common.rs
+++ b/crates/fleet/tests/schedules/common.rs
@@ -17,7 +17,7 @@
     UnitName(format!("h{at}"))
 }
 
-/// Starts a fleet and runs it until it is founded and its leader knows all members; returns it and the
+/// Runs a new fleet for 14 s, by when it is founded and its leader knows all members; returns it and the
 /// leader.
 pub(crate) fn started_fleet(nodes: usize, voters: usize) -> (World, usize) {
     let mut world = World::new(7, policy(nodes, voters));
@@ -34,7 +34,8 @@
     world.request_now(at, version, Command::StartRelease { plan: plan(version, Act::Exit, OnHalt::Hold) });
 }
 
-/// Runs the job for all seeds of a range in parallel; returns its results in the order of the seeds.
+/// Runs the job for the seeds from `from` up to but excluding `to`, in parallel; returns the results that are
+/// `Some`, in the order of the seeds.
 pub(crate) fn in_parallel<T: Send>(from: u64, to: u64, job: impl Fn(u64) -> Option<T> + Sync) -> Vec<T> {
     let next = std::sync::atomic::AtomicU64::new(from);
     let found = std::sync::Mutex::new(Vec::new());
--- a/crates/fleet/tests/schedules/injected_faults.rs
+++ b/crates/fleet/tests/schedules/injected_faults.rs
@@ -10,8 +10,9 @@
 use crate::schedule_generator::{fleet_size, random_schedule, run_schedule};
 use crate::world::{Fault, LinkState, World, plan, policy};
 
-/// Starts a release whose first unit asks to begin its drain and is stopped before it receives the answer.
-/// Returns the leader and the unit.
+/// Starts a release and stops its first granted unit before the answer to its request to begin arrives.
+/// Returns the world, the leader and the unit; `None` if no unit is granted within 3 s or no other node
+/// leads.
 fn begin_without_answer(seed: u64, act: Act) -> Option<(World, usize, usize)> {
     let mut world = World::new(seed, policy(5, 3));
     world.run_until(10_000);
@@ -141,7 +142,7 @@
 #[test_case(InjectedFault::TurnWhileHalted; "turns are granted while halted")]
 #[test_case(InjectedFault::OldLeaseBegins; "an old lease begins a drain")]
 #[test_case(InjectedFault::HaltForgotten; "units of a halted release may begin")]
-#[test_case(InjectedFault::HaltNotKept; "a release continues after the loss of all processes")]
+#[test_case(InjectedFault::HaltNotKept; "a halt is not kept after the loss of all processes")]
 #[test_case(InjectedFault::AnyAge; "a begin of any age is valid")]
 #[test_case(InjectedFault::OutOnGrant; "a unit goes out on its grant alone")]
 #[test_case(InjectedFault::OlderDiskVotes; "a voter with an older disk votes")]
@@ -151,7 +152,7 @@
 #[test_case(InjectedFault::ListNotCounted; "limits do not count hosts out by the list")]
 #[test_case(InjectedFault::HostBackAtOnce; "a host is back before all nodes know")]
 fn checker_detects_injected_fault(fault: InjectedFault) {
-    let detected_seeds = (0..10).filter_map(|seed| {
+    let detected_violations = (0..10).filter_map(|seed| {
         let correct = run_written_schedule(fault, seed)?;
         assert_eq!(
             correct.violation, None,
@@ -162,7 +163,7 @@
         inject(None);
         faulty?.violation.map(|why| (seed, why))
     });
-    let detections: Vec<(u64, String)> = detected_seeds.collect();
+    let detections: Vec<(u64, String)> = detected_violations.collect();
     if let Some(first) = detections.first() {
         return println!(
             "{fault:?}: detected on {} of 10 schedules written for it, first {first:?}",
@@ -180,7 +181,7 @@
         let why =
             std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run_schedule(&mut world, nodes).err()));
         inject(None);
-        // Only a violated invariant counts, not a schedule that does not finish.
+        // A violated invariant or a panic counts, not a schedule that does not finish.
         let why = why.unwrap_or_else(|_| Some("it panicked".into()));
         let violation =
             why.filter(|why| !why.starts_with("not finished") && !why.starts_with("no leader"))?;
--- a/crates/fleet/tests/schedules/random_schedules.rs
+++ b/crates/fleet/tests/schedules/random_schedules.rs
@@ -35,7 +35,7 @@
     });
     assert!(
         failed.is_empty(),
-        "{} of {} schedules failed, at first: {:#?}",
+        "{} of {} schedules failed, the first of them: {:#?}",
         failed.len(),
         to - from,
         &failed[..failed.len().min(12)]
--- a/crates/fleet/tests/schedules/scale.rs
+++ b/crates/fleet/tests/schedules/scale.rs
@@ -26,14 +26,14 @@
 /// Runs a fleet in which no member fails, while messages are lost. Returns how often a member was marked
 /// lost, and how often the leader changed.
 fn count_false_losses(
-    lost: u64,
+    loss_per_thousand: u64,
     retransmits: bool,
     lossless_voter_links: bool,
     seconds: u64,
 ) -> (u64, usize) {
     let (mut world, mut leader) = started_fleet(300, 5);
     (world.loss_per_thousand, world.retransmits, world.lossless_voter_links) =
-        (lost, retransmits, lossless_voter_links);
+        (loss_per_thousand, retransmits, lossless_voter_links);
     let mut leader_changes = 0;
     for _ in 0..seconds {
         world.run_until(world.now_ms() + 1_000);
@@ -46,16 +46,17 @@
     (times_lost.sum(), leader_changes)
 }
 
-/// `LOST_S=seconds` runs each loss rate for that long; the default is short, for CI. The last, high rate
-/// shows that the count can be above zero.
+/// `LOST_S=seconds` runs the rate of 20 per thousand for that long and adds rates from 50 to 500; the default
+/// is short, for CI. The rate of 800 always runs for 20 s and shows that the count can be above zero.
 #[test]
 fn running_members_are_seldom_marked_lost() {
     let given = std::env::var("LOST_S").ok().and_then(|text| text.parse().ok());
-    let run_at_rate = |lost, retransmits, lossless_voter_links, seconds| {
+    let run_at_rate = |loss_per_thousand, retransmits, lossless_voter_links, seconds| {
         let (marked_lost, leader_changes) =
-            count_false_losses(lost, retransmits, lossless_voter_links, seconds);
+            count_false_losses(loss_per_thousand, retransmits, lossless_voter_links, seconds);
         println!(
-            "{lost} of 1000 lost, retransmits {retransmits}, lossless voter links {lossless_voter_links}, \
+            "{loss_per_thousand} of 1000 lost, retransmits {retransmits}, \
+             lossless voter links {lossless_voter_links}, \
              {seconds} s: {marked_lost} marked lost, {leader_changes} leader changes"
         );
         marked_lost
@@ -63,10 +64,10 @@
     assert_eq!(run_at_rate(20, true, false, given.unwrap_or(60)), 0);
     assert_eq!(run_at_rate(20, false, false, given.unwrap_or(20)), 0);
     if let Some(seconds) = given {
-        for lost in [50, 100, 200, 300, 500] {
-            run_at_rate(lost, true, false, seconds);
-            run_at_rate(lost, true, true, seconds);
-            run_at_rate(lost, false, true, seconds);
+        for loss_per_thousand in [50, 100, 200, 300, 500] {
+            run_at_rate(loss_per_thousand, true, false, seconds);
+            run_at_rate(loss_per_thousand, true, true, seconds);
+            run_at_rate(loss_per_thousand, false, true, seconds);
         }
     }
     assert!(run_at_rate(800, false, true, 20) > 0);
--- a/crates/fleet/tests/schedules/schedule_generator.rs
+++ b/crates/fleet/tests/schedules/schedule_generator.rs
@@ -9,7 +9,8 @@
 use crate::common::{halt, host, name};
 use crate::world::{Fault, LinkState, World, plan, policy};
 
-/// Start and end of the period in which faults occur, in seconds; afterwards the fleet has time to settle.
+/// Faults are drawn to start between these, in seconds. Some are prepared up to 3 s earlier and some last
+/// longer; [`Fault::Heal`] ends most of them 13 s after the period.
 const FIRST_S: u64 = 10;
 const LAST_S: u64 = 50;
 
@@ -96,7 +97,8 @@
     world
 }
 
-/// Entries that two of three voters have agreed on are lost from the disk of one while the other is stopped.
+/// Entries that a bare majority of the voters has agreed on, two of three, are lost from the disk of one
+/// while the rest of that majority is stopped.
 pub(crate) fn voters_losing_data(seed: u64, nodes: usize, voters: usize) -> World {
     let mut world = World::new(seed, policy(nodes, voters));
     world.request_at(7_000, 0, "start", Command::StartRelease { plan: plan("v2", Act::Exit, OnHalt::Hold) });
@@ -274,8 +276,8 @@
     world
 }
 
-/// Runs a schedule to its end. Fails if an invariant is violated, or if something that was begun does not end
-/// once the faults are over.
+/// Runs a schedule to its end. Fails if an invariant is violated, or if there is no leader or something that
+/// was begun does not end once the faults are over.
 pub(crate) fn run_schedule(world: &mut World, nodes: usize) -> Result<(), String> {
     let check = |world: &World| world.violation.clone().map_or(Ok(()), Err);
     world.run_until(LAST_S * 1_000 + 13_000);
@@ -285,7 +287,7 @@
     check(world)?;
     // Operators activate what they drained, and resume the release or roll it back.
     for round in 0..6 {
-        // Waits up to 5 s for a leader, as the release may be changing the leader itself.
+        // Waits up to 5 s for a leader, as the release may just be restarting the leader.
         let waits = (0..5).find(|_| {
             at += 1_000;
             world.run_until(at);
@@ -293,7 +295,7 @@
         });
         check(world)?;
         let Some(leader) = waits.and(world.leader()) else {
-            return Err("no leader 27 s after the last fault".into());
+            return Err("no leader after the faults have ended".into());
         };
         let state = world.newest_state().ok_or("no state")?.clone();
         for (unit, of) in &state.units {
--- a/crates/fleet/tests/schedules/voters.rs
+++ b/crates/fleet/tests/schedules/voters.rs
@@ -25,7 +25,7 @@
 }
 
 /// A leader that was stopped for longer than an election takes still believes that it leads. It decides
-/// nothing, and the status that it reports to an operator is not confirmed.
+/// nothing. The status that it reports to an operator is not confirmed either, which is not checked here.
 #[test]
 fn a_leader_that_was_stopped_decides_nothing() {
     let (mut world, leader) = started_fleet(5, 3);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn without_a_majority_no_unit_goes_out_and_the_release_continues_afterwards() {
+fn without_a_majority_no_further_unit_goes_out_and_the_release_continues_afterwards() {
     let (mut world, leader) = started_fleet(5, 3);
     release(&mut world, leader, "v2");
     assert!(world.wait_for(5_000, |world| world.count_out() == 1));
@@ -62,8 +62,8 @@
     for at in &others {
         world.set_links(*at, true, true, LinkState::Up);
     }
-    // Units that were cut off count as lost until they are seen to serve, so the release is halted by its
-    // gate or continues.
+    // Units that were cut off count as lost until they are seen to serve. The release's gate may halt it for
+    // that; otherwise it continues.
     world.run_until(world.now_ms() + 20_000);
     let at = world.leader().expect("a leader is elected once the links are up");
     if matches!(release_state(&world), Some(ReleaseState::Halted(_))) {
--- a/crates/fleet/tests/schedules/world/hosts.rs
+++ b/crates/fleet/tests/schedules/world/hosts.rs
@@ -13,8 +13,8 @@
 /// timeout.
 const LIST_STALL_NOTICED_MS: u64 = 24_000;
 
-/// Time after which the leader must know that the list shows a host as out, in ms: the list's delay, one
-/// control interval and one log entry.
+/// Time after which the leader must know that the list shows a host as out, in ms: the time until a stalled
+/// list is noticed, one round of the leader's control and one log entry.
 const LIST_KNOWN_MS: u64 = LIST_STALL_NOTICED_MS + 3_000;
 
 const MOVES_PER_SECOND: u32 = 40;
@@ -55,7 +55,8 @@
     empty_since: BTreeMap<Lease, u64>,
     /// When connections were moved, over the last 5 s.
     recent_moves: VecDeque<u64>,
-    pub most_avoided: usize,
+    /// Most hosts out at once, avoided or long shown as out by the list, without overrides.
+    pub most_hosts_out: usize,
 }
 
 pub(crate) fn settings() -> HostSettings {
@@ -264,7 +265,7 @@
         };
         out.extend((0..self.hosts.hosts.len()).filter(|index| long_out(&self.hosts.hosts[*index])));
         out.retain(|host| !is_override(host));
-        self.hosts.most_avoided = self.hosts.most_avoided.max(out.len());
+        self.hosts.most_hosts_out = self.hosts.most_hosts_out.max(out.len());
         let all = self.hosts.hosts.len() as u32;
         let limits = settings().limits;
         let zone = out.iter().filter(|host| **host % 3 == new_host % 3).count() as u32;
@@ -273,7 +274,8 @@
         }
     }
 
-    /// Checks that no running node, heard or not, holds connections at a host that is reported as empty.
+    /// Checks that no running node, heard or not, holds connections at a host that is reported as empty,
+    /// except nodes that an operator has confirmed dead.
     pub(super) fn check_hosts_empty(&mut self, node: usize) {
         // Operators get this report only in a confirmed status, so a former leader's view does not count.
         let newest = self.newest_state().map_or(0, |state| state.applied);
--- a/crates/fleet/tests/schedules/world/mod.rs
+++ b/crates/fleet/tests/schedules/world/mod.rs
@@ -74,6 +74,7 @@
     EraseDisk(usize),
     /// From now on its syncs report success, but the data is lost when the process ends.
     DropSyncs(usize),
+    /// Its sync fails, and no write completes until the process is started again.
     DiskFails(usize),
     /// Each write takes this long, in ms.
     DiskSlow(usize, u64),
@@ -94,6 +95,7 @@
     Cut,
     /// Messages wait until the link is up again.
     Stalled,
+    /// Messages take 200 to 500 ms.
     Slow,
 }
 
@@ -119,6 +121,7 @@
     disk_failed: bool,
     /// Events that arrived while it was stopped.
     held_events: Vec<Event>,
+    /// Its disk was replaced by an older copy. No check reads this.
     disk_restored: bool,
     node_hosts: hosts::NodeHosts,
     /// Its clock: the reading in nanoseconds at the start of the simulation, and its rate in thousandths.
@@ -145,17 +148,17 @@
     /// Hash of the state after each log entry.
     state_hashes: BTreeMap<u64, u64>,
     /// Leases from this number on have not been checked against the limits.
-    next_lease_seen: u64,
+    first_unchecked_lease: u64,
     /// When each halted release was first seen halted.
     halted_since: BTreeMap<u64, u64>,
     /// The process that went out under each release lease.
     lease_users: BTreeMap<Lease, Incarnation>,
-    /// Units and hosts that operators asked to drain.
+    /// Units and hosts that operators asked to drain, within the limits or by an override.
     requested_out: BTreeSet<UnitName>,
     /// The newest state checked: entries applied, the release that was halted, and the drains that had begun.
     last_seen: (u64, Option<u64>, BTreeSet<Nonce>),
-    /// The release that was running when all voters were down at once, until an operator resumes it or rolls
-    /// it back.
+    /// The release that was running when all voters were down at once, until an operator requests a resume or
+    /// rollback.
     interrupted_release: Option<u64>,
     /// Answers to operators' requests.
     pub answers: BTreeMap<RequestId, RequestResult>,
@@ -168,13 +171,15 @@
     pub trace: u64,
     /// Versions that fail a quarter of their calls.
     failing_versions: BTreeSet<String>,
+    /// Lines for `LOOK`, kept only if `verbose`.
     pub log: Vec<String>,
     pub verbose: bool,
     pub hosts: hosts::Hosts,
     /// Lost messages per thousand.
     pub loss_per_thousand: u64,
-    /// Lost messages are retransmitted as by TCP: after 0.2 s, then with doubled delays, while later messages
-    /// of the link wait behind them. Otherwise they are never delivered.
+    /// Lost messages are retransmitted as by TCP: after 0.2 s, then with doubled delays, at most 60 s in
+    /// total, while later messages of the link wait behind them. Only links that are up add this delay.
+    /// If not set, lost messages are never delivered.
     pub retransmits: bool,
     /// Links between voters lose no messages.
     pub lossless_voter_links: bool,
@@ -233,7 +238,7 @@
             rng: WyRand::new_seed(seed),
             incarnations_started: 0,
             state_hashes: BTreeMap::new(),
-            next_lease_seen: 0,
+            first_unchecked_lease: 0,
             halted_since: BTreeMap::new(),
             lease_users: BTreeMap::new(),
             interrupted_release: None,
@@ -435,7 +440,7 @@
     }
 
     fn node_status(&mut self, node: usize) -> NodeStatus {
-        let (now, bad) =
+        let (now, fails_calls) =
             (self.now / NANOS_PER_MS, self.failing_versions.contains(&self.processes[node].version));
         let process = &self.processes[node];
         let calls = now / 20;
@@ -443,7 +448,7 @@
             serving: process.serving && process.out.is_none(),
             drained: process.drained,
             calls,
-            failed: if bad { calls / 4 } else { calls / 200 },
+            failed: if fails_calls { calls / 4 } else { calls / 200 },
             busy: 0,
             waiting: 0,
             hosts_down: 0,
@@ -615,19 +620,19 @@
         }
         let envelope = Envelope::decode(&envelope.encode()).expect("an encoded envelope can be decoded");
         let event = Event::DeliverMessage { to, incarnation, from, sender, envelope: Box::new(envelope) };
-        let mut again = 0;
+        let mut retransmit_delay_ms = 0;
         let spared = self.lossless_voter_links && from.max(to) < self.policy.voters.len();
         while self.loss_per_thousand > 0 && !spared && self.random_below(1_000) < self.loss_per_thousand {
             if !self.retransmits {
                 return;
             }
-            again = (2 * again + 200).min(60_000);
+            retransmit_delay_ms = (2 * retransmit_delay_ms + 200).min(60_000);
         }
         let ms = match link {
             LinkState::Cut => return,
             LinkState::Stalled => return self.stalled_messages.entry((from, to)).or_default().push(event),
             LinkState::Slow => 200 + self.random_below(300),
-            LinkState::Up => 1 + self.random_below(4) + again,
+            LinkState::Up => 1 + self.random_below(4) + retransmit_delay_ms,
         };
         // Messages of one link arrive in order.
         let due = (self.now / NANOS_PER_MS + ms).max(self.last_due_ms.get(&(from, to)).copied().unwrap_or(0));
@@ -689,8 +694,9 @@
         }
     }
 
-    /// Checks that the same log gives the same state at every node, that nothing is granted or begun for a
-    /// halted release, and that the limits on granted leases count lost units.
+    /// Checks that the same log gives the same state at every node (compared after every seventh entry), that
+    /// nothing is granted or begun for a halted release, and that the limits on granted leases count lost
+    /// units.
     #[expect(clippy::too_many_lines, reason = "all invariants of the fleet's state in one function")]
     fn check_state(&mut self, node: usize) {
         let Some(fleet) = self.processes[node].fleet.as_ref() else { return };
@@ -753,9 +759,9 @@
                 _ => {}
             }
         }
-        if state.next_lease > self.next_lease_seen {
-            let first_unchecked = self.next_lease_seen;
-            self.next_lease_seen = state.next_lease;
+        if state.next_lease > self.first_unchecked_lease {
+            let first_unchecked = self.first_unchecked_lease;
+            self.first_unchecked_lease = state.next_lease;
             let granted: Vec<(usize, Lease)> = state
                 .units
                 .iter()
@@ -869,8 +875,8 @@
                     if self.processes[node].serving {
                         self.processes[node].unavailable_since = None;
                     }
-                    // The process receives all held events at once; it may handle ticks or other events
-                    // first.
+                    // The process receives all held events at once: in the order of their arrival, or with
+                    // the ticks last.
                     let mut held_events = std::mem::take(&mut self.processes[node].held_events);
                     if self.random_below(2) == 0 {
                         held_events.sort_by_key(|event| matches!(event, Event::Tick(..)));
@@ -924,7 +930,8 @@
         fleets.map(Fleet::state).max_by_key(|state| state.applied)
     }
 
-    /// Runs until the condition holds, for at most `most_ms`; returns whether it holds.
+    /// Runs until the condition holds, an invariant is violated or `most_ms` have passed; returns whether the
+    /// condition holds.
     pub(crate) fn wait_for(&mut self, most_ms: u64, condition: impl Fn(&World) -> bool) -> bool {
         let until = self.now / NANOS_PER_MS + most_ms;
         while self.now / NANOS_PER_MS < until && self.violation.is_none() {
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -305,7 +305,7 @@
         let (name, digits) = recorded.split_once(' ').expect("the line holds a name and digits");
         let recorded: Vec<u8> = (0..digits.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits come in pairs"))
+            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two hexadecimal digits"))
             .collect();
         if name.starts_with("entry_") {
             let entry: Entry = postcard::from_bytes(&recorded).expect(name);
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Opens the database. The outer error means that the file cannot be opened, the inner one that it is
-/// damaged.
+/// Opens the database. The outer error means that the file cannot be opened, the inner one that the database
+/// library cannot read it, as when it is damaged.
 fn open_database(
     folder: &Path,
     faults: Option<Arc<dyn DiskFaults>>,
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -5,7 +5,7 @@
 use glendeck_fleet::{StoreKey, StoreWrite, StoredState};
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, TableError};
 
-/// The values by the number of their [`StoreKey`].
+/// At most one value per [`StoreKey`], by the key's number.
 const VALUES: TableDefinition<u8, &[u8]> = TableDefinition::new("values");
 
 /// The log entries by index, without gaps.
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -9,8 +9,8 @@
 use crate::open::{LockedDatabase, Opened};
 use crate::tables::write_batch;
 
-/// Maximum number of queued batches. The caller waits for the outcome of a batch before it writes the next,
-/// so there is at most one.
+/// Capacity of the queue of batches. One would do, as the caller waits for the outcome of a batch before it
+/// writes the next.
 const MAX_WAITING_BATCHES: usize = 4;
 
 /// The result of a batch.
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes batches until a write fails or the [`Store`] is dropped.
+/// Writes batches until a write fails, an outcome cannot be reported, or the [`Store`] is dropped.
 fn write_batches(
     file: &LockedDatabase,
     batches: &Receiver<Batch>,
@@ -70,8 +70,8 @@
 }
 
 impl Store {
-    /// Queues a batch for the writer thread without blocking. Returns `false` if the store has failed or the
-    /// queue is full.
+    /// Queues a batch for the writer thread without blocking. Returns `false` if the queue is full or the
+    /// writer thread has ended.
     pub fn write(&self, number: u64, writes: Vec<StoreWrite>) -> bool {
         self.batches.try_send(Batch { number, writes }).is_ok()
     }
--- a/crates/store/tests/disks.rs
+++ b/crates/store/tests/disks.rs
@@ -133,15 +133,15 @@
     fault(&injected).store(true, Ordering::Relaxed);
     // A full disk causes an error only once the file has to grow.
     let mut batch = 2;
-    let dead = loop {
+    let cause = loop {
         assert!(store.write(batch, vec![StoreWrite::Log(1, vec![7; 200_000 * batch as usize])]));
         match outcome(&store) {
             Outcome::Failed(why) => break why,
             Outcome::Written(_) => batch += 1,
         }
-        assert!(batch < 40, "no write failed in 40 batches");
+        assert!(batch < 40, "no write failed before batch 40");
     };
-    assert!(!dead.is_empty());
+    assert!(!cause.is_empty());
     fault(&injected).store(false, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(50));
     assert!(!store.write(batch + 1, writes(2)), "a failed store took a batch after the disk had recovered");
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -1,5 +1,5 @@
 //! Checks that a store file of an earlier version can still be read. `tests/fixtures/store.txt` holds the
-//! non-empty rows of its bytes as hexadecimal digits.
+//! rows of its bytes that are not all zero, as hexadecimal digits.
 
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -91,7 +91,7 @@
 
 fn from_digits(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2).map(|start| &digits[start..start + 2]);
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal digits come in pairs")).collect()
+    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
 }
 
 /// Reads the store's contents, once the thread that wrote it has closed the file.
