--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! From settings by path to typed settings, a function for each section.
+//! Decodes a [`SettingsMap`] into typed settings, with one function for each section.
 
 use glendeck::domain::{
     Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, WeightKind, Zone,
@@ -14,10 +14,10 @@
 const REPORT_SOURCE: &str = "loadReport.source";
 const WEIGHT_KIND: &str = "weightKind";
 
-/// Decodes all settings that the decisions use, and checks those that they do not use.
+/// Decodes the settings that the decisions use, and validates the known settings that they ignore.
 ///
 /// # Errors
-/// The first setting that is missing or makes no sense.
+/// Returns the first error found: a required setting is missing, or a value is invalid.
 pub fn settings(map: &SettingsMap) -> Result<Settings, SettingsError> {
     let classes = traffic_classes(map)?;
     let poll_interval = poll_interval(map)?;
@@ -33,7 +33,7 @@
         max_attempts: map.whole_number("caps.maxLegs")?,
         can_probe: map.flag("caps.mayProbe")?,
         can_cancel: map.flag("caps.mayCancel")?,
-        weight_kind: weights(map)?,
+        weight_kind: weight_kind(map)?,
         reports_message_times: map.flag_or("extra.tellsDelay", false)?,
         retry_after,
         poll_interval,
@@ -66,7 +66,7 @@
     })
 }
 
-/// `key` gives the path of a class's setting by its name.
+/// Decodes the idempotency of a traffic class; `key` returns the path of the class's setting of a given name.
 fn idempotency(map: &SettingsMap, key: impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
     match map.text(&key("effect"))? {
         "retryable" => Ok(Idempotency::Idempotent),
@@ -88,7 +88,7 @@
     }
 }
 
-/// How often the endpoint list is polled; `None` if it is pushed.
+/// Interval at which the endpoint list is polled; `None` if updates are pushed.
 fn poll_interval(map: &SettingsMap) -> Result<Option<Span>, SettingsError> {
     match map.text(MEMBERSHIP_MODE)? {
         "on_request" => Ok(Some(map.span("safety.askWithinMs")?)),
@@ -97,13 +97,14 @@
     }
 }
 
-/// The longest time that a rejected client may be told to wait, if it may be told at all.
+/// Longest retry delay that may be sent to a rejected client; `None` if no delay may be sent.
 fn retry_after(map: &SettingsMap) -> Result<Option<Span>, SettingsError> {
     if map.flag("caps.retryAfter")? { Ok(Some(map.span("caps.maxRetryAfterMs")?)) } else { Ok(None) }
 }
 
-/// Deployments from before there was the key send sizes.
-fn weights(map: &SettingsMap) -> Result<WeightKind, SettingsError> {
+/// Decodes what the weights mean. Without the key they are sizes, since deployments older than the key send
+/// sizes.
+fn weight_kind(map: &SettingsMap) -> Result<WeightKind, SettingsError> {
     match map.optional_text(WEIGHT_KIND) {
         None | Some("none" | "nominal" | "rough") => Ok(WeightKind::Sizes),
         Some("live") => Ok(WeightKind::Live),
@@ -120,7 +121,8 @@
     })
 }
 
-/// All of it or nothing: a budget with a part missing would be another budget.
+/// Decodes the retry budget. Either all of its settings are given or none: a default for a missing one would
+/// silently define a different budget.
 pub(crate) fn retry_budget(map: &SettingsMap) -> Result<Option<RetryBudget>, SettingsError> {
     let is_given = [BUDGET_FREE, BUDGET_RATIO, BUDGET_SPAN].iter().any(|key| map.contains(key));
     if !is_given {
@@ -128,33 +130,34 @@
     }
     let window = map.span(BUDGET_SPAN)?;
     if window < Span::ms(1) {
-        return Err(SettingsError::invalid(BUDGET_SPAN, map.text(BUDGET_SPAN)?, "a millisecond or more"));
+        return Err(SettingsError::invalid(BUDGET_SPAN, map.text(BUDGET_SPAN)?, "at least 1 ms"));
     }
     Ok(Some(RetryBudget { min_retries: map.number(BUDGET_FREE)?, ratio: map.number(BUDGET_RATIO)?, window }))
 }
 
-/// The weight of the whole service in the score, against the worst class; all of it if neither has a weight.
+/// Weight of the whole service in the score, as a share of its weight plus that of the worst class; 1 if both
+/// weights are 0.
 fn overall_service_weight(map: &SettingsMap) -> Result<f64, SettingsError> {
     let whole = map.number_or("scoreParts.whole", 1.0)?;
     let worst_class = map.number_or("scoreParts.worstClass", 0.0)?;
     if whole + worst_class > 0.0 { Ok(whole / (whole + worst_class)) } else { Ok(1.0) }
 }
 
-/// The decisions do not read load reports, but what is said of them has to make sense.
+/// Validates the source of load reports, which the decisions do not use.
 fn check_load_reports(map: &SettingsMap) -> Result<(), SettingsError> {
     match map.optional_text(REPORT_SOURCE) {
         None | Some("none" | "answers") => Ok(()),
         Some("probe") if map.flag("caps.mayProbe")? => Ok(()),
         Some(source @ "probe") => {
-            let expected = "another source where caps.mayProbe is false";
+            let expected = "none or answers, because caps.mayProbe is false";
             Err(SettingsError::invalid(REPORT_SOURCE, source, expected))
         }
         Some(other) => Err(SettingsError::invalid(REPORT_SOURCE, other, "none, answers or probe")),
     }
 }
 
-/// The decisions do not use what these settings allow, but they have to make sense: nothing new goes to a host that is gone,
-/// drained or not, and an answer is given by the deadline as it was told.
+/// Validates settings that the decisions ignore: a host that is gone gets no new attempts, whether it was
+/// drained or not, and calls are answered by their deadline as received.
 fn check_unused(map: &SettingsMap) -> Result<(), SettingsError> {
     map.flag_or("safety.droppedStayOpen", false)?;
     map.span_or("safety.budgetErrorMs", Span::ZERO)?;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,25 +1,25 @@
-//! Why settings cannot be read.
+//! Errors in settings.
 
-/// A setting that is missing or makes no sense.
+/// A setting that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A required setting is missing.
     #[error("setting {0} is missing")]
     Missing(String),
-    /// A setting has a value that cannot be used.
+    /// A setting has an invalid value.
     #[error("setting {key} has the value {value:?}, expected {expected}")]
     Invalid {
         /// The setting's path.
         key: String,
         /// Its value as text.
         value: String,
-        /// What would be accepted.
+        /// The accepted values.
         expected: &'static str,
     },
     /// A line is not of the form `path=value`.
-    #[error("line {line} of the settings is no path=value pair")]
+    #[error("line {line} of the settings is not a path=value pair")]
     NotAPair {
-        /// The number of the line, from 1.
+        /// The line number, starting at 1.
         line: usize,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,9 @@
-//! Reads a deployment's settings into the [`Settings`](glendeck::domain::Settings) that the decisions use.
+//! Reads a deployment's settings into the [`Settings`](glendeck::domain::Settings) that the routing decisions
+//! use.
 //!
-//! They come in two forms, the simulator's `path=value` lines and a node's JSON. Both become a [`SettingsMap`], and
-//! [`settings()`] is the one decoder. It is also the one place that maps the keys of deployments to the terms of the code.
+//! Settings come in two forms: `path=value` lines from the simulator, and JSON in a node's configuration.
+//! Both are read into a [`SettingsMap`], which [`settings()`] decodes. The mapping from the keys of
+//! deployments to the names in the code exists only in this decoder.
 
 mod decode;
 mod error;
--- a/crates/settings/src/map.rs
+++ b/crates/settings/src/map.rs
@@ -1,4 +1,4 @@
-//! Settings by their path, as text, whichever form they came in.
+//! The text of settings by path, read from either input form.
 
 use std::borrow::Cow;
 use std::fmt::{Display, Write};
@@ -14,14 +14,14 @@
 
 type Pairs<'a> = FxHashMap<Cow<'a, str>, Cow<'a, str>>;
 
-/// The text of each setting by its path. Absent settings and `null` are the same.
+/// The text of each setting by its path. A setting that is `null` counts as absent.
 pub struct SettingsMap<'a>(Pairs<'a>);
 
 impl<'a> SettingsMap<'a> {
     /// Reads `path=value` lines; empty lines are skipped.
     ///
     /// # Errors
-    /// A line without `=`.
+    /// A line that is not empty has no `=`.
     pub fn from_lines(text: &'a str) -> Result<SettingsMap<'a>, SettingsError> {
         let mut pairs = Pairs::default();
         for (index, line) in text.lines().enumerate() {
@@ -36,8 +36,8 @@
         Ok(SettingsMap(pairs))
     }
 
-    /// Flattens nested objects to the same paths: lists of plain values are joined by commas, lists of objects are numbered,
-    /// with their length under `count`.
+    /// Flattens nested JSON to the paths that the lines use: lists of plain values are joined with commas;
+    /// items of lists of objects are numbered from 0, with the length of the list under `count`.
     pub fn from_json(settings: &Value) -> SettingsMap<'static> {
         let mut pairs = Pairs::default();
         flatten(&mut pairs, &mut String::new(), settings);
@@ -59,7 +59,7 @@
         self.optional_text(key).ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    /// A setting that is read by its type.
+    /// Parses a setting's text as a `T`; `expected` describes the valid values in the error.
     pub(crate) fn parse<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
         let value = self.text(key)?;
         value.parse().map_err(|_| SettingsError::invalid(key, value, expected))
@@ -73,10 +73,10 @@
     /// A finite number of 0 or more.
     ///
     /// # Errors
-    /// It is missing or not such a number.
+    /// It is missing, not a number, negative or not finite.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let value: f64 = self.parse(key, "a number")?;
-        if !is_usable(value) {
+        if !is_finite_non_negative(value) {
             return Err(SettingsError::invalid(key, self.text(key)?, "a finite number of 0 or more"));
         }
         Ok(value)
@@ -87,7 +87,7 @@
         if self.contains(key) { self.number(key) } else { Ok(default) }
     }
 
-    /// A time given in milliseconds.
+    /// A duration given in milliseconds.
     ///
     /// # Errors
     /// It is missing or not a finite number of 0 or more.
@@ -106,7 +106,7 @@
     /// A setting that is `true` or `false`.
     ///
     /// # Errors
-    /// It is missing or neither.
+    /// It is missing, or neither `true` nor `false`.
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         self.parse(key, "true or false")
     }
@@ -119,17 +119,17 @@
         if self.contains(key) { self.flag(key) } else { Ok(default) }
     }
 
-    /// A list of times in milliseconds, in which single ones may be absent; an absent list is empty.
+    /// A list of durations in milliseconds, where an item may be `null`; an absent list is empty.
     pub(crate) fn spans(&self, key: &str) -> Result<Vec<Option<Span>>, SettingsError> {
         let Some(text) = self.optional_text(key).filter(|text| !text.is_empty()) else {
             return Ok(Vec::new());
         };
         let spans: Option<Vec<Option<Span>>> = text.split(',').map(parse_optional_span).collect();
-        spans.ok_or_else(|| SettingsError::invalid(key, text, "numbers with commas between them"))
+        spans.ok_or_else(|| SettingsError::invalid(key, text, "numbers of 0 or more separated by commas"))
     }
 }
 
-fn is_usable(number: f64) -> bool {
+fn is_finite_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
@@ -137,13 +137,13 @@
     Span::from_seconds(ms / MS_PER_SECOND)
 }
 
-/// The outer `None` is no number, the inner one an absent value.
+/// Returns `None` if `text` is not a valid number, and `Some(None)` if it is `null`.
 fn parse_optional_span(text: &str) -> Option<Option<Span>> {
     if text == "null" {
         return Some(None);
     }
     let ms: f64 = text.parse().ok()?;
-    is_usable(ms).then(|| Some(span_from_ms(ms)))
+    is_finite_non_negative(ms).then(|| Some(span_from_ms(ms)))
 }
 
 fn flatten(pairs: &mut Pairs<'static>, path: &mut String, value: &Value) {
@@ -170,7 +170,7 @@
     }
 }
 
-/// Flattens a member of the value at `path`, which is as before afterwards.
+/// Flattens a member of the value at `path`; `path` is extended meanwhile and restored on return.
 fn flatten_below(pairs: &mut Pairs<'static>, path: &mut String, name: impl Display, value: &Value) {
     let length = path.len();
     let separator = if length > 0 { "." } else { "" };
@@ -179,7 +179,8 @@
     path.truncate(length);
 }
 
-/// A value without the characters that separate values in the other form.
+/// A plain value as text, with the characters that separate values in `path=value` lines (space and comma)
+/// replaced by `_`.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! The retry budget's settings.
+//! Decoding of the retry budget.
 
 use glendeck::domain::{RetryBudget, Span};
 
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn a_budget_is_whole_or_none() {
+fn retry_budget_requires_all_of_its_settings_or_none() {
     assert_eq!(decode("").unwrap(), None);
-    let whole = "safety.budgetFree=5\nsafety.repeatRatio=0.03\nsafety.budgetSpanMs=10000";
+    let complete = "safety.budgetFree=5\nsafety.repeatRatio=0.03\nsafety.budgetSpanMs=10000";
     let expected = RetryBudget { min_retries: 5.0, ratio: 0.03, window: Span::ms(10_000) };
-    assert_eq!(decode(whole).unwrap(), Some(expected));
+    assert_eq!(decode(complete).unwrap(), Some(expected));
     let missing = decode("safety.budgetFree=5\nsafety.budgetSpanMs=10000").unwrap_err();
     assert!(missing.to_string().contains("safety.repeatRatio"), "{missing}");
-    let without_span = whole.replace("10000", "0");
-    assert!(decode(&without_span).unwrap_err().to_string().contains("safety.budgetSpanMs"));
+    let zero_window = complete.replace("10000", "0");
+    assert!(decode(&zero_window).unwrap_err().to_string().contains("safety.budgetSpanMs"));
 }
