--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -1,4 +1,4 @@
-//! Calls to the admin interfaces of nodes.
+//! HTTP client for the admin interfaces of nodes.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,10 +12,11 @@
 
 const STATUS_PATH: &str = "/v1/fleet/status";
 
-/// A node answers within a second; a little more for the way there.
+/// A node answers within a second; the rest is for the network.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// An order that no leader has taken is sent again, under its one id, for so long: elections take a second or two.
+/// Time for which an order that no leader has accepted is sent again, under the same id. Elections take a
+/// second or two.
 const ORDER_RETRY_TIME: Duration = Duration::from_secs(10);
 
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -24,15 +25,15 @@
 const BAD_REQUEST: u16 = 400;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The answer to a request.
+/// The response to a request.
 struct Response {
     code: u16,
-    /// The JSON object, or null if it is none.
+    /// The JSON body, or null if the body is not JSON.
     body: Value,
 }
 
 impl Response {
-    /// Why the node does not do what it was asked for.
+    /// The node's reason for refusing the request.
     fn reason(&self) -> String {
         #[derive(Default, Deserialize)]
         struct Refusal {
@@ -48,17 +49,17 @@
 pub(crate) struct NodeStatus {
     /// The node's admin interface.
     pub address: SocketAddr,
-    /// Its status as it sent it.
+    /// The status as received, or why there is none.
     pub status: Result<Value, String>,
 }
 
-/// Sends requests to nodes.
+/// Sends requests to the admin interfaces of nodes.
 pub(crate) struct AdminClient<'a> {
     addresses: &'a [SocketAddr],
 }
 
 impl AdminClient<'_> {
-    /// A client of the nodes at these addresses.
+    /// A client for the nodes whose admin interfaces are at these addresses.
     pub(crate) fn new(addresses: &[SocketAddr]) -> AdminClient<'_> {
         AdminClient { addresses }
     }
@@ -85,7 +86,7 @@
         self.addresses.iter().map(ask).collect()
     }
 
-    /// Sends an order until a leader takes or refuses it, and returns the reply.
+    /// Sends an order until a leader accepts or refuses it, and returns the reply.
     pub(crate) fn order(&self, order: &OrderRequest) -> Result<Value, CommandError> {
         let body = order.to_json()?;
         let retry_until = Instant::now() + ORDER_RETRY_TIME;
@@ -97,7 +98,11 @@
                     std::thread::sleep(ORDER_RETRY_INTERVAL);
                 }
                 SERVICE_UNAVAILABLE => {
-                    let reason = format!("{} (--id {})", response.reason(), order.id());
+                    let reason = format!(
+                        "{} (to send the same order again, add --id {})",
+                        response.reason(),
+                        order.id()
+                    );
                     return Err(CommandError::Unanswered(reason));
                 }
                 BAD_REQUEST => return Err(CommandError::Invalid(response.reason())),
@@ -112,7 +117,7 @@
         for address in self.addresses {
             match request(*address, method, path, body) {
                 Ok(response) => return Ok(response),
-                Err(error) => last_error = format!("no answer at {address}: {error}"),
+                Err(error) => last_error = format!("no response from {address}: {error}"),
             }
         }
         Err(CommandError::Unanswered(last_error))
@@ -128,6 +133,7 @@
     stream.read_to_string(&mut text)?;
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let code = head.split(' ').nth(1).and_then(|code| code.parse().ok());
-    let code = code.ok_or_else(|| io::Error::other("what answers there is no door"))?;
+    let code =
+        code.ok_or_else(|| io::Error::other("the response is not HTTP; expected a node's admin interface"))?;
     Ok(Response { code, body: serde_json::from_str(body).unwrap_or(Value::Null) })
 }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line's arguments. The comments on them are the help text that operators read.
+//! The command line's arguments. Their doc comments are the help text that clap prints.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,9 +9,11 @@
 #[command(
     name = "glendeck",
     version,
-    about = "Watches and steers a fleet of glendeck nodes",
-    after_help = "Examples:\n  glendeck demo\n  glendeck fleet status --door 127.0.0.1:9901\n  glendeck drain n3 --door 127.0.0.1:9901\n  \
-                  glendeck release start deploy/release.toml --door 127.0.0.1:9901\n  glendeck release status --watch"
+    about = "Inspects and controls a fleet of glendeck nodes",
+    after_help = "Examples:\n  glendeck demo\n  glendeck fleet status --door 127.0.0.1:9901\n  \
+                  glendeck drain n3 --door 127.0.0.1:9901\n  \
+                  glendeck release start deploy/release.toml --door 127.0.0.1:9901\n  \
+                  glendeck release status --watch"
 )]
 pub(crate) struct Cli {
     #[command(flatten)]
@@ -22,7 +24,8 @@
 
 #[derive(Args)]
 pub(crate) struct Target {
-    /// A node's operators' door; any node will do. Several may be given: the first that answers is asked.
+    /// Addresses of nodes' admin interfaces, separated by commas. Any node can answer; the first that
+    /// responds is used.
     #[arg(
         long = "door",
         value_name = "DOOR",
@@ -32,44 +35,45 @@
         global = true
     )]
     pub addresses: Vec<SocketAddr>,
-    /// Says what came back as one JSON object.
+    /// Prints the reply as JSON.
     #[arg(long, global = true)]
     pub json: bool,
-    /// Names this order: given again with the same name, it is the same order.
+    /// Id of this order, random by default. An order sent again with the same id is carried out once.
     #[arg(long, global = true)]
     pub id: Option<String>,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Who is of the fleet, and how each stands
+    /// Shows the members of the fleet and their state, and manages voters and lost nodes.
     #[command(subcommand)]
     Fleet(FleetCommand),
-    /// Takes a node or a host out, if the limits allow it: its clients go, it stays
+    /// Drains a node or a host within the limits: its clients leave, the process keeps running.
     Drain {
         node: String,
-        /// Beyond the limits, with this reason; one node at a time
+        /// Overrides the limits, for this reason; one node at a time.
         #[arg(long, value_name = "REASON")]
         beyond_limits: Option<String>,
     },
-    /// Takes a drained node or host back
+    /// Returns a drained node or host to service.
     Activate { node: String },
-    /// Changes all nodes in waves
+    /// Rolls a release out to the nodes in waves.
     #[command(subcommand)]
     Release(ReleaseCommand),
-    /// Checks a configuration file: a fleet's or a release's
+    /// Checks a fleet's or a release's file.
     Check {
         file: PathBuf,
-        /// The fleet that a release's file is for
+        /// The file of the fleet that the release is for.
         #[arg(long)]
         fleet: Option<PathBuf>,
     },
-    /// Starts three nodes with stand-in hosts, list, front and clients on loopback, and releases them
+    /// Starts three nodes on loopback with simulated hosts, discovery, front end and clients, and runs a
+    /// drain and a release.
     Demo {
-        /// Seconds that it goes on afterwards, to be tried by hand
+        /// Seconds for which the cluster keeps running afterwards, for manual use.
         #[arg(long, default_value_t = 0)]
         stay: u64,
-        /// The node's program
+        /// Path of the glendeck-node program; by default, the one beside this program.
         #[arg(long)]
         program: Option<PathBuf>,
     },
@@ -77,51 +81,53 @@
 
 #[derive(Subcommand)]
 pub(crate) enum FleetCommand {
-    /// Leader, voters, who is out and why, and the release
+    /// Shows the leader, the voters, the units that are out with the cause, and the release.
     Status,
-    /// Every unit, one a line
+    /// Lists all units, one per line.
     Members,
-    /// Every host that is out, and who still holds connections there
+    /// Lists the hosts that are out, and the nodes that still hold connections to them.
     Hosts,
-    /// Vouches that no process of this lost node runs any more: hosts are said to be empty without its word
+    /// Confirms that no process of this lost node is running: hosts can count as empty without its report.
     Dead { node: String },
-    /// What each node keeps for others, and others for it; asks all doors that are named
+    /// Shows the replication of in-flight calls at each node given with --door.
     Work,
-    /// Where a call went, from nodes' logs at level `debug`: by its id, or by what it concerns
+    /// Prints the log lines of a call across nodes, found by client id or subject id; needs logs at level
+    /// `debug`.
     Trace {
         id: String,
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// One voter gives its place to another node for good
+    /// Permanently replaces a voter by another node.
     Replace { old: String, new: String },
-    /// Vouches for the disk of the node at this door, whoever of the other voters is gone
+    /// Confirms that the store of the node given with --door is intact: it votes again without waiting for
+    /// voters that are gone.
     Trust,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum ReleaseCommand {
-    /// Checks a plan against a fleet's file
+    /// Checks a release plan against a fleet's file, and prints its waves.
     Check {
         plan: PathBuf,
         #[arg(long)]
         fleet: PathBuf,
     },
-    /// Starts the release that this plan describes
+    /// Starts the release that a plan describes.
     Start { plan: PathBuf },
-    /// How far it is
+    /// Shows the progress of the release.
     Status {
-        /// Shows each change until it is over
+        /// Prints each change until the release finishes or halts.
         #[arg(long)]
         watch: bool,
     },
-    /// Nobody new goes out
+    /// Halts the release: no further units are taken out.
     Halt {
         #[arg(long, default_value = "an operator")]
         why: String,
     },
-    /// Goes on where it stands
+    /// Resumes a halted release where it stopped.
     Resume,
-    /// Takes back what it has changed, newest first, under the same limits
+    /// Reverts the units that the release has changed, newest first, under the same limits.
     Back,
 }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `glendeck check`: files, read and checked as nodes would.
+//! `glendeck check`: reads and checks files as nodes do.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::error::CommandError;
 
-/// Checks a file, and prints what it would do.
+/// Checks a file and prints a summary of it; a release's file checked against a fleet prints its waves.
 pub(crate) fn run(path: &Path, fleet: Option<&Path>) -> Result<(), CommandError> {
     let text = match fleet {
         Some(fleet) => waves(&read_plan(path)?, &read_policy(fleet)?)?,
@@ -29,7 +29,7 @@
     Ok(policy)
 }
 
-/// What a plan would do to a fleet, a wave a line.
+/// The waves into which a plan splits a fleet, one per line.
 pub(crate) fn waves(plan: &Plan, policy: &FleetPolicy) -> Result<String, CommandError> {
     plan.check(policy).map_err(|error| CommandError::Invalid(error.to_string()))?;
     let lines = plan.split(policy).into_iter().enumerate().map(|(index, wave)| {
@@ -39,13 +39,13 @@
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// A release's plan has a version; a fleet's policy has none.
+/// Checks and summarises a file. A release's plan has a `version` key, a fleet's policy has none.
 fn describe(path: &Path) -> Result<String, CommandError> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let is_plan = text.lines().any(|line| line.trim_start().starts_with("version"));
     if is_plan {
         read_plan(path)?;
-        return Ok("a release; name its fleet with --fleet to see its waves".into());
+        return Ok("a release plan; pass the fleet's file with --fleet to list its waves".into());
     }
     let policy = read_policy(path)?;
     let unit_count = policy.units.len() as u32;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `glendeck demo`: three nodes on loopback with all that they need, a drain and a release, in under a minute.
+//! `glendeck demo`: starts three nodes on loopback with simulated hosts, discovery, front end and clients,
+//! and runs a drain and a release in under a minute.
 
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
@@ -15,15 +16,15 @@
 const NODES: usize = 3;
 const CLIENTS: u64 = 30;
 
-/// Each step of the demo takes less than this.
+/// Limit for each step of the demo.
 const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a node is left out, so that its clients can be seen to go elsewhere.
+/// Time for which the drained node stays out, so that its clients can be seen to reconnect to other nodes.
 const OUT_TIME: Duration = Duration::from_secs(4);
 
-/// Plays the demo with this node program, and goes on for `stay` afterwards.
+/// Runs the demo with this node program, and keeps the cluster running for `stay` afterwards.
 pub(crate) fn run(program: Option<&Path>, stay: Duration) -> Result<(), CommandError> {
     let program = program.map_or_else(default_program, |program| Ok(program.to_owned()))?;
     let cluster = start(program)?;
@@ -31,7 +32,7 @@
     release(&cluster)?;
     if !stay.is_zero() {
         println!(
-            "\nit goes on for {} s: try `glendeck fleet status --door {}`",
+            "\nthe cluster keeps running for {} s: try `glendeck fleet status --door {}`",
             stay.as_secs(),
             cluster.admin_address(0)
         );
@@ -40,7 +41,7 @@
     report_clients(cluster)
 }
 
-/// The node's program beside this one, as both are built together.
+/// The node's program in the directory of this one; both are built together.
 fn default_program() -> Result<PathBuf, CommandError> {
     let this_program = std::env::current_exe().map_err(unanswered)?;
     let program = this_program.with_file_name("glendeck-node");
@@ -48,7 +49,9 @@
         return Ok(program);
     }
     let place = program.display();
-    Err(CommandError::Invalid(format!("no program at {place}: build it, or name it with --program")))
+    Err(CommandError::Invalid(format!(
+        "no node program at {place}: build glendeck-node, or give its path with --program"
+    )))
 }
 
 fn start(program: PathBuf) -> Result<Cluster, CommandError> {
@@ -62,16 +65,18 @@
         program,
         logs: None,
     };
-    println!("starting three nodes, three hosts, a list, a front and 30 clients on loopback");
+    println!(
+        "starting three nodes, three hosts, a discovery service, a front end and 30 clients on loopback"
+    );
     let mut cluster = Cluster::start(spec).map_err(unanswered)?;
     cluster.clients.add_clients(CLIENTS, 1);
-    wait("all nodes serve", || (0..NODES).all(|node| is_serving(&cluster, node)))?;
-    // Nodes that are not up yet would count as out.
+    wait("all nodes are serving", || (0..NODES).all(|node| is_serving(&cluster, node)))?;
+    // Until now, nodes that had not started yet counted as out.
     cluster.clients.reset_most_out();
-    println!("the group is being founded; each node counts once it was seen to serve for 5 s");
-    wait("all are seen to serve", || is_settled(&cluster))?;
+    println!("forming the fleet; a node counts as serving after it has been seen to serve for 5 s");
+    wait("the fleet sees all nodes as serving", || is_settled(&cluster))?;
     for node in 0..NODES {
-        println!("  n{node}: its operators' door is {}", cluster.admin_address(node));
+        println!("  n{node}: admin interface at {}", cluster.admin_address(node));
     }
     println!("{}\n", show::status(&status(&cluster).unwrap_or_default()));
     Ok(cluster)
@@ -81,7 +86,7 @@
     order(cluster, "/v1/fleet/drain", &json!({"unit": "n2", "id": "demo drain"}))?;
     order(cluster, "/v1/fleet/drain", &json!({"unit": "n1", "id": "demo second drain"}))?;
     wait("n2 is out", || !is_serving(cluster, 2))?;
-    println!("the front sends n2 nobody; its clients go to the others");
+    println!("the front end sends no clients to n2; its clients reconnect to the other nodes");
     std::thread::sleep(OUT_TIME);
     order(cluster, "/v1/fleet/activate", &json!({"unit": "n2", "id": "demo activate"}))?;
     wait("n2 is back", || is_settled(cluster))?;
@@ -90,14 +95,15 @@
 }
 
 fn release(cluster: &Cluster) -> Result<(), CommandError> {
-    // A node that has just come back rejects some of the demo's many clients until it knows its hosts.
+    // A node that has just returned rejects some of the demo's many clients until it knows the hosts, so the
+    // gate on rejected calls is set to its maximum.
     let gates = json!({"busy_per_thousand": 1000});
     let plan = json!({
         "version": "v2", "waves": [1, "100%"], "watch_s": 3, "unit_limit_s": 60, "gates": gates,
     });
     order(cluster, "/v1/fleet/release/start", &json!({"plan": plan, "id": "demo release"}))?;
     let mut printed = String::new();
-    wait("the release is over", || {
+    wait("the release is finished", || {
         let Some(status) = status(cluster) else { return false };
         let text = show::release(&status);
         if text != printed {
@@ -112,7 +118,7 @@
 fn report_clients(cluster: Cluster) -> Result<(), CommandError> {
     let seen = cluster.clients.end();
     println!(
-        "\nclients: {} calls answered, {} turned away, {} failed, {} moved, {} lost; most nodes out at once: {}",
+        "\nclients: {} calls answered, {} rejected, {} failed, {} moved, {} lost; most nodes out at once: {}",
         seen.answered,
         seen.busy,
         seen.failed,
@@ -123,7 +129,7 @@
     if seen.lost.is_empty() { Ok(()) } else { Err(CommandError::Refused(seen.lost.join("\n"))) }
 }
 
-/// The status by the leader.
+/// The status as the leader reports it.
 fn status(cluster: &Cluster) -> Option<Status> {
     let json = cluster.leader().and_then(|leader| cluster.status(leader))?;
     Status::deserialize(&json).ok()
@@ -156,7 +162,9 @@
     let until = Instant::now() + STEP_TIMEOUT;
     while !holds() {
         if Instant::now() > until {
-            return Err(CommandError::Unanswered(format!("not within {STEP_TIMEOUT:?}: {condition}")));
+            return Err(CommandError::Unanswered(format!(
+                "timed out after {STEP_TIMEOUT:?} waiting for: {condition}"
+            )));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a command fails, and its exit code.
+//! Errors of commands, with their exit codes.
 
-/// Why a command ends with another exit code than 0.
+/// An error that ends a command with an exit code other than 0.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// A node refused, or what was asked for is not so.
+    /// A node refused the request, or the requested state does not hold.
     #[error("{0}")]
     Refused(String),
-    /// The command or a file that it names is wrong.
+    /// The command, or a file that it names, is invalid.
     #[error("{0}")]
     Invalid(String),
-    /// No node answered, or nothing was decided in time.
+    /// No node answered, or no decision was reached in time.
     #[error("{0}")]
     Unanswered(String),
 }
 
 impl CommandError {
-    /// The exit code, by which scripts tell the reasons apart.
+    /// The exit code, by which scripts tell the kinds of errors apart.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Refused(_) => 1,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `glendeck fleet`: who is of the fleet, and how each stands.
+//! `glendeck fleet`: shows the members of the fleet and their state, and manages voters and lost nodes.
 
 use serde_json::{Value, json};
 
@@ -8,7 +8,7 @@
 use crate::session::{FetchedStatus, Session};
 use crate::{show, trace};
 
-/// Carries the command out.
+/// Runs the command.
 pub(crate) fn run(session: &Session, command: &FleetCommand) -> Result<(), CommandError> {
     match command {
         FleetCommand::Status => session.show_status(show::status),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Asks all nodes; fails if one does not answer, after the others are printed.
+/// Queries all given nodes and prints their replies. If any query fails, the command fails afterwards.
 fn show_takeover(session: &Session) -> Result<(), CommandError> {
     let mut last_failure = None;
     for node in session.admin.each_status() {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,8 @@
-//! `glendeck`: the operators' command line. It asks the admin interfaces of nodes and prints what they answer.
+//! `glendeck`: the operators' command line. It queries the admin interfaces of nodes and prints their
+//! replies.
 //!
-//! Exit code 0: what was asked for is so. 1: it was refused or is not so. 2: the command itself is wrong. 3: nobody answered,
-//! or nothing was decided in time.
+//! Exit codes: 0, success; 1, the request was refused, or the requested state does not hold; 2, the command
+//! or a file that it names is invalid; 3, no node answered, or no decision was reached in time.
 
 mod admin;
 mod args;
--- a/crates/cli/src/order.rs
+++ b/crates/cli/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to the fleet.
+//! Orders: the requests of operators that change the fleet.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
@@ -7,28 +7,28 @@
 
 use crate::error::CommandError;
 
-/// What an operator wants, with the JSON of the admin interface.
+/// An order, serialised as the admin interface's JSON.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub(crate) enum Order<'a> {
-    /// Take a node or host out, within the limits.
+    /// Drain a node or host, within the limits.
     Drain {
         /// The node or host.
         unit: &'a str,
     },
-    /// Take a node out beyond the limits.
+    /// Drain a node beyond the limits.
     Override {
         /// The node.
         unit: &'a str,
         /// Why.
         reason: &'a str,
     },
-    /// Take a node or host back.
+    /// Return a drained node or host to service.
     Activate {
         /// The node or host.
         unit: &'a str,
     },
-    /// Vouch that no process of a lost node runs.
+    /// Confirm that no process of a lost node is running.
     DeclareDead {
         /// The node.
         unit: &'a str,
@@ -37,14 +37,14 @@
     ReplaceVoter {
         /// The voter.
         old: &'a str,
-        /// The node that takes its place.
+        /// The node that takes over its slot.
         new: &'a str,
     },
-    /// Vouch for the disk of the node that is asked.
+    /// Confirm that the store of the node that receives the order is intact.
     TrustDisk {},
     /// Start a release.
     StartRelease {
-        /// What it is to do.
+        /// The release's plan.
         plan: &'a Plan,
     },
     /// Halt the release.
@@ -52,9 +52,9 @@
         /// Why.
         why: &'a str,
     },
-    /// Go on with a halted release.
+    /// Resume a halted release.
     ResumeRelease {},
-    /// Take back what the release has changed.
+    /// Revert the units that the release has changed.
     RevertRelease {},
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// An order with its id, under which it is the same order however often it is sent.
+/// An order with the id that identifies it when it is sent more than once.
 #[derive(Debug, Serialize)]
 pub(crate) struct OrderRequest<'a> {
     id: String,
@@ -84,7 +84,7 @@
 }
 
 impl<'a> OrderRequest<'a> {
-    /// The order under this id, or under one that is drawn at random.
+    /// The order with this id, or with a random one.
     pub(crate) fn new(order: Order<'a>, id: Option<String>) -> OrderRequest<'a> {
         let id = id.unwrap_or_else(|| format!("{:016x}{:016x}", random_number(), random_number()));
         OrderRequest { id, order }
@@ -95,7 +95,7 @@
         &self.id
     }
 
-    /// The path of the admin interface that takes it.
+    /// The path of the admin interface to which the order is sent.
     pub(crate) fn path(&self) -> &'static str {
         self.order.path()
     }
@@ -103,13 +103,13 @@
     /// The body of the request.
     ///
     /// # Errors
-    /// A plan that has no JSON form.
+    /// The plan cannot be written as JSON.
     pub(crate) fn to_json(&self) -> Result<String, CommandError> {
         serde_json::to_string(self).map_err(|error| CommandError::Invalid(error.to_string()))
     }
 }
 
-/// The standard library's hash keys are drawn from the system's random numbers.
+/// A random number: the standard library draws the keys of its hashers from the system's random numbers.
 fn random_number() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/cli/src/release.rs
+++ b/crates/cli/src/release.rs
@@ -1,4 +1,4 @@
-//! `glendeck release`: changes all nodes in waves.
+//! `glendeck release`: rolls a release out to the nodes in waves.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Carries the command out.
+/// Runs the command.
 pub(crate) fn run(session: &Session, command: &ReleaseCommand) -> Result<(), CommandError> {
     match command {
         ReleaseCommand::Check { plan, fleet } => {
@@ -36,7 +36,7 @@
 /// Prints each change once, until the release is finished.
 ///
 /// # Errors
-/// The release is halted, there is none, or nobody answers.
+/// The release is halted, there is none, or no node answers.
 fn watch(session: &Session) -> Result<(), CommandError> {
     let mut printed = String::new();
     loop {
@@ -51,7 +51,7 @@
             Some(ReleaseState::Running) => std::thread::sleep(WATCH_INTERVAL),
             Some(ReleaseState::Finished) => return Ok(()),
             Some(ReleaseState::Halted(reason)) => {
-                return Err(CommandError::Refused(format!("halted: {reason}")));
+                return Err(CommandError::Refused(format!("the release is halted: {reason}")));
             }
             None => return Err(CommandError::Refused("there is no release".into())),
         }
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! What all commands share: the nodes to ask, and the form in which answers are printed.
+//! State that all commands share: the nodes to query, and the output format.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -12,35 +12,35 @@
 
 /// One run of the command line.
 pub(crate) struct Session<'a> {
-    /// The nodes to ask.
+    /// Client for the nodes to query.
     pub admin: AdminClient<'a>,
-    /// Whether answers are printed as the JSON that nodes sent.
+    /// Whether replies are printed as the JSON that nodes sent.
     pub is_json: bool,
     order_id: Option<&'a str>,
 }
 
-/// A status as a node sent it, and as it is read here.
+/// A node's status, as JSON and decoded.
 pub(crate) struct FetchedStatus {
-    /// The node's JSON.
+    /// The JSON that the node sent.
     pub json: Value,
-    /// What the commands use of it.
+    /// The part of it that the commands use.
     pub status: Status,
 }
 
 impl FetchedStatus {
-    /// Reads a node's JSON.
+    /// Decodes a node's JSON.
     ///
     /// # Errors
     /// It is not the status of a fleet.
     pub(crate) fn new(json: Value) -> Result<FetchedStatus, CommandError> {
         let status = Status::deserialize(&json)
-            .map_err(|error| CommandError::Unanswered(format!("the status cannot be read: {error}")))?;
+            .map_err(|error| CommandError::Unanswered(format!("the status cannot be decoded: {error}")))?;
         Ok(FetchedStatus { json, status })
     }
 }
 
 impl Session<'_> {
-    /// A session with the nodes and in the form that the arguments say.
+    /// A session with the nodes and the output format that the arguments give.
     pub(crate) fn new(target: &Target) -> Session<'_> {
         Session {
             admin: AdminClient::new(&target.addresses),
@@ -74,7 +74,7 @@
     /// Prints the status of the first node that answers.
     ///
     /// # Errors
-    /// Nobody answers, or the status is not confirmed, and may be old.
+    /// No node answers, or no majority has confirmed the status, so that it may be stale.
     pub(crate) fn show_status(&self, as_text: impl Fn(&Status) -> String) -> Result<(), CommandError> {
         let FetchedStatus { json, status } = self.status()?;
         if self.is_json {
@@ -86,6 +86,8 @@
             return Ok(());
         }
         let unheard = show::names(&status.unheard_voters);
-        Err(CommandError::Unanswered(format!("not confirmed by a majority; not heard: {unheard}")))
+        Err(CommandError::Unanswered(format!(
+            "the status is not confirmed by a majority; voters not heard: {unheard}"
+        )))
     }
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,13 +1,13 @@
-//! A node's status as text for people.
+//! Formats a node's status as text.
 
 use crate::status::{Cause, DrainingHost, Host, ReleaseState, Status, Unit, UnitLease, UnitState};
 
-/// Names in a line, or `none`.
+/// The names separated by spaces, or `none`.
 pub(crate) fn names(list: &[String]) -> String {
     if list.is_empty() { "none".into() } else { list.join(" ") }
 }
 
-/// All that an operator looks at first.
+/// Overview of the fleet: leader, voters, units that are out, overrides and the release.
 pub(crate) fn status(status: &Status) -> String {
     let units = &status.state.units;
     let is_out = |unit: &Unit| !unit.is_serving() || unit.is_lost;
@@ -17,10 +17,10 @@
         .map(|(name, unit)| format!("  {name}: {}", unit_state(unit)))
         .collect();
     let mut lines =
-        vec![source(status), voters(status), format!("{} of {} units out", out.len(), units.len())];
+        vec![answering_node(status), voters(status), format!("{} of {} units out", out.len(), units.len())];
     lines.extend(out);
     if !status.duplicate_names.is_empty() {
-        lines.push(format!("TWO PROCESSES give the name: {}", names(&status.duplicate_names)));
+        lines.push(format!("TWO PROCESSES use the name: {}", names(&status.duplicate_names)));
     }
     for over in &status.state.overrides {
         lines.push(format!("beyond limits: {:?} ({:?})", over.unit, over.reason));
@@ -29,21 +29,24 @@
     lines.join("\n")
 }
 
-fn source(status: &Status) -> String {
-    let leader = status.leader.as_deref().unwrap_or("not known");
-    let confirmation =
-        if status.is_confirmed { "confirmed by a majority" } else { "NOT CONFIRMED: this may be old" };
-    format!("asked {} ({}); leader {leader}; {confirmation}", status.name, status.version)
+fn answering_node(status: &Status) -> String {
+    let leader = status.leader.as_deref().unwrap_or("unknown");
+    let confirmation = if status.is_confirmed {
+        "confirmed by a majority"
+    } else {
+        "NOT CONFIRMED by a majority: may be stale"
+    };
+    format!("status from {} ({}); leader {leader}; {confirmation}", status.name, status.version)
 }
 
 fn voters(status: &Status) -> String {
     let heard = names(&status.heard_voters);
     let unheard = names(&status.unheard_voters);
     let Status { epoch, applied, .. } = status;
-    format!("voters heard: {heard}; not heard: {unheard}; epoch {epoch}, {applied} entries")
+    format!("voters heard: {heard}; not heard: {unheard}; epoch {epoch}, {applied} log entries applied")
 }
 
-/// Every unit, one a line.
+/// All units, one per line.
 pub(crate) fn members(status: &Status) -> String {
     let line = |(name, unit): (&String, &Unit)| {
         let is_voter = status.state.voter_slots.iter().any(|slot| slot.name == *name);
@@ -64,7 +67,7 @@
         UnitState::Returning(lease) => ("returning", lease),
     };
     let UnitLease { number, cause } = lease;
-    format!("{state}{lost} for {}, permit {number}", cause_text(cause))
+    format!("{state}{lost} for {}, lease {number}", cause_text(cause))
 }
 
 fn cause_text(cause: &Cause) -> String {
@@ -86,8 +89,10 @@
     let mut lines = vec![format!("{} of {} hosts out", out.len(), hosts.len())];
     lines.extend(out);
     if !status.is_leader {
-        let leader = status.leader.as_deref().unwrap_or("nobody");
-        lines.push(format!("who holds what, and whether a host may stop, is known to the leader, {leader}"));
+        let leader = status.leader.as_deref().unwrap_or("unknown");
+        lines.push(format!(
+            "only the leader knows who holds connections and which hosts may stop; leader: {leader}"
+        ));
     }
     lines.join("\n")
 }
@@ -104,9 +109,9 @@
     let Some(hold) = &host.hold else { return "not held out".into() };
     let lease = hold.lease;
     match hold.state.as_str() {
-        "Returning" => format!("taken back, not heard by all yet; permit {lease}"),
-        _ if may_stop => format!("empty, it may stop; permit {lease}"),
-        _ => format!("eased off; permit {lease}"),
+        "Returning" => format!("returning, not yet known to all nodes; lease {lease}"),
+        _ if may_stop => format!("empty, may stop; lease {lease}"),
+        _ => format!("draining; lease {lease}"),
     }
 }
 
@@ -127,28 +132,28 @@
 pub(crate) fn takeover(status: &Status) -> String {
     let name = &status.name;
     let Some(takeover) = &status.takeover else {
-        return format!("{name:<12} the charter has no section for work");
+        return format!("{name:<12} the fleet's file has no [work] section");
     };
     let role = match (takeover.is_replica, takeover.has_full_history) {
-        (false, _) => "does not keep",
-        (true, false) => "keeps, and answers for no repeats yet",
-        (true, true) => "keeps",
+        (false, _) => "not a replica",
+        (true, false) => "replica, cannot answer for repeats yet",
+        (true, true) => "replica",
     };
     format!(
-        "{name:<12} {role}; holds {} records; {} of its own in hand; kept {}, not kept {}; repeats: {} looked up, {} after a \
-         record, {} given up, {} met elsewhere",
+        "{name:<12} {role}; stores {} records; own calls with intents: {}; intents: {} replicated, {} not; \
+         repeats: {} looked up, {} with a record, {} failed, {} in flight elsewhere",
         takeover.records_held,
-        takeover.in_hand,
-        takeover.intents_kept,
-        takeover.intents_not_kept,
+        takeover.calls_with_intents,
+        takeover.intents_replicated,
+        takeover.intents_not_replicated,
         takeover.repeats_looked_up,
-        takeover.repeats_after_a_record,
-        takeover.repeats_given_up,
-        takeover.met_elsewhere,
+        takeover.repeats_with_record,
+        takeover.repeats_failed,
+        takeover.in_flight_elsewhere,
     )
 }
 
-/// How far the release is.
+/// Progress of the release.
 pub(crate) fn release(status: &Status) -> String {
     let Some(release) = &status.state.release else { return "no release".into() };
     let state = match &release.state {
@@ -156,15 +161,15 @@
         ReleaseState::Finished => "finished".into(),
         ReleaseState::Halted(reason) => format!("halted: {reason}"),
     };
-    let back = if release.back.is_some() { ", leading back" } else { "" };
+    let reverting = if release.reversal.is_some() { ", reverting" } else { "" };
     let waves = release.waves.len();
     let wave = (release.wave + 1).min(waves);
     let unit_count: usize = release.waves.iter().map(Vec::len).sum();
     let units = status.state.units.iter().filter(|(_, unit)| !unit.is_serving());
     let out: Vec<String> = units.map(|(name, unit)| format!("{name} {}", unit_state(unit))).collect();
-    let out = if out.is_empty() { "nobody".into() } else { out.join("; ") };
+    let out = if out.is_empty() { "none".into() } else { out.join("; ") };
     format!(
-        "release {} to {}{back}: {state}; wave {wave} of {waves}, {} of {unit_count} units done; out: {out}",
+        "release {} to {}{reverting}: {state}; wave {wave} of {waves}, {} of {unit_count} units done; out: {out}",
         release.number,
         release.plan.version,
         release.done.len(),
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,7 +1,7 @@
-//! A node's status, as far as the commands use it.
+//! The part of a node's status that the commands use.
 //!
-//! Fields that are not named here are ignored, so that the command line reads the status of newer nodes. The names of the
-//! admin interface's JSON are mapped to those of the code here.
+//! Unknown fields are ignored, so that the command line can read the status of newer nodes. The names in the
+//! admin interface's JSON are mapped here to the names in the code.
 
 #[cfg(test)]
 mod tests;
@@ -10,25 +10,25 @@
 
 use serde::Deserialize;
 
-/// What `/v1/fleet/status` answers.
+/// The reply to `/v1/fleet/status`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Status {
-    /// The node that answers.
+    /// The name of the node that answers.
     pub name: String,
-    /// What it runs.
+    /// The version that it runs.
     pub version: String,
     /// The leader, if one is known.
     pub leader: Option<String>,
     /// Whether the node is the leader.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// Whether a majority has confirmed that the status is no older than the question.
+    /// Whether a majority has confirmed that the status is no older than the request.
     #[serde(rename = "confirmed")]
     pub is_confirmed: bool,
     /// The epoch of the log.
     pub epoch: u64,
-    /// The number of the log's entries that are applied.
+    /// The number of log entries that have been applied.
     pub applied: u64,
     /// Voters that the node hears.
     #[serde(rename = "hears")]
@@ -36,31 +36,31 @@
     /// Voters that it does not hear.
     #[serde(rename = "misses")]
     pub unheard_voters: Vec<String>,
-    /// Names that two processes give.
+    /// Names that two running processes both use.
     #[serde(rename = "doubled")]
     pub duplicate_names: Vec<String>,
-    /// Hosts that nodes are leaving; only the leader knows.
+    /// Hosts from which the nodes are moving their connections; only the leader knows them.
     #[serde(rename = "emptying")]
     pub draining_hosts: Vec<DrainingHost>,
     /// The state that the fleet has agreed on.
     pub state: FleetState,
-    /// Replication of in-flight calls, where the fleet has it.
+    /// Replication of in-flight calls, if the fleet uses it.
     #[serde(rename = "work")]
     pub takeover: Option<TakeoverStatus>,
 }
 
-/// A host that nodes are leaving.
+/// A host from which the nodes are moving their connections.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct DrainingHost {
     /// The host.
     pub host: String,
-    /// Whether nobody holds a connection there.
+    /// Whether no node holds a connection to it.
     pub may_stop: bool,
-    /// Connections by node.
+    /// Number of connections by node.
     #[serde(rename = "held_by")]
     pub connections: BTreeMap<String, u64>,
-    /// Nodes that have not said what they hold there.
+    /// Nodes that have not reported their connections to it.
     #[serde(rename = "not_heard")]
     pub unheard_nodes: Vec<String>,
 }
@@ -69,7 +69,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct FleetState {
-    /// Nodes by name.
+    /// Units by name.
     pub units: BTreeMap<String, Unit>,
     /// The voters.
     #[serde(rename = "seats")]
@@ -89,7 +89,7 @@
     pub name: String,
 }
 
-/// A node.
+/// A unit: a node of the fleet.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Unit {
     /// Whether and why it is out.
@@ -98,7 +98,7 @@
     /// Whether it was declared lost.
     #[serde(rename = "lost")]
     pub is_lost: bool,
-    /// What it runs.
+    /// The version that it runs.
     pub version: String,
 }
 
@@ -112,13 +112,13 @@
 /// Whether and why a unit is out.
 #[derive(Debug, Deserialize)]
 pub(crate) enum UnitState {
-    /// It serves.
+    /// It is in service.
     Serving,
-    /// It may go out.
+    /// It may go out of service.
     Granted(UnitLease),
-    /// It is out.
+    /// It is out of service.
     Begun(UnitLease),
-    /// It is on its way back.
+    /// It is returning to service.
     Returning(UnitLease),
 }
 
@@ -137,7 +137,7 @@
 pub(crate) enum Cause {
     /// An operator drains it.
     Drain,
-    /// The release of this number changes it.
+    /// The release with this number changes it.
     Release(u64),
     /// An operator drains it beyond the limits.
     Override,
@@ -157,7 +157,7 @@
 /// The lease that keeps a host out.
 #[derive(Debug, Deserialize)]
 pub(crate) struct HostHold {
-    /// `Returning` once it is taken back.
+    /// `Returning` while the host returns to service.
     #[serde(rename = "hold")]
     pub state: String,
     /// The lease's number.
@@ -170,34 +170,35 @@
 pub(crate) struct Release {
     /// Its number.
     pub number: u64,
-    /// What it is to do.
+    /// Its plan.
     pub plan: Plan,
-    /// How far it is.
+    /// Its state.
     #[serde(rename = "course")]
     pub state: ReleaseState,
-    /// Set while it takes back what it has changed.
-    pub back: Option<serde::de::IgnoredAny>,
+    /// Set while the release reverts the units that it has changed.
+    #[serde(rename = "back")]
+    pub reversal: Option<serde::de::IgnoredAny>,
     /// The units of each wave.
     pub waves: Vec<Vec<String>>,
-    /// The index of the wave that is under way.
+    /// Index of the current wave.
     pub wave: usize,
-    /// The units that were changed.
+    /// The units that have been changed.
     pub done: Vec<serde::de::IgnoredAny>,
 }
 
-/// What a release is to do.
+/// The plan of a release.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Plan {
     /// The version that units are to run.
     pub version: String,
 }
 
-/// How far a release is.
+/// State of a release.
 #[derive(Debug, Deserialize)]
 pub(crate) enum ReleaseState {
-    /// It goes on.
+    /// It is in progress.
     Running,
-    /// It stands, for this reason.
+    /// It is halted, for this reason.
     Halted(String),
     /// All units are done.
     Finished,
@@ -215,26 +216,32 @@
 /// Replication of in-flight calls at a node.
 #[derive(Debug, Deserialize)]
 pub(crate) struct TakeoverStatus {
-    /// Records that the node stores for others.
+    /// Records that the node stores for other nodes.
     pub records_held: u64,
-    /// Its own calls that have asked for something to be stored.
-    pub in_hand: u64,
-    /// Whether it stores records for others.
+    /// Its own calls of which others store intents.
+    #[serde(rename = "in_hand")]
+    pub calls_with_intents: u64,
+    /// Whether it stores records for other nodes.
     #[serde(rename = "keeps")]
     pub is_replica: bool,
-    /// Whether it answers queries.
+    /// Whether everything that it could have forgotten has expired, so that it may answer for repeats.
     #[serde(rename = "remembers")]
     pub has_full_history: bool,
     /// Intents that were replicated.
-    pub intents_kept: u64,
-    /// Intents that were not.
-    pub intents_not_kept: u64,
+    #[serde(rename = "intents_kept")]
+    pub intents_replicated: u64,
+    /// Intents that could not be replicated.
+    #[serde(rename = "intents_not_kept")]
+    pub intents_not_replicated: u64,
     /// Repeats that were looked up.
     pub repeats_looked_up: u64,
-    /// Repeats that met a record.
-    pub repeats_after_a_record: u64,
-    /// Repeats whose work could not be told.
-    pub repeats_given_up: u64,
-    /// Calls whose work was in flight elsewhere.
-    pub met_elsewhere: u64,
+    /// Repeats for which a record was found.
+    #[serde(rename = "repeats_after_a_record")]
+    pub repeats_with_record: u64,
+    /// Repeats that failed because no node could tell what had happened before them.
+    #[serde(rename = "repeats_given_up")]
+    pub repeats_failed: u64,
+    /// Calls whose work was in flight at another node.
+    #[serde(rename = "met_elsewhere")]
+    pub in_flight_elsewhere: u64,
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,7 +1,8 @@
-//! `glendeck fleet trace`: where one call went, across nodes, from their logs.
+//! `glendeck fleet trace`: finds the lines of one call in the logs of several nodes.
 //!
-//! A node numbers its calls by the slots that they take in it, and uses a slot again: a call's lines are those of its number
-//! from where it arrived until another call arrives under that number.
+//! A node numbers its calls by the slots that they occupy, and slots are reused, so that a number can recur
+//! in a log. The lines of a call are those with its number, from its arrival until another call arrives with
+//! the number.
 
 #[cfg(test)]
 mod tests;
@@ -11,29 +12,30 @@
 
 use crate::error::CommandError;
 
-/// Keys of a log line. Each has the name that nodes write, and the one that earlier versions wrote: in a rolling release there
-/// are logs of both.
+/// Keys of log lines: the key that nodes write now, then the one that earlier versions wrote. Logs of both
+/// versions exist during a rolling release.
 const CALL_KEYS: [&str; 2] = ["call_id", "call"];
 const CLIENT_KEYS: [&str; 2] = ["client_id", "id"];
 const SUBJECT_KEYS: [&str; 2] = ["subject_id", "about"];
 
-/// A line with the time that it begins with.
+/// A log line with the timestamp at its start.
 struct TimedLine {
     time: String,
     text: String,
 }
 
-/// Prints all lines of a call, in the order of the nodes' own clocks, each with its log's name.
+/// Prints all lines of a call with the name of their log, ordered by their timestamps, which come from each
+/// node's own clock.
 pub(crate) fn run(id: &str, logs: &[PathBuf]) -> Result<(), CommandError> {
     let mut found = Vec::new();
     for log in logs {
         found.extend(read_log(id, log)?);
     }
     if found.is_empty() {
-        let message = format!("no log says anything of {id} (are they of level debug?)");
+        let message = format!("no log line found for call {id}; calls are logged at level debug");
         return Err(CommandError::Refused(message));
     }
-    // The sort is stable: lines of one moment stay in the order of their logs.
+    // The sort is stable: lines with the same timestamp stay in the order of their logs.
     found.sort_by(|line, other| line.time.cmp(&other.time));
     for line in found {
         println!("{}", line.text);
@@ -58,7 +60,7 @@
     for line in text.lines() {
         let Some(number) = field_of(line, CALL_KEYS) else { continue };
         if is_arrival(line) {
-            if names_call(line, id) {
+            if matches_id(line, id) {
                 numbers.insert(number);
             } else {
                 numbers.remove(number);
@@ -71,29 +73,30 @@
     found
 }
 
-/// Whether a call arrives with this line.
+/// Whether this line logs the arrival of a call.
 fn is_arrival(line: &str) -> bool {
     field_of(line, CLIENT_KEYS).is_some() && field_of(line, SUBJECT_KEYS).is_some()
 }
 
-/// Whether the call that arrives has this id, or concerns this.
-fn names_call(line: &str, id: &str) -> bool {
+/// Whether the call that arrives with this line has this client id or subject id.
+fn matches_id(line: &str, id: &str) -> bool {
     [CLIENT_KEYS, SUBJECT_KEYS]
         .into_iter()
         .any(|keys| field_of(line, keys).is_some_and(|value| is_same_id(value, id)))
 }
 
-/// The value behind the first of the keys that is there.
+/// The value of the first of the keys that the line has.
 fn field_of<'a>(line: &'a str, keys: [&str; 2]) -> Option<&'a str> {
     keys.into_iter().find_map(|key| field(line, key))
 }
 
-/// The value behind a key.
+/// The value of a key.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split(&format!(" {key}=")).nth(1)?.split_whitespace().next()
 }
 
-/// Compares ids as numbers where they are: a client's `0f` is the log's `000000000000000f`.
+/// Compares two ids as hexadecimal numbers if both are numbers: a client's `0f` is `000000000000000f` in the
+/// log.
 fn is_same_id(id: &str, other: &str) -> bool {
     match (u64::from_str_radix(id, 16), u64::from_str_radix(other, 16)) {
         (Ok(id), Ok(other)) => id == other,
--- a/crates/cli/src/trace/tests.rs
+++ b/crates/cli/src/trace/tests.rs
@@ -1,9 +1,9 @@
-//! Lines of a call in a log.
+//! Selection of a call's lines in a log.
 
 use super::lines_of_call;
 
 #[test]
-fn a_number_that_is_used_again_is_another_call() {
+fn reused_call_number_is_a_different_call() {
     let log = "t1 DEBUG n: call call=4 id=000000000000000f about=a group=0\n\
                t2 DEBUG n: leg call=4 leg=0 host=7\n\
                t2 DEBUG n: leg call=5 leg=0 host=7\n\
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn lines_are_found_by_the_keys_that_nodes_write_now() {
+fn lines_are_found_by_current_keys() {
     let log = "t1 DEBUG n: call arrived call_id=4 client_id=000000000000000f subject_id=a group_id=0\n\
                t2 DEBUG n: attempt opened call_id=4 attempt=0 host_id=7\n\
                t2 DEBUG n: attempt opened call_id=5 attempt=0 host_id=7\n\
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,7 +1,8 @@
-//! What the commands print and how they exit, as recorded: a stand-in for a node's admin interface answers with the status of
-//! `tests/fixtures/NAME.json`, and `tests/fixtures/NAME.txt` holds what each command made of it.
+//! Output and exit codes of the commands, compared with recorded transcripts: a simulated admin interface
+//! answers with the status in `tests/fixtures/NAME.json`, and `tests/fixtures/NAME.txt` has the transcript of
+//! each command.
 //!
-//! With `RECORD_COMMANDS=1` the transcripts are written anew.
+//! `RECORD_COMMANDS=1` records the transcripts again.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +11,7 @@
 
 use test_case::test_case;
 
-/// Commands that ask for the status.
+/// Commands that query the status.
 const QUERIES: &[&str] = &[
     "fleet status",
     "fleet members",
@@ -22,7 +23,7 @@
     "release status --door ADDRESS",
 ];
 
-/// Commands that order something; each has a name, so that the order is the same on each run.
+/// Commands that send an order, each with a fixed id, so that the transcript is the same on each run.
 const ORDERS: &[&str] = &[
     "drain n3 --id order-1",
     "drain n3 --id order-2 --json",
@@ -41,7 +42,7 @@
     "drain misspelt --id order-15",
 ];
 
-/// Commands that ask nobody.
+/// Commands that send no request.
 const OFFLINE: &[&str] = &[
     "fleet trace f n1.log n2.log",
     "fleet trace 10 n1.log n2.log",
@@ -59,7 +60,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// Serves this status, and answers orders by what they name.
+/// Starts a server that answers queries with this status, and orders according to their unit.
 fn start_admin_interface(status: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
@@ -108,7 +109,7 @@
     }
 }
 
-/// The command with what it printed and its exit code.
+/// The command line, its output and its exit code.
 fn transcript(command: &str, address: SocketAddr) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_glendeck"))
         .args(command.replace("ADDRESS", &address.to_string()).split(' '))
@@ -138,7 +139,7 @@
 #[test_case("halted")]
 #[test_case("quiet")]
 #[test_case("finished")]
-fn a_status_is_shown_as_recorded(name: &str) {
+fn status_output_matches_the_transcript(name: &str) {
     let status = std::fs::read_to_string(fixture(&format!("{name}.json"))).expect("a status");
     compare(name, QUERIES, start_admin_interface(status));
 }
@@ -146,24 +147,24 @@
 #[test_case("halted")]
 #[test_case("quiet")]
 #[test_case("finished")]
-fn a_watch_ends_with_the_release(name: &str) {
+fn watching_ends_when_the_release_does_not_run(name: &str) {
     let status = std::fs::read_to_string(fixture(&format!("{name}.json"))).expect("a status");
     let commands = ["release status --watch", "release status --watch --json"];
     compare(&format!("watch_{name}"), &commands, start_admin_interface(status));
 }
 
 #[test]
-fn orders_are_sent_and_answered_as_recorded() {
+fn order_output_matches_the_transcript() {
     compare("orders", ORDERS, start_admin_interface(String::new()));
 }
 
 #[test]
-fn files_are_checked_and_logs_are_searched_as_recorded() {
+fn offline_command_output_matches_the_transcript() {
     compare("offline", OFFLINE, start_admin_interface(String::new()));
 }
 
 #[test]
-fn a_node_that_does_not_answer_is_reported_with_its_own_exit_code() {
+fn unreachable_node_is_reported_with_exit_code_3() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
     drop(listener);
