--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,4 +1,4 @@
-//! Writes what an instance does as action records.
+//! Encodes the actions of an instance as records of the simulator's protocol.
 
 #[cfg(test)]
 mod tests;
@@ -9,10 +9,10 @@
 use crate::record::HOST_BYTES;
 use crate::units::NANOS_PER_MS;
 
-/// Bytes in an action's record.
+/// Length of an action's record in bytes.
 pub(crate) const ACTION_BYTES: usize = 32;
 
-/// The codes of actions.
+/// Codes of the actions in the protocol.
 #[derive(Clone, Copy)]
 enum ActionCode {
     FetchEndpoints = 2,
@@ -33,7 +33,7 @@
 }
 
 impl ActionWriter<'_> {
-    /// A writer for the instance of this number.
+    /// A writer for the instance with this number.
     pub(crate) fn new(instance: u32, reply: &mut Vec<u8>) -> ActionWriter<'_> {
         ActionWriter { instance, reply }
     }
--- a/crates/simulator-adapter/src/action/tests.rs
+++ b/crates/simulator-adapter/src/action/tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of the actions that the recorded batches do not contain.
+//! Encoding of the actions that the recorded batches do not contain.
 
 use glendeck::domain::{AttemptNumber, CallId, HostId};
 use glendeck::port::Port;
@@ -8,7 +8,7 @@
 const CALL: CallId = CallId(0x0102_0304_0506_0708);
 const HOST: HostId = HostId(0x0a12_0001_1b5b);
 
-/// The record of one action, which fills it up with zeros after `prefix`.
+/// Asserts that the record of one action is `prefix` followed by zeros.
 fn assert_record(act: impl FnOnce(&mut ActionWriter), prefix: &[u8]) {
     let mut reply = Vec::new();
     act(&mut ActionWriter::new(3, &mut reply));
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: their codes, and the places of their fields.
+//! Decodes events: their codes, and the offsets of their fields.
 
 use glendeck::domain::{
     AttemptReport, Call, CallId, Cell, ClassId, Condition, Endpoint, GroupId, Kind, ListUpdate, Span,
@@ -9,26 +9,26 @@
 use crate::record::{EventRecord, HOST_BYTES, host_id};
 use crate::units::{MICROS_PER_SECOND, MS_PER_SECOND, time_from_ms};
 
-/// Bytes of an entry in the endpoint list.
+/// Length of an entry of the endpoint list in bytes.
 const ENDPOINT_BYTES: usize = 25;
 
-/// The place of a call's id in the records of all events that have one.
+/// Offset of the call's id, in the records of all events that have one.
 const CALL_ID: usize = 5;
 
-/// The place of the reference to an endpoint list.
+/// Offset of the reference to an endpoint list.
 const ENDPOINT_LIST: usize = 10;
 
 // The bits of a call's flags.
-/// The load that the call asks for is given.
+/// The record gives the call's load.
 const HAS_LOAD: u16 = 1;
 /// The client marks the call as a repeat.
 const IS_REPEAT: u16 = 2;
-/// Packets of an open connection reach this instance now.
+/// The call is an open connection whose packets now reach this instance.
 const IS_MID_FLOW: u16 = 8;
-/// The client has come back after a break or a move.
+/// The client has reconnected after a broken connection or a migration.
 const HAS_RETURNED: u16 = 16;
 
-/// What happened.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
     /// An instance starts.
@@ -37,11 +37,11 @@
     EndpointsChanged,
     /// A call arrives.
     CallArrived,
-    /// An attempt's connection is up.
+    /// An attempt's connection is established.
     AttemptEstablished,
     /// An attempt has ended.
     AttemptEnded,
-    /// A call's client has gone.
+    /// A call's client has disconnected.
     ClientLeft,
     /// A timer has fired.
     TimerFired,
@@ -51,14 +51,14 @@
     MessageReceived,
     /// An instance ends.
     InstanceStopped,
-    /// A connection stands from before the instance's start.
+    /// A connection was open before the instance started.
     ConnectionInherited,
     /// A host reports on a connection.
     ConnectionReported,
 }
 
 impl EventKind {
-    /// The kind of a record's event.
+    /// Decodes the kind of a record's event.
     pub(crate) fn decode(record: &EventRecord) -> Result<EventKind, WireError> {
         match record.u8(0) {
             1 => Ok(EventKind::InstanceStarted),
@@ -78,7 +78,7 @@
     }
 }
 
-/// The places of a call's fields, which differ between new calls and open connections.
+/// Offsets of a call's fields, which differ between new calls and inherited connections.
 struct CallLayout {
     class: usize,
     deadline: usize,
@@ -100,12 +100,12 @@
     CallId(record.u64(CALL_ID))
 }
 
-/// The call of [`EventKind::CallArrived`], of an instance with so many classes.
+/// The call of [`EventKind::CallArrived`], for an instance with `class_count` classes.
 pub(crate) fn arrived_call(record: &EventRecord, class_count: usize) -> Result<Call, WireError> {
     call(record, &ARRIVED, class_count)
 }
 
-/// The call of [`EventKind::ConnectionInherited`], of an instance with so many classes.
+/// The call of [`EventKind::ConnectionInherited`], for an instance with `class_count` classes.
 pub(crate) fn inherited_call(record: &EventRecord, class_count: usize) -> Result<Call, WireError> {
     call(record, &INHERITED, class_count)
 }
@@ -130,7 +130,7 @@
         prior_attempt: None,
     };
     if usize::from(call.class.0) >= class_count {
-        return Err(record.code_error(layout.class, "traffic type"));
+        return Err(record.code_error(layout.class, "traffic class"));
     }
     Ok(call)
 }
@@ -142,14 +142,14 @@
         2 => Ok(Some(ListUpdate::Complete)),
         3 => Ok(Some(ListUpdate::Cached)),
         4 => Ok(Some(ListUpdate::Delta)),
-        _ => Err(record.code_error(5, "list form")),
+        _ => Err(record.code_error(5, "kind of list update")),
     }
 }
 
-/// Replaces `endpoints` by those of [`EventKind::EndpointsChanged`].
+/// Replaces the contents of `endpoints` with the list of [`EventKind::EndpointsChanged`].
 pub(crate) fn read_endpoints(record: &EventRecord, endpoints: &mut Vec<Endpoint>) -> Result<(), WireError> {
     endpoints.clear();
-    let entries = record.tail(ENDPOINT_LIST, ENDPOINT_BYTES, "the host list")?;
+    let entries = record.tail(ENDPOINT_LIST, ENDPOINT_BYTES, "the endpoint list")?;
     for entry in entries.chunks_exact(ENDPOINT_BYTES) {
         endpoints.push(endpoint(record, entry)?);
     }
@@ -166,10 +166,10 @@
     };
     let started_ms = f64::from_be_bytes(std::array::from_fn(|index| entry[17 + index]));
     let started = time_from_ms(started_ms)
-        .ok_or_else(|| record.value_error(ENDPOINT_LIST, "start time in the host list", started_ms))?;
+        .ok_or_else(|| record.value_error(ENDPOINT_LIST, "start time in the endpoint list", started_ms))?;
     let weight = f64::from(f32::from_be_bytes(std::array::from_fn(|index| entry[index])));
     if !weight.is_finite() || weight < 0.0 {
-        return Err(record.value_error(ENDPOINT_LIST, "share in the host list", weight));
+        return Err(record.value_error(ENDPOINT_LIST, "weight in the endpoint list", weight));
     }
     let address: [u8; HOST_BYTES] = std::array::from_fn(|index| entry[8 + index]);
     Ok(Endpoint {
@@ -192,6 +192,6 @@
             let seconds = record.load(VALUE, record.f32(VALUE), MS_PER_SECOND)?;
             Ok(AttemptReport::MessageTime(Span::from_seconds(seconds)))
         }
-        _ => Err(record.code_error(13, "note")),
+        _ => Err(record.code_error(13, "kind of report")),
     }
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a header, records of a fixed size, and a tail for data of variable size.
+//! Decodes frames: a header, records of a fixed size, and a tail with data of variable size.
 
 use std::io::{self, Read};
 
@@ -8,9 +8,9 @@
 use crate::record::{EVENT_BYTES, EventRecord, HEADER_BYTES};
 use crate::units::time_from_ms;
 
-/// One batch.
+/// One batch of events.
 pub(crate) struct Frame<'a> {
-    /// Its number, which the reply repeats.
+    /// The batch's number, which the reply repeats.
     pub batch: u32,
     /// The time of all its events.
     pub now: Time,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// The events in their order.
+    /// The events in order.
     pub(crate) fn events(&self) -> impl Iterator<Item = EventRecord<'a>> + use<'a> {
         let batch = self.batch;
         let tail = self.tail;
@@ -51,22 +51,22 @@
     }
 }
 
-/// Reads frames into one buffer.
+/// Reads frames into a buffer that is reused.
 pub(crate) struct FrameReader<R> {
     input: R,
     body: Vec<u8>,
 }
 
 impl<R: Read> FrameReader<R> {
-    /// A reader of the frames in `input`.
+    /// A reader for the frames in `input`.
     pub(crate) fn new(input: R) -> FrameReader<R> {
         FrameReader { input, body: Vec::new() }
     }
 
-    /// Reads one batch; `None` when the input has ended before it.
+    /// Reads one batch; `None` if the input has ended.
     ///
     /// # Errors
-    /// The input fails, ends within the frame, or the header makes no sense.
+    /// The input fails, ends within the frame, or has an invalid header.
     pub(crate) fn read(&mut self) -> Result<Option<Frame<'_>>, WireError> {
         let mut bytes = [0; HEADER_BYTES];
         match fill(&mut self.input, &mut bytes)? {
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances that this process hosts, and what events do to them.
+//! The instances that this process runs, and the handling of their events.
 
 use glendeck::Node;
 use glendeck::domain::{Endpoint, Time, TimerToken};
@@ -11,31 +11,32 @@
 use crate::frame::Frame;
 use crate::record::EventRecord;
 
-/// The place of an instance's number in all records.
+/// Offset of the instance's number in all records.
 const INSTANCE: usize = 1;
 
-/// Bytes in a reply's header: the batch's number, the number of actions, and their length in bytes.
+/// Length of a reply's header in bytes. It has the batch's number, the number of actions, and their length in
+/// bytes.
 const REPLY_HEADER_BYTES: usize = 12;
 
-/// An instance that is up.
+/// A running instance.
 struct Instance {
     class_count: usize,
     node: Node,
 }
 
-/// All instances by their number; one that has ended keeps its number without a value.
+/// All instances by number; a stopped instance keeps its number, with the value `None`.
 #[derive(Default)]
 pub(crate) struct Instances {
     by_number: FxHashMap<u32, Option<Instance>>,
-    /// The endpoint list that was decoded last, kept for its capacity.
+    /// The endpoint list that was decoded last; the buffer is reused to avoid allocation.
     endpoints: Vec<Endpoint>,
 }
 
 impl Instances {
-    /// Handles a batch's events, and appends the reply.
+    /// Handles a batch's events and appends the reply.
     ///
     /// # Errors
-    /// The first event that cannot be used.
+    /// The first invalid event.
     pub(crate) fn answer(&mut self, frame: &Frame, reply: &mut Vec<u8>) -> Result<(), WireError> {
         let start = reply.len();
         reply.resize(start + REPLY_HEADER_BYTES, 0);
@@ -106,7 +107,7 @@
         let node = &mut self.node;
         let call = event::call_id(record);
         match kind {
-            // Both are handled where instances are kept.
+            // `Instances::handle` handles both.
             EventKind::InstanceStarted | EventKind::InstanceStopped => {}
             EventKind::EndpointsChanged => match event::list_update(record)? {
                 None => node.watch_failed(now, actions),
@@ -139,7 +140,7 @@
                 let duration = record.span(5)?;
                 node.probe_finished(now, record.host(13), outcome, duration, actions);
             }
-            // Instances do not use messages, but a message has to be there.
+            // Instances do not use messages; only the reference to the message is checked.
             EventKind::MessageReceived => {
                 record.tail(9, 1, "the message")?;
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Hosts many instances of the decisions on the simulator's wire: standard input to standard output.
+//! Runs many instances of the routing decisions for the simulator, over standard input and output.
 //!
-//! A batch of events comes in as one frame and is answered by one frame with the actions of all instances. Both are binary,
-//! big-endian and packed; the events' and actions' codes and fields are those of the simulator's protocol.
+//! Each batch of events arrives as one frame and is answered by one frame with the actions of all instances.
+//! Both are binary, big-endian and packed, with the codes and fields of the simulator's protocol.
 
 mod action;
 mod error;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers batch after batch until the input ends between two of them.
+/// Answers batches until the input ends between two of them.
 fn serve(input: impl Read, mut output: impl Write) -> Result<(), WireError> {
     let mut frames = FrameReader::new(input);
     let mut instances = Instances::default();
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -1,30 +1,30 @@
-//! The fields of an event's record, by their place in it.
+//! Reads the fields of an event's record by their byte offset.
 
 use glendeck::domain::{AttemptNumber, AttemptOutcome, HostId, Span, Time};
 
 use crate::error::WireError;
 use crate::units::time_from_ms;
 
-/// Bytes in a batch's header.
+/// Length of a batch's header in bytes.
 pub(crate) const HEADER_BYTES: usize = 20;
 
-/// Bytes in an event's record.
+/// Length of an event's record in bytes.
 pub(crate) const EVENT_BYTES: usize = 64;
 
-/// Bytes in a host's address, which is its id.
+/// Length of a host's address in bytes; the address is the host's id.
 pub(crate) const HOST_BYTES: usize = 6;
 
 /// One event's record.
 pub(crate) struct EventRecord<'a> {
     batch: u32,
-    /// Its number in the batch, from 0.
+    /// Index of the record in the batch.
     number: usize,
     bytes: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> EventRecord<'a> {
-    /// The record of this number in a batch; `bytes` are [`EVENT_BYTES`] long.
+    /// The record with this index in a batch; `bytes` is [`EVENT_BYTES`] long.
     pub(crate) fn new(batch: u32, number: usize, bytes: &'a [u8], tail: &'a [u8]) -> EventRecord<'a> {
         EventRecord { batch, number, bytes, tail }
     }
@@ -34,17 +34,17 @@
         self.batch
     }
 
-    /// Its number in the batch, from 0.
+    /// Index of the record in the batch.
     pub(crate) fn number(&self) -> usize {
         self.number
     }
 
-    /// The place in the frame of a field at `at`.
+    /// Position in the frame of the field at offset `at` of the record.
     pub(crate) fn byte(&self, at: usize) -> usize {
         HEADER_BYTES + self.number * EVENT_BYTES + at
     }
 
-    /// So many bytes.
+    /// `N` bytes.
     pub(crate) fn bytes<const N: usize>(&self, at: usize) -> [u8; N] {
         std::array::from_fn(|index| self.bytes[at + index])
     }
@@ -54,17 +54,17 @@
         self.bytes[at]
     }
 
-    /// A number of two bytes.
+    /// An unsigned integer of two bytes.
     pub(crate) fn u16(&self, at: usize) -> u16 {
         u16::from_be_bytes(self.bytes(at))
     }
 
-    /// A number of four bytes.
+    /// An unsigned integer of four bytes.
     pub(crate) fn u32(&self, at: usize) -> u32 {
         u32::from_be_bytes(self.bytes(at))
     }
 
-    /// A number of eight bytes.
+    /// An unsigned integer of eight bytes.
     pub(crate) fn u64(&self, at: usize) -> u64 {
         u64::from_be_bytes(self.bytes(at))
     }
@@ -102,7 +102,8 @@
         span.ok_or_else(|| self.value_error(at, "duration", ms))
     }
 
-    /// A load that was read at `at`, as seconds of work a second; `per_second` is the unit that it was given in.
+    /// Converts a load that was read at `at` to seconds of work per second; `per_second` is the number of its
+    /// units in a second.
     pub(crate) fn load(&self, at: usize, value: f64, per_second: f64) -> Result<f64, WireError> {
         if !value.is_finite() || value < 0.0 {
             return Err(self.value_error(at, "load", value));
@@ -110,7 +111,7 @@
         Ok(value / per_second)
     }
 
-    /// An attempt's or a probe's outcome.
+    /// The outcome of an attempt or a probe.
     pub(crate) fn outcome(&self, at: usize) -> Result<AttemptOutcome, WireError> {
         match self.u8(at) {
             0 => Ok(AttemptOutcome::Completed),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The part of the tail that the offset and count at `at` refer to, with entries of so many bytes.
+    /// The part of the tail that the offset and count at `at` refer to, with entries of `entry_bytes` bytes.
     pub(crate) fn tail(
         &self,
         at: usize,
@@ -143,24 +144,24 @@
         })
     }
 
-    /// The byte at `at` is a code without a meaning.
+    /// An error: the byte at `at` is an unknown code.
     pub(crate) fn code_error(&self, at: usize, what: &'static str) -> WireError {
         self.code_error_with(at, what, self.u8(at))
     }
 
-    /// A code that the field at `at` refers to has no meaning.
+    /// An error: the field at `at` holds or refers to an unknown code.
     pub(crate) fn code_error_with(&self, at: usize, what: &'static str, code: u8) -> WireError {
         let byte = self.byte(at);
         WireError::Code { batch: self.batch, record: self.number, byte, what, code: u64::from(code) }
     }
 
-    /// A number that the field at `at` holds or refers to cannot be used.
+    /// An error: the field at `at` holds or refers to an invalid number.
     pub(crate) fn value_error(&self, at: usize, what: &'static str, value: f64) -> WireError {
         WireError::Value { batch: self.batch, record: self.number, byte: self.byte(at), what, value }
     }
 }
 
-/// A host's address, taken for a number.
+/// A host's id: its address read as a big-endian number.
 pub(crate) fn host_id(address: [u8; HOST_BYTES]) -> HostId {
     HostId(address.iter().fold(0, |id, byte| id << 8 | u64::from(*byte)))
 }
--- a/crates/simulator-adapter/src/units.rs
+++ b/crates/simulator-adapter/src/units.rs
@@ -1,4 +1,4 @@
-//! The simulator's units: milliseconds, with fractions.
+//! Conversion of the simulator's times, which are fractional milliseconds.
 
 use glendeck::domain::Time;
 
@@ -11,11 +11,11 @@
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Times from here on are not usable, in ms.
+/// Times of this value or above are invalid, in ms.
 const TIME_LIMIT_MS: f64 = 1e12;
 
-/// A time of the simulator, if it is one.
+/// Converts a time of the simulator; `None` if it is not a valid time.
 pub(crate) fn time_from_ms(ms: f64) -> Option<Time> {
-    let is_usable = ms.is_finite() && (0.0..TIME_LIMIT_MS).contains(&ms);
-    is_usable.then(|| Time((ms * NANOS_PER_MS).round() as u64))
+    let is_valid = ms.is_finite() && (0.0..TIME_LIMIT_MS).contains(&ms);
+    is_valid.then(|| Time((ms * NANOS_PER_MS).round() as u64))
 }
--- a/crates/simulator-adapter/tests/recorded_batches.rs
+++ b/crates/simulator-adapter/tests/recorded_batches.rs
@@ -1,8 +1,8 @@
-//! Batches and the replies to them, byte for byte as recorded, and what is said of input that cannot be used.
+//! Compares the replies to recorded batches byte for byte, and the messages on invalid input.
 //!
-//! `tests/fixtures/batches.txt` holds one run: two instances start, get lists, calls, replies and reports, and one ends.
-//! `tests/fixtures/errors.txt` has a case a line: its name, whether the two instances are started before, the input, and the
-//! message. Bytes are given as hexadecimal digits.
+//! `tests/fixtures/batches.txt` has one run: two instances start, receive lists, calls, replies and reports,
+//! and one stops. `tests/fixtures/errors.txt` has one case per line: its name, whether the two instances are
+//! started first, the input, and the message. Bytes are given as hexadecimal digits.
 
 use std::io::Write as _;
 use std::process::{Command, Output, Stdio};
@@ -15,7 +15,7 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
 }
 
-/// The bytes of the lines that begin with this word.
+/// The bytes of each line that begins with this word.
 fn recorded(word: &str) -> Vec<Vec<u8>> {
     let lines = BATCHES.lines().filter_map(|line| line.strip_prefix(word));
     lines.map(|digits| from_digits(digits.trim())).collect()
@@ -31,7 +31,7 @@
     let mut stdin = adapter.stdin.take().expect("its input is a pipe");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || {
-        // The adapter ends at the first fault, whatever follows.
+        // The adapter exits at the first error, so that writing the rest can fail.
         let _ = stdin.write_all(&input);
     });
     let output = adapter.wait_with_output().expect("the adapter ends");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn unusable_input_ends_the_adapter_with_the_recorded_message() {
+fn invalid_input_ends_the_adapter_with_the_recorded_message() {
     let start = recorded("frame").swap_remove(1);
     for line in ERRORS.lines() {
         let [name, state, digits, message] = line.split('\t').collect::<Vec<_>>()[..] else {
