--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -87,7 +87,7 @@
         }
         let unheard = show::names(&status.unheard_voters);
         Err(CommandError::Unanswered(format!(
-            "the status is not confirmed by a majority; voters not heard: {unheard}"
+            "status not confirmed by a majority; voters not heard: {unheard}"
         )))
     }
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -169,7 +169,8 @@
     let out: Vec<String> = units.map(|(name, unit)| format!("{name} {}", unit_state(unit))).collect();
     let out = if out.is_empty() { "none".into() } else { out.join("; ") };
     format!(
-        "release {} to {}{reverting}: {state}; wave {wave} of {waves}, {} of {unit_count} units done; out: {out}",
+        "release {} to {}{reverting}: {state}; wave {wave} of {waves}, {} of {unit_count} units done; \
+         out: {out}",
         release.number,
         release.plan.version,
         release.done.len(),
