--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -140,10 +140,10 @@
         (true, true) => "replica",
     };
     format!(
-        "{name:<12} {role}; stores {} records; own calls with intents: {}; intents: {} replicated, {} not; \
+        "{name:<12} {role}; stores {} records; own calls in replication: {}; intents: {} replicated, {} not; \
          repeats: {} looked up, {} with a record, {} failed, {} in flight elsewhere",
         takeover.records_held,
-        takeover.calls_with_intents,
+        takeover.calls_in_replication,
         takeover.intents_replicated,
         takeover.intents_not_replicated,
         takeover.repeats_looked_up,
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,8 +1,8 @@
 //! `glendeck fleet trace`: finds the lines of one call in the logs of several nodes.
 //!
-//! A node numbers its calls by the slots that they occupy, and slots are reused, so that a number can recur
-//! in a log. The lines of a call are those with its number, from its arrival until another call arrives with
-//! the number.
+//! A node builds call numbers from the slots that its calls occupy and reuses slots, also after a restart, so a
+//! number in a log may not be unique. The lines of a call are those with its number, from its arrival until
+//! another call arrives with the same number.
 
 #[cfg(test)]
 mod tests;
@@ -32,7 +32,8 @@
         found.extend(read_log(id, log)?);
     }
     if found.is_empty() {
-        let message = format!("no log line found for call {id}; calls are logged at level debug");
+        let message =
+            format!("no call with client id or subject id {id} in the logs; calls are logged at level debug");
         return Err(CommandError::Refused(message));
     }
     // The sort is stable: lines with the same timestamp stay in the order of their logs.
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -147,7 +147,7 @@
 #[test_case("halted")]
 #[test_case("quiet")]
 #[test_case("finished")]
-fn watching_ends_when_the_release_does_not_run(name: &str) {
+fn watch_ends_when_no_release_is_running(name: &str) {
     let status = std::fs::read_to_string(fixture(&format!("{name}.json"))).expect("a status");
     let commands = ["release status --watch", "release status --watch --json"];
     compare(&format!("watch_{name}"), &commands, start_admin_interface(status));
