--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -218,7 +218,8 @@
 pub(crate) struct TakeoverStatus {
     /// Records that the node stores for other nodes.
     pub records_held: u64,
-    /// Its own calls that have asked for an intent to be replicated, or for a lookup of what preceded a repeat.
+    /// Its own calls that have asked for an intent to be replicated, or for a lookup of what preceded a
+    /// repeat.
     #[serde(rename = "in_hand")]
     pub calls_in_replication: u64,
     /// Whether it stores records for other nodes.
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,8 +1,8 @@
 //! `glendeck fleet trace`: finds the lines of one call in the logs of several nodes.
 //!
-//! A node builds call numbers from the slots that its calls occupy and reuses slots, also after a restart, so a
-//! number in a log may not be unique. The lines of a call are those with its number, from its arrival until
-//! another call arrives with the same number.
+//! A node builds call numbers from the slots that its calls occupy, and slots are reused, so that a number may
+//! not be unique in a log. The lines of a call are those with its number, from its arrival until another call
+//! arrives with the same number.
 
 #[cfg(test)]
 mod tests;
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -33,7 +33,7 @@
         max_attempts: map.whole_number("caps.maxLegs")?,
         can_probe: map.flag("caps.mayProbe")?,
         can_cancel: map.flag("caps.mayCancel")?,
-        weight_kind: weight_kind(map)?,
+        weight_kind: decode_weight_kind(map)?,
         reports_message_times: map.flag_or("extra.tellsDelay", false)?,
         retry_after,
         poll_interval,
@@ -104,7 +104,7 @@
 
 /// Decodes what the weights mean. Without the key they are sizes, since deployments older than the key send
 /// sizes.
-fn weight_kind(map: &SettingsMap) -> Result<WeightKind, SettingsError> {
+fn decode_weight_kind(map: &SettingsMap) -> Result<WeightKind, SettingsError> {
     match map.optional_text(WEIGHT_KIND) {
         None | Some("none" | "nominal" | "rough") => Ok(WeightKind::Sizes),
         Some("live") => Ok(WeightKind::Live),
