--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,6 +1,6 @@
 //! `glendeck fleet trace`: finds the lines of one call in the logs of several nodes.
 //!
-//! A node builds call numbers from the slots that its calls occupy, and slots are reused, so that a number may
+//! A node builds call numbers from the slots that its calls occupy, and slots are reused, so a number may
 //! not be unique in a log. The lines of a call are those with its number, from its arrival until another call
 //! arrives with the same number.
 
