--- a/crates/cli/src/admin.rs
+++ b/crates/cli/src/admin.rs
@@ -15,8 +15,8 @@
 /// A node answers within a second; the rest is for the network.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time for which an order that no leader has accepted is sent again, under the same id. Elections take a
-/// second or two.
+/// Time for which an order that no leader has accepted is sent again, under the same id: long enough for
+/// elections, which take a second or two.
 const ORDER_RETRY_TIME: Duration = Duration::from_secs(10);
 
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -86,7 +86,8 @@
         self.addresses.iter().map(ask).collect()
     }
 
-    /// Sends an order until a leader accepts or refuses it, and returns the reply.
+    /// Sends an order, again on status 503 for up to [`ORDER_RETRY_TIME`], until a leader accepts or refuses
+    /// it, and returns the reply.
     pub(crate) fn order(&self, order: &OrderRequest) -> Result<Value, CommandError> {
         let body = order.to_json()?;
         let retry_until = Instant::now() + ORDER_RETRY_TIME;
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -25,7 +25,7 @@
 #[derive(Args)]
 pub(crate) struct Target {
     /// Addresses of nodes' admin interfaces, separated by commas. Any node can answer; the first that
-    /// responds is used.
+    /// responds is used. `fleet work` queries all of them; `fleet trust` applies to the node that responds.
     #[arg(
         long = "door",
         value_name = "DOOR",
@@ -35,7 +35,7 @@
         global = true
     )]
     pub addresses: Vec<SocketAddr>,
-    /// Prints the reply as JSON.
+    /// Prints each reply as one JSON object.
     #[arg(long, global = true)]
     pub json: bool,
     /// Id of this order, random by default. An order sent again with the same id is carried out once.
@@ -83,11 +83,12 @@
 pub(crate) enum FleetCommand {
     /// Shows the leader, the voters, the units that are out with the cause, and the release.
     Status,
-    /// Lists all units, one per line.
+    /// Lists all nodes of the fleet, one per line.
     Members,
     /// Lists the hosts that are out, and the nodes that still hold connections to them.
     Hosts,
-    /// Confirms that no process of this lost node is running: hosts can count as empty without its report.
+    /// Confirms that no process of this lost node is running, so that a draining host can count as empty
+    /// although this node has not reported its connections.
     Dead { node: String },
     /// Shows the replication of in-flight calls at each node given with --door.
     Work,
@@ -100,8 +101,8 @@
     },
     /// Permanently replaces a voter by another node.
     Replace { old: String, new: String },
-    /// Confirms that the store of the node given with --door is intact: it votes again without waiting for
-    /// voters that are gone.
+    /// Confirms that the store of the node given with --door is intact, so that it votes again without
+    /// waiting for voters that are gone.
     Trust,
 }
 
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -39,7 +39,8 @@
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// Checks and summarises a file. A release's plan has a `version` key, a fleet's policy has none.
+/// Reads and summarises a file. A release's plan has a line that begins with `version`, a fleet's policy has
+/// none. A plan is only parsed here, since its check needs the fleet.
 fn describe(path: &Path) -> Result<String, CommandError> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let is_plan = text.lines().any(|line| line.trim_start().starts_with("version"));
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,5 +1,5 @@
 //! `glendeck demo`: starts three nodes on loopback with simulated hosts, discovery, front end and clients,
-//! and runs a drain and a release in under a minute.
+//! and runs a drain and a release, usually in under a minute.
 
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
@@ -71,9 +71,9 @@
     let mut cluster = Cluster::start(spec).map_err(unanswered)?;
     cluster.clients.add_clients(CLIENTS, 1);
     wait("all nodes are serving", || (0..NODES).all(|node| is_serving(&cluster, node)))?;
-    // Until now, nodes that had not started yet counted as out.
+    // Resets the maximum of nodes out at once, since nodes that had not started yet were counted as out.
     cluster.clients.reset_most_out();
-    println!("forming the fleet; a node counts as serving after it has been seen to serve for 5 s");
+    println!("forming the fleet; the fleet counts a node as serving after it has been seen to serve for 5 s");
     wait("the fleet sees all nodes as serving", || is_settled(&cluster))?;
     for node in 0..NODES {
         println!("  n{node}: admin interface at {}", cluster.admin_address(node));
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -9,7 +9,7 @@
     /// The command, or a file that it names, is invalid.
     #[error("{0}")]
     Invalid(String),
-    /// No node answered, or no decision was reached in time.
+    /// No node answered, the answer is unconfirmed or cannot be decoded, or no decision was reached in time.
     #[error("{0}")]
     Unanswered(String),
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -18,11 +18,12 @@
         FleetCommand::Trace { id, logs } => trace::run(id, logs),
         FleetCommand::Dead { node } => session.order(Order::DeclareDead { unit: node }),
         FleetCommand::Replace { old, new } => session.order(Order::ReplaceVoter { old, new }),
-        FleetCommand::Trust => session.order(Order::TrustDisk {}),
+        FleetCommand::Trust => session.order(Order::TrustStore {}),
     }
 }
 
-/// Queries all given nodes and prints their replies. If any query fails, the command fails afterwards.
+/// Prints the replication of in-flight calls at each given node. If a query fails, the others are still
+/// printed, and the last failure is returned; a status that cannot be decoded ends the command at once.
 fn show_takeover(session: &Session) -> Result<(), CommandError> {
     let mut last_failure = None;
     for node in session.admin.each_status() {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,9 @@
 //! `glendeck`: the operators' command line. It queries the admin interfaces of nodes and prints their
 //! replies.
 //!
-//! Exit codes: 0, success; 1, the request was refused, or the requested state does not hold; 2, the command
-//! or a file that it names is invalid; 3, no node answered, or no decision was reached in time.
+//! Exit codes: 0, the request was carried out, or the requested state holds; 1, the request was refused, or
+//! the requested state does not hold; 2, the command or a file that it names is invalid; 3, no node answered,
+//! the answer is unconfirmed or cannot be decoded, or no decision was reached in time.
 
 mod admin;
 mod args;
--- a/crates/cli/src/order.rs
+++ b/crates/cli/src/order.rs
@@ -41,7 +41,7 @@
         new: &'a str,
     },
     /// Confirm that the store of the node that receives the order is intact.
-    TrustDisk {},
+    TrustStore {},
     /// Start a release.
     StartRelease {
         /// The release's plan.
@@ -66,7 +66,7 @@
             Order::Activate { .. } => "/v1/fleet/activate",
             Order::DeclareDead { .. } => "/v1/fleet/dead",
             Order::ReplaceVoter { .. } => "/v1/fleet/replace",
-            Order::TrustDisk {} => "/v1/fleet/trust",
+            Order::TrustStore {} => "/v1/fleet/trust",
             Order::StartRelease { .. } => "/v1/fleet/release/start",
             Order::HaltRelease { .. } => "/v1/fleet/release/halt",
             Order::ResumeRelease {} => "/v1/fleet/release/resume",
@@ -75,7 +75,7 @@
     }
 }
 
-/// An order with the id that identifies it when it is sent more than once.
+/// An order with its id. An order that is sent again with the same id is carried out once.
 #[derive(Debug, Serialize)]
 pub(crate) struct OrderRequest<'a> {
     id: String,
--- a/crates/cli/src/release.rs
+++ b/crates/cli/src/release.rs
@@ -36,7 +36,7 @@
 /// Prints each change once, until the release is finished.
 ///
 /// # Errors
-/// The release is halted, there is none, or no node answers.
+/// The release is halted, there is none, no node answers, the node refuses, or the status cannot be decoded.
 fn watch(session: &Session) -> Result<(), CommandError> {
     let mut printed = String::new();
     loop {
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -1,4 +1,4 @@
-//! State that all commands share: the nodes to query, and the output format.
+//! State that the commands to nodes share: the nodes to query, and the output format.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 pub(crate) struct Session<'a> {
     /// Client for the nodes to query.
     pub admin: AdminClient<'a>,
-    /// Whether replies are printed as the JSON that nodes sent.
+    /// Whether replies are printed as JSON.
     pub is_json: bool,
     order_id: Option<&'a str>,
 }
@@ -74,7 +74,8 @@
     /// Prints the status of the first node that answers.
     ///
     /// # Errors
-    /// No node answers, or no majority has confirmed the status, so that it may be stale.
+    /// No node answers, the node refuses, the status cannot be decoded, or no majority has confirmed it, so
+    /// that it may be stale.
     pub(crate) fn show_status(&self, as_text: impl Fn(&Status) -> String) -> Result<(), CommandError> {
         let FetchedStatus { json, status } = self.status()?;
         if self.is_json {
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -20,7 +20,7 @@
         vec![answering_node(status), voters(status), format!("{} of {} units out", out.len(), units.len())];
     lines.extend(out);
     if !status.duplicate_names.is_empty() {
-        lines.push(format!("TWO PROCESSES use the name: {}", names(&status.duplicate_names)));
+        lines.push(format!("names used by TWO PROCESSES each: {}", names(&status.duplicate_names)));
     }
     for over in &status.state.overrides {
         lines.push(format!("beyond limits: {:?} ({:?})", over.unit, over.reason));
@@ -62,12 +62,12 @@
     let lost = if unit.is_lost { ", lost" } else { "" };
     let (state, lease) = match &unit.state {
         UnitState::Serving => return format!("serving{lost}"),
-        UnitState::Granted(lease) => ("granted", lease),
-        UnitState::Begun(lease) => ("begun", lease),
-        UnitState::Returning(lease) => ("returning", lease),
+        UnitState::Granted(lease) => ("may go out", lease),
+        UnitState::Begun(lease) => ("out of service", lease),
+        UnitState::Returning(lease) => ("returning to service", lease),
     };
     let UnitLease { number, cause } = lease;
-    format!("{state}{lost} for {}, lease {number}", cause_text(cause))
+    format!("{state} ({}, lease {number}){lost}", cause_text(cause))
 }
 
 fn cause_text(cause: &Cause) -> String {
@@ -106,12 +106,12 @@
 }
 
 fn hold_text(host: &Host, may_stop: bool) -> String {
-    let Some(hold) = &host.hold else { return "not held out".into() };
+    let Some(hold) = &host.hold else { return "no lease".into() };
     let lease = hold.lease;
     match hold.state.as_str() {
         "Returning" => format!("returning, not yet known to all nodes; lease {lease}"),
         _ if may_stop => format!("empty, may stop; lease {lease}"),
-        _ => format!("draining; lease {lease}"),
+        _ => format!("drained by the fleet; lease {lease}"),
     }
 }
 
@@ -120,7 +120,7 @@
     if !draining.connections.is_empty() {
         let connections = draining.connections.iter();
         let holders: Vec<String> = connections.map(|(node, count)| format!("{node} {count}")).collect();
-        text.push_str(&format!("; held by {}", holders.join(", ")));
+        text.push_str(&format!("; connections: {}", holders.join(", ")));
     }
     if !draining.unheard_nodes.is_empty() {
         text.push_str(&format!("; not heard: {}", names(&draining.unheard_nodes)));
@@ -140,10 +140,11 @@
         (true, true) => "replica",
     };
     format!(
-        "{name:<12} {role}; stores {} records; own calls in replication: {}; intents: {} replicated, {} not; \
-         repeats: {} looked up, {} with a record, {} failed, {} in flight elsewhere",
+        "{name:<12} {role}; stores {} records; own calls with replication or lookup requests: {}; \
+         intents: {} replicated, {} not replicated; \
+         repeats: {} looked up, {} with a record, {} failed; calls in flight elsewhere: {}",
         takeover.records_held,
-        takeover.calls_in_replication,
+        takeover.calls_with_requests,
         takeover.intents_replicated,
         takeover.intents_not_replicated,
         takeover.repeats_looked_up,
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -180,7 +180,7 @@
     pub reversal: Option<serde::de::IgnoredAny>,
     /// The units of each wave.
     pub waves: Vec<Vec<String>>,
-    /// Index of the current wave.
+    /// Index of the current wave, from 0.
     pub wave: usize,
     /// The units that have been changed.
     pub done: Vec<serde::de::IgnoredAny>,
@@ -221,11 +221,11 @@
     /// Its own calls that have asked for an intent to be replicated, or for a lookup of what preceded a
     /// repeat.
     #[serde(rename = "in_hand")]
-    pub calls_in_replication: u64,
+    pub calls_with_requests: u64,
     /// Whether it stores records for other nodes.
     #[serde(rename = "keeps")]
     pub is_replica: bool,
-    /// Whether everything that it could have forgotten has expired, so that it may answer for repeats.
+    /// Whether every record that it could have lost has expired by now, so that it may answer for repeats.
     #[serde(rename = "remembers")]
     pub has_full_history: bool,
     /// Intents that were replicated.
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,8 +1,8 @@
-//! `glendeck fleet trace`: finds the lines of one call in the logs of several nodes.
+//! `glendeck fleet trace`: finds the lines of a call in the logs of several nodes.
 //!
-//! A node builds call numbers from the slots that its calls occupy, and slots are reused, so a number may
-//! not be unique in a log. The lines of a call are those with its number, from its arrival until another call
-//! arrives with the same number.
+//! A node derives a call's number from a table index that is reused after the call ends, so the same number
+//! can stand for several calls in one log. The lines of a call are those with its number, from its arrival
+//! until another call arrives with the same number.
 
 #[cfg(test)]
 mod tests;
@@ -24,8 +24,8 @@
     text: String,
 }
 
-/// Prints all lines of a call with the name of their log, ordered by their timestamps, which come from each
-/// node's own clock.
+/// Prints all lines of the calls whose client id or subject id is `id`, each with the name of its log,
+/// ordered by their timestamps, which come from each node's own clock.
 pub(crate) fn run(id: &str, logs: &[PathBuf]) -> Result<(), CommandError> {
     let mut found = Vec::new();
     for log in logs {
--- a/crates/settings/src/decode.rs
+++ b/crates/settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a [`SettingsMap`] into typed settings, with one function for each section.
+//! Decodes a [`SettingsMap`] into typed settings.
 
 use glendeck::domain::{
     Idempotency, RetryBudget, Scope, Settings, SlowStart, Span, TrafficClass, WeightKind, Zone,
@@ -14,7 +14,8 @@
 const REPORT_SOURCE: &str = "loadReport.source";
 const WEIGHT_KIND: &str = "weightKind";
 
-/// Decodes the settings that the decisions use, and validates the known settings that they ignore.
+/// Decodes the settings that the decisions use, and validates some that they ignore (`check_load_reports`,
+/// `check_unused`).
 ///
 /// # Errors
 /// Returns the first error found: a required setting is missing, or a value is invalid.
@@ -66,7 +67,8 @@
     })
 }
 
-/// Decodes the idempotency of a traffic class; `key` returns the path of the class's setting of a given name.
+/// Decodes the idempotency of a traffic class; `key` returns the full path of one of the class's
+/// settings, given its name.
 fn idempotency(map: &SettingsMap, key: impl Fn(&str) -> String) -> Result<Idempotency, SettingsError> {
     match map.text(&key("effect"))? {
         "retryable" => Ok(Idempotency::Idempotent),
@@ -135,15 +137,16 @@
     Ok(Some(RetryBudget { min_retries: map.number(BUDGET_FREE)?, ratio: map.number(BUDGET_RATIO)?, window }))
 }
 
-/// Weight of the whole service in the score, as a share of its weight plus that of the worst class; 1 if both
-/// weights are 0.
+/// Weight of the whole service in the score, as a share of its weight plus that of the worst class; 1 if
+/// neither weight is given, or both are 0.
 fn overall_service_weight(map: &SettingsMap) -> Result<f64, SettingsError> {
     let whole = map.number_or("scoreParts.whole", 1.0)?;
     let worst_class = map.number_or("scoreParts.worstClass", 0.0)?;
     if whole + worst_class > 0.0 { Ok(whole / (whole + worst_class)) } else { Ok(1.0) }
 }
 
-/// Validates the source of load reports, which the decisions do not use.
+/// Validates the source of load reports. The decisions do not read load reports, but an invalid source is
+/// still an error.
 fn check_load_reports(map: &SettingsMap) -> Result<(), SettingsError> {
     match map.optional_text(REPORT_SOURCE) {
         None | Some("none" | "answers") => Ok(()),
@@ -156,8 +159,9 @@
     }
 }
 
-/// Validates settings that the decisions ignore: a host that is gone gets no new attempts, whether it was
-/// drained or not, and calls are answered by their deadline as received.
+/// Validates `safety.droppedStayOpen` and `safety.budgetErrorMs`. The decisions make no use of what they
+/// allow, but an invalid value is still an error: a host that is gone gets no new attempts, whether it was
+/// drained or not, and a call is answered by its deadline as received, without a margin for error.
 fn check_unused(map: &SettingsMap) -> Result<(), SettingsError> {
     map.flag_or("safety.droppedStayOpen", false)?;
     map.span_or("safety.budgetErrorMs", Span::ZERO)?;
--- a/crates/settings/src/map.rs
+++ b/crates/settings/src/map.rs
@@ -1,4 +1,4 @@
-//! The text of settings by path, read from either input form.
+//! A map from a setting's path to its text, read from `path=value` lines or from JSON.
 
 use std::borrow::Cow;
 use std::fmt::{Display, Write};
@@ -125,7 +125,7 @@
             return Ok(Vec::new());
         };
         let spans: Option<Vec<Option<Span>>> = text.split(',').map(parse_optional_span).collect();
-        spans.ok_or_else(|| SettingsError::invalid(key, text, "numbers of 0 or more separated by commas"))
+        spans.ok_or_else(|| SettingsError::invalid(key, text, "comma-separated numbers >= 0 or null"))
     }
 }
 
@@ -179,8 +179,8 @@
     path.truncate(length);
 }
 
-/// A plain value as text, with the characters that separate values in `path=value` lines (space and comma)
-/// replaced by `_`.
+/// A plain value as text. In strings, spaces and commas are replaced by `_`, because commas separate the
+/// items of a list.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -35,7 +35,7 @@
         length: u32,
     },
     /// The header's clock is not a valid time.
-    #[error("batch {batch}, byte 12: the clock {clock} is not a valid time in ms")]
+    #[error("batch {batch}, byte 12: the clock {clock} is not a valid time")]
     Clock {
         /// The batch's number.
         batch: u32,
@@ -47,21 +47,21 @@
     Code {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// Position of the code.
         byte: usize,
-        /// What the code stands for.
+        /// The kind of code, such as `event` or `outcome`.
         what: &'static str,
         /// The code.
         code: u64,
     },
     /// Data of variable size is not within the frame's tail.
-    #[error("batch {batch}, record {record}, byte {byte}: {what} extends past the end of the frame")]
+    #[error("batch {batch}, record {record}, byte {byte}: {what} extends past the end of the frame's tail")]
     Tail {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// Position of the reference to the data.
         byte: usize,
@@ -73,7 +73,7 @@
     Value {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// Position of the number.
         byte: usize,
@@ -87,7 +87,7 @@
     NeverStarted {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// Position of the instance's number.
         byte: usize,
@@ -99,7 +99,7 @@
     Settings {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// The instance's number.
         instance: u32,
@@ -111,7 +111,7 @@
     Text {
         /// The batch's number.
         batch: u32,
-        /// Index of the record in the batch.
+        /// Index of the record in the batch, from 0.
         record: usize,
         /// The instance's number.
         instance: u32,
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -12,14 +12,14 @@
 /// Length of an entry of the endpoint list in bytes.
 const ENDPOINT_BYTES: usize = 25;
 
-/// Offset of the call's id, in the records of all events that have one.
+/// Byte offset of the call's id, in the records of all events that have one.
 const CALL_ID: usize = 5;
 
-/// Offset of the reference to an endpoint list.
+/// Byte offset, in the event's record, of the reference to an endpoint list.
 const ENDPOINT_LIST: usize = 10;
 
 // The bits of a call's flags.
-/// The record gives the call's load.
+/// The record gives the call's load, in ms of work per second.
 const HAS_LOAD: u16 = 1;
 /// The client marks the call as a repeat.
 const IS_REPEAT: u16 = 2;
@@ -78,7 +78,8 @@
     }
 }
 
-/// Offsets of a call's fields, which differ between new calls and inherited connections.
+/// Byte offsets of a call's fields in the event's record, which differ between new calls and inherited
+/// connections.
 struct CallLayout {
     class: usize,
     deadline: usize,
@@ -183,7 +184,8 @@
     })
 }
 
-/// What [`EventKind::ConnectionReported`] reports.
+/// What [`EventKind::ConnectionReported`] reports: a load in microseconds of work per second, or a message
+/// time in ms.
 pub(crate) fn report(record: &EventRecord) -> Result<AttemptReport, WireError> {
     const VALUE: usize = 20;
     match record.u8(13) {
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -11,7 +11,7 @@
 use crate::frame::Frame;
 use crate::record::EventRecord;
 
-/// Offset of the instance's number in all records.
+/// Byte offset of the instance's number in all records.
 const INSTANCE: usize = 1;
 
 /// Length of a reply's header in bytes. It has the batch's number, the number of actions, and their length in
@@ -36,7 +36,7 @@
     /// Handles a batch's events and appends the reply.
     ///
     /// # Errors
-    /// The first invalid event.
+    /// An event is invalid; handling stops at the first one.
     pub(crate) fn answer(&mut self, frame: &Frame, reply: &mut Vec<u8>) -> Result<(), WireError> {
         let start = reply.len();
         reply.resize(start + REPLY_HEADER_BYTES, 0);
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -17,7 +17,7 @@
 /// One event's record.
 pub(crate) struct EventRecord<'a> {
     batch: u32,
-    /// Index of the record in the batch.
+    /// Index of the record in the batch, from 0.
     number: usize,
     bytes: &'a [u8],
     tail: &'a [u8],
@@ -34,7 +34,7 @@
         self.batch
     }
 
-    /// Index of the record in the batch.
+    /// Index of the record in the batch, from 0.
     pub(crate) fn number(&self) -> usize {
         self.number
     }
@@ -44,12 +44,12 @@
         HEADER_BYTES + self.number * EVENT_BYTES + at
     }
 
-    /// `N` bytes.
+    /// The `N` bytes at offset `at` of the record.
     pub(crate) fn bytes<const N: usize>(&self, at: usize) -> [u8; N] {
         std::array::from_fn(|index| self.bytes[at + index])
     }
 
-    /// A byte.
+    /// The byte at `at`.
     pub(crate) fn u8(&self, at: usize) -> u8 {
         self.bytes[at]
     }
@@ -79,7 +79,7 @@
         f64::from_be_bytes(self.bytes(at))
     }
 
-    /// A host.
+    /// The host whose address is at `at`.
     pub(crate) fn host(&self, at: usize) -> HostId {
         host_id(self.bytes(at))
     }
@@ -89,21 +89,21 @@
         AttemptNumber(self.u16(at))
     }
 
-    /// A time in ms.
+    /// Reads a time that is given in ms.
     pub(crate) fn time(&self, at: usize) -> Result<Time, WireError> {
         let ms = self.f64(at);
         time_from_ms(ms).ok_or_else(|| self.value_error(at, "time", ms))
     }
 
-    /// A duration in ms.
+    /// Reads a duration that is given in ms.
     pub(crate) fn span(&self, at: usize) -> Result<Span, WireError> {
         let ms = self.f64(at);
         let span = time_from_ms(ms).map(|time| time.since(Time(0)));
         span.ok_or_else(|| self.value_error(at, "duration", ms))
     }
 
-    /// Converts a load that was read at `at` to seconds of work per second; `per_second` is the number of its
-    /// units in a second.
+    /// Converts a load or a time that was read at `at` to seconds of work per second, or to seconds; `value`
+    /// is in units of which `per_second` make a second.
     pub(crate) fn load(&self, at: usize, value: f64, per_second: f64) -> Result<f64, WireError> {
         if !value.is_finite() || value < 0.0 {
             return Err(self.value_error(at, "load", value));
--- a/crates/simulator-adapter/src/units.rs
+++ b/crates/simulator-adapter/src/units.rs
@@ -1,4 +1,5 @@
-//! Conversion of the simulator's times, which are fractional milliseconds.
+//! The simulator's units: times are fractional milliseconds, loads are milliseconds or microseconds of work
+//! per second.
 
 use glendeck::domain::Time;
 
