--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `glendeck fleet`: who is of the fleet, and how each stands.
+//! `glendeck fleet`: shows the members of the fleet and their state, and manages voters and lost nodes.
 
 use serde_json::{Value, json};
 
@@ -8,7 +8,7 @@
 use crate::session::{FetchedStatus, Session};
 use crate::{show, trace};
 
-/// Carries the command out.
+/// Runs the command.
 pub(crate) fn run(session: &Session, command: &FleetCommand) -> Result<(), CommandError> {
     match command {
         FleetCommand::Status => session.show_status(show::status),
@@ -18,11 +18,12 @@
         FleetCommand::Trace { id, logs } => trace::run(id, logs),
         FleetCommand::Dead { node } => session.order(Order::DeclareDead { unit: node }),
         FleetCommand::Replace { old, new } => session.order(Order::ReplaceVoter { old, new }),
-        FleetCommand::Trust => session.order(Order::TrustDisk {}),
+        FleetCommand::Trust => session.order(Order::TrustStore {}),
     }
 }
 
-/// Asks all nodes; fails if one does not answer, after the others are printed.
+/// Prints the replication of in-flight calls at each given node. If a query fails, the others are still
+/// printed, and the last failure is returned; a status that cannot be decoded ends the command at once.
 fn show_takeover(session: &Session) -> Result<(), CommandError> {
     let mut last_failure = None;
     for node in session.admin.each_status() {
