--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -1,4 +1,4 @@
-//! What a [`crate::Fleet`] wants done by whoever hosts it.
+//! Actions that a [`crate::Fleet`] returns for its caller to carry out.
 
 use std::collections::BTreeSet;
 
@@ -7,45 +7,47 @@
 use crate::state::{Cause, CommandResult, Lease, RequestId};
 use crate::store::StoreWrite;
 
-/// What is to be done.
+/// An action to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send this to that node.
+    /// Send this envelope to this node.
     Send(UnitName, Box<Envelope>),
-    /// Write this batch to disk whole, then call [`crate::Fleet::written`] with its number. Never two at once.
+    /// Write this batch to disk atomically, then call [`crate::Fleet::written`] with its number. At most one
+    /// batch is pending at a time.
     Persist(u64, Vec<StoreWrite>),
-    /// Send the clients away.
+    /// Start draining: send the clients away.
     StartDrain {
-        /// The lease that lets the unit out.
+        /// The lease under which the unit is out.
         lease: Lease,
         /// Why it was granted.
         cause: Cause,
     },
-    /// Take clients again.
+    /// Accept clients again.
     Resume,
-    /// Open nothing new at these hosts and use all others.
+    /// Open no connections or attempts at these hosts, and use all others.
     AvoidHosts {
-        /// The hosts to keep away from.
+        /// The hosts to avoid.
         hosts: BTreeSet<UnitName>,
-        /// One connection that stands there migrates every so many milliseconds.
+        /// Interval, in ms, at which one existing connection to these hosts is migrated.
         every_ms: u64,
     },
-    /// End this process; its supervisor is to start that version.
+    /// Exit this process; its supervisor starts the given version.
     Exit {
         /// The version to start.
         version: String,
     },
     /// Answer an operator's request.
     Reply(RequestId, RequestResult),
-    /// Write this to the log.
+    /// Write this line to the process log.
     Log(String),
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestResult {
-    /// It was decided.
+    /// The request was decided.
     Answered(CommandResult),
-    /// Nothing was decided in time; it may still be. The same request may be repeated.
+    /// The request was not decided in time, and may still be decided later. It may be repeated with the same
+    /// id.
     Unknown,
 }
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,38 +1,41 @@
-//! What a node starts with, and what it reports of itself.
+//! The configuration that a node starts with, and the status that it reports.
 
 use crate::policy::{FleetPolicy, UnitName};
 use crate::state::Incarnation;
 use crate::store::StoredState;
 
-/// Entries of one epoch, unless configured otherwise: a voter that takes an epoch anew is sent a few hundred KiB.
+/// Default maximum number of log entries in one epoch. It keeps the log that a voter is sent when it joins an
+/// epoch to a few hundred KiB.
 pub const LONGEST_LOG: usize = 2_000;
 
-/// What a node starts with.
+/// The configuration that a node starts with.
 pub struct FleetConfig {
     /// The node's name.
     pub name: UnitName,
-    /// The policy as its file says; the one that the fleet was founded on counts.
+    /// The policy from its file. Once the fleet is founded, the policy that it was founded on applies
+    /// instead.
     pub policy: FleetPolicy,
-    /// Identifies this process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Seed of the random draws.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// The build or settings that it runs.
+    /// The version of the build or settings that the node runs.
     pub version: String,
-    /// What its store holds, if it has one.
+    /// The contents of its store, if it has one.
     pub saved: Option<StoredState>,
-    /// The store had something that could not be read.
+    /// Whether some of the store's contents could not be read.
     pub spoilt: bool,
-    /// An epoch ends with so many entries: [`LONGEST_LOG`], except where many epochs are to be seen soon.
+    /// Number of log entries after which an epoch ends: [`LONGEST_LOG`], or less where a test needs many
+    /// epochs.
     pub longest_log: usize,
 }
 
-/// What the node reports of itself; counts are totals of the process.
+/// The status that the node reports. Counts are totals since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// It takes clients, and nothing but the fleet would keep it from that.
+    /// Whether it accepts clients, or would if the fleet did not hold it out.
     pub serving: bool,
-    /// It was told to drain, and holds nothing any more.
+    /// Whether it was told to drain and has no clients left.
     pub drained: bool,
     /// Calls that ended.
     pub calls: u64,
@@ -40,10 +43,11 @@
     pub failed: u64,
     /// Of these, calls that were rejected because of load.
     pub busy: u64,
-    /// Calls that wait now.
+    /// Calls that are waiting now.
     pub waiting: u32,
-    /// Hosts that it has ejected now.
+    /// Hosts that it currently ejects.
     pub hosts_down: u32,
-    /// Connections and attempts at hosts that it is to avoid, where there are any.
+    /// Number of connections and attempts at each host that it is told to avoid; hosts without any are left
+    /// out.
     pub holds: Vec<(UnitName, u32)>,
 }
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -1,7 +1,8 @@
-//! One voter of the log in one epoch, on the library [OmniPaxos](https://omnipaxos.com).
+//! One voter of the log in one epoch, based on the library [OmniPaxos](https://omnipaxos.com).
 //!
-//! The library counts an entry as accepted by its leader once it is in memory. Whoever drives a [`Voter`] must have the
-//! writes of one step on disk before it lets a message out or takes further input.
+//! The library counts an entry as accepted by the leader once it is in the leader's memory. So the caller of
+//! a [`Voter`] must have the writes of a step on disk before it sends the step's messages or passes in
+//! further input.
 
 mod storage;
 
@@ -18,24 +19,24 @@
 pub type ConsensusMessage = EngineMessage<Entry>;
 
 enum Engine {
-    /// The only voter, which the library does not support: what it has on disk is decided.
+    /// A single voter, which the library does not support: every entry on disk is decided.
     Alone,
-    /// The library's replica.
+    /// The library's replica, for two or more voters.
     Group(Box<OmniPaxos<Entry, SharedLog>>),
 }
 
-/// [`Voter::tick`] is called once in this time, in ms.
+/// Interval, in ms, at which [`Voter::tick`] is called.
 pub const TICK_MS: u64 = 100;
 
-/// Ticks between the library's own heartbeats. A loaded machine lets a process wait for a few hundred ms, which must not
-/// cost it the leadership.
+/// Ticks between the library's own heartbeats. On a loaded machine a process may stall for a few hundred ms,
+/// which must not cost it the leadership.
 const ELECTION_TICKS: u64 = 5;
 
-/// What a step has changed that is not on disk yet.
+/// Changes of a step that are not on disk yet.
 pub struct PendingWrites {
     /// The changes, in order.
     pub writes: Vec<StoreWrite>,
-    /// Whether the messages of the step have to wait for them.
+    /// Whether the step's messages must wait until the changes are on disk.
     pub must_be_durable: bool,
 }
 
@@ -44,13 +45,13 @@
     voter_slot: u64,
     engine: Engine,
     log: SharedLog,
-    /// Decided entries that [`Voter::take_decided`] has returned so far.
+    /// Number of decided entries that [`Voter::take_decided`] has returned.
     taken: usize,
     is_epoch_over: bool,
 }
 
 impl Voter {
-    /// The voter of this slot, with what its store holds of this epoch.
+    /// Creates the voter of this slot from its store's log of this epoch.
     pub fn new(epoch: u32, voter_slot: u64, voter_slots: &[VoterSlot], saved: &StoredState) -> Voter {
         let log = SharedLog::restore(saved);
         let nodes: Vec<u64> = voter_slots.iter().map(|voter_slot| voter_slot.number).collect();
@@ -70,14 +71,14 @@
         Voter { voter_slot, engine, log, taken: 0, is_epoch_over: false }
     }
 
-    /// [`TICK_MS`] have passed.
+    /// Advances the library's clock by [`TICK_MS`].
     pub fn tick(&mut self) {
         if let Engine::Group(omnipaxos) = &mut self.engine {
             omnipaxos.tick();
         }
     }
 
-    /// A message of another voter has come.
+    /// Handles a message from another voter.
     pub fn receive(&mut self, consensus_message: ConsensusMessage) {
         if let EngineMessage::SequencePaxos(paxos) = &consensus_message
             && let PaxosMsg::AcceptSync(sync) = &paxos.msg
@@ -90,28 +91,29 @@
         }
     }
 
-    /// Whether this answer to a promise is older than what this voter has accepted since.
+    /// Whether this answer to a promise is older than what this voter has accepted or decided since.
     ///
-    /// A promise that is sent twice is answered twice, and the second answer may come late, over a slow link, when this
-    /// follower has accepted more in the same round and promised again. The library (0.2.4) would cut its log back by it:
-    /// entries that it has acknowledged would be gone, and below what is decided it panics. Within a round the leader's
-    /// log only grows, so an answer that ends before this log does was sent before the leader knew of this log.
+    /// A promise that is sent twice is answered twice. Over a slow link, the second answer may arrive after
+    /// this follower has accepted more entries in the same round and promised again. The library (0.2.4)
+    /// would then truncate the follower's log and lose entries that it has acknowledged; it panics if decided
+    /// entries are among them. Within a round the leader's log only grows, so an answer that ends before this
+    /// log does was sent before the leader knew of this log.
     fn is_stale(&self, sync: &AcceptSync<Entry>) -> bool {
         let end = sync.log_sync.sync_idx + sync.log_sync.suffix.len();
         let is_shorter = end < self.log.len();
         sync.log_sync.sync_idx < self.log.decided() || (self.log.accepted() == Some(sync.n) && is_shorter)
     }
 
-    /// Messages to or from the voter of that slot may have been lost.
+    /// Records that messages to or from the voter of that slot may have been lost.
     pub fn reconnected(&mut self, voter_slot: u64) {
         if let Engine::Group(omnipaxos) = &mut self.engine {
             omnipaxos.reconnected(voter_slot);
         }
     }
 
-    /// Proposes an entry; it may be lost. A [`Command::Reconfigure`] ends the epoch: what stands behind it in the log is void,
-    /// for every voter alike. The library's own stop sign (0.2.4) is not used for that, as it counts twice where its
-    /// follower's round is begun anew after it, and decided entries are passed over.
+    /// Proposes an entry, which may be lost. A [`Command::Reconfigure`] ends the epoch: every voter ignores
+    /// the entries after it in the log. The library's own stop sign (0.2.4) is not used for that: it is
+    /// counted twice if a follower's round is restarted after it, and decided entries are then skipped.
     pub fn propose(&mut self, entry: Entry) {
         match &mut self.engine {
             Engine::Alone if !self.is_epoch_over => self.log.append(entry),
@@ -120,12 +122,12 @@
         }
     }
 
-    /// The slot in which it votes.
+    /// The slot in which this voter votes.
     pub fn voter_slot(&self) -> u64 {
         self.voter_slot
     }
 
-    /// Whether it leads, and a majority follows as far as it knows.
+    /// Whether this voter is the leader and, as far as it knows, a majority follows it.
     pub fn is_leader(&self) -> bool {
         match &self.engine {
             Engine::Alone => true,
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The slot of the leader that it follows.
+    /// The slot of the leader that this voter follows.
     pub fn leader(&self) -> Option<u64> {
         match &self.engine {
             Engine::Alone => Some(self.voter_slot),
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Whether entries are accepted here that are not decided.
+    /// Whether this voter has accepted entries that are not decided.
     pub fn has_undecided(&self) -> bool {
         match &self.engine {
             Engine::Alone => false,
@@ -149,13 +151,13 @@
         }
     }
 
-    /// Entries of the epoch.
+    /// Number of log entries in this epoch.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
 
-    /// What has changed since the last call. Where only the decided index has, no message has to wait for it: if it is lost,
-    /// the other voters tell it again.
+    /// Returns the changes since the last call. If only the decided index has changed, no message has to wait
+    /// for the write: should it be lost, the other voters send it again.
     pub fn take_writes(&mut self) -> PendingWrites {
         let writes = self.log.take_writes();
         let must_be_durable =
@@ -163,7 +165,7 @@
         PendingWrites { writes, must_be_durable }
     }
 
-    /// The messages to other voters since the last call.
+    /// Returns the messages to other voters since the last call.
     pub fn take_messages(&mut self) -> Vec<ConsensusMessage> {
         let mut consensus_messages = Vec::new();
         if let Engine::Group(omnipaxos) = &mut self.engine {
@@ -172,7 +174,7 @@
         consensus_messages
     }
 
-    /// What was decided since the last call. To be called only when all writes so far are on disk.
+    /// Returns the steps decided since the last call. Must be called only when all writes so far are on disk.
     pub fn take_decided(&mut self) -> Vec<LogStep> {
         if self.is_epoch_over {
             return vec![];
--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -1,4 +1,4 @@
-//! The library's storage, kept in memory, with every change noted that must be on disk.
+//! The library's storage, kept in memory; it records every change that has to be written to disk.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
     type Snapshot = NoSnapshot;
 }
 
-/// A voter's log and ballots, as the library's storage holds them.
+/// A voter's log and ballots.
 #[derive(Default)]
 struct VoterLog {
     entries: Vec<Entry>,
     /// The highest ballot that the voter has promised to follow.
     promise: Option<Ballot>,
-    /// The ballot in which it accepted entries last.
+    /// The ballot in which the voter last accepted entries.
     accepted: Option<Ballot>,
-    /// How many entries are decided.
+    /// Number of decided entries.
     decided: usize,
     stop_sign: Option<StopSign>,
     /// Changes that are not on disk yet.
@@ -29,7 +29,7 @@
 }
 
 impl VoterLog {
-    /// Appends entries, and notes them to be written.
+    /// Appends entries and records them to be written.
     fn append(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             self.writes.push(StoreWrite::Log(self.entries.len() as u64, encode(&entry)));
@@ -38,12 +38,13 @@
     }
 }
 
-/// The storage of one voter. The library owns one handle, and the voter reads what has changed through another.
+/// Handle to the storage of one voter. The library owns one handle; the voter reads the changes through
+/// another.
 #[derive(Clone, Default)]
 pub(super) struct SharedLog(Rc<RefCell<VoterLog>>);
 
 impl SharedLog {
-    /// What the store holds of this epoch.
+    /// Restores the log from the store's contents.
     pub(super) fn restore(saved: &StoredState) -> SharedLog {
         let log = VoterLog {
             entries: saved.log.iter().map_while(|entry| postcard::from_bytes(entry).ok()).collect(),
@@ -56,7 +57,7 @@
         SharedLog(Rc::new(RefCell::new(log)))
     }
 
-    /// Entries of the epoch.
+    /// Number of log entries in this epoch.
     pub(super) fn len(&self) -> usize {
         self.0.borrow().entries.len()
     }
@@ -66,22 +67,22 @@
         self.0.borrow().entries.get(from..).map(<[Entry]>::to_vec).unwrap_or_default()
     }
 
-    /// How many entries are decided.
+    /// Number of decided entries.
     pub(super) fn decided(&self) -> usize {
         self.0.borrow().decided
     }
 
-    /// The ballot in which entries were accepted last.
+    /// The ballot in which entries were last accepted.
     pub(super) fn accepted(&self) -> Option<Ballot> {
         self.0.borrow().accepted
     }
 
-    /// Appends an entry without the library.
+    /// Appends an entry directly, without the library.
     pub(super) fn append(&self, entry: Entry) {
         self.0.borrow_mut().append(vec![entry]);
     }
 
-    /// The changes since the last call.
+    /// Returns the changes since the last call.
     pub(super) fn take_writes(&self) -> Vec<StoreWrite> {
         std::mem::take(&mut self.0.borrow_mut().writes)
     }
@@ -98,7 +99,8 @@
                 StorageOp::SetDecidedIndex(decided) => self.set_decided_idx(decided)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 StorageOp::SetStopsign(stop) => self.set_stopsign(stop)?,
-                // A long log ends with its epoch: nothing is trimmed or compacted within one.
+                // The log is never trimmed or compacted within an epoch: a long log is replaced by starting a
+                // new epoch.
                 StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => {}
             }
         }
@@ -169,7 +171,7 @@
 
     fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
         let mut log = self.0.borrow_mut();
-        // Epochs end by an entry of their own, so this is never written to disk.
+        // An epoch ends with a `Reconfigure` entry, so a stop sign is never written to disk.
         log.stop_sign = stop;
         Ok(())
     }
--- a/crates/fleet/src/context.rs
+++ b/crates/fleet/src/context.rs
@@ -1,4 +1,4 @@
-//! What a node knows: its own identity, the time, what was agreed, and whom it hears.
+//! Data that the fleet's modules share: the node's identity, the time, the replicated state and liveness.
 
 use std::collections::BTreeMap;
 
@@ -9,38 +9,39 @@
 use crate::state::{BootCount, Incarnation, State, VoterSlot};
 use crate::timing::{HEARTBEAT_MS, VOTER_SILENCE_MS};
 
-/// Read by the replica, the leader's controllers and the member; written by [`crate::Fleet`] alone.
+/// A node's identity and its view of the fleet. The replica, the leader's controllers and the member read it;
+/// only [`crate::Fleet`] writes it.
 pub(crate) struct Context {
-    /// This node.
+    /// The name of this node.
     pub name: UnitName,
-    /// The policy of its own configuration.
+    /// The policy from this node's own configuration.
     pub policy: FleetPolicy,
-    /// This process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// How often its store was opened.
+    /// How often this node's store was opened.
     pub boot_count: BootCount,
-    /// The time of the event that is handled.
+    /// The timestamp of the event that is being handled.
     pub now: Timestamp,
-    /// What was agreed, as far as it is known here.
+    /// The replicated state, as far as this node has applied the log.
     pub state: State,
-    /// The units that were heard.
+    /// The liveness of all units.
     pub liveness: Liveness,
-    /// When each voter answered this node last.
+    /// When each voter last replied to this node.
     pub voter_replies: BTreeMap<UnitName, Timestamp>,
 }
 
 impl Context {
-    /// What is known of a unit that counts as alive.
+    /// The liveness record of a unit, if it counts as alive.
     pub(crate) fn alive(&self, name: &UnitName) -> Option<&UnitLiveness> {
         self.liveness.alive(name, self.now)
     }
 
-    /// How far this node knows the log.
+    /// How far this node has applied the log.
     pub(crate) fn log_position(&self) -> LogPosition {
         LogPosition { epoch: self.state.epoch, applied: self.state.applied }
     }
 
-    /// The voters of this epoch but this node.
+    /// The voters of this epoch, without this node.
     pub(crate) fn other_voters(&self) -> impl Iterator<Item = &VoterSlot> {
         self.state.voter_slots.iter().filter(|voter_slot| voter_slot.name != self.name)
     }
@@ -49,17 +50,17 @@
         self.voter_replies.get(name).is_some_and(|replied_at| self.now.ms_since(*replied_at) < ms)
     }
 
-    /// Whether this voter is this node, or has answered it of late.
+    /// Whether this voter is this node, or has replied to it within [`VOTER_SILENCE_MS`].
     pub(crate) fn hears_voter(&self, name: &UnitName) -> bool {
         *name == self.name || self.has_reply_within(name, VOTER_SILENCE_MS)
     }
 
-    /// Whether any voter has answered of late.
+    /// Whether any voter has replied within [`VOTER_SILENCE_MS`].
     pub(crate) fn hears_any_voter(&self) -> bool {
         self.voter_replies.values().any(|replied_at| self.now.ms_since(*replied_at) < VOTER_SILENCE_MS)
     }
 
-    /// Whether a majority of the voters has answered of late, this one counted.
+    /// Whether a majority of the voters, this node included, has replied within two heartbeat intervals.
     pub(crate) fn hears_majority(&self) -> bool {
         let answers = |voter_slot: &&VoterSlot| {
             voter_slot.name == self.name || self.has_reply_within(&voter_slot.name, 2 * HEARTBEAT_MS)
--- a/crates/fleet/src/durable.rs
+++ b/crates/fleet/src/durable.rs
@@ -1,4 +1,4 @@
-//! A voter's store: one batch of writes at a time, and how far its disk is.
+//! A voter's store: batches of writes, at most one in flight, and the count of acknowledged batches on disk.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,21 @@
 use crate::policy::UnitName;
 use crate::store::{StoreKey, StoreWrite, StoredState, encode};
 
-/// What follows once a batch is on disk.
+/// What to do once a batch is on disk.
 pub(crate) enum AfterWrite {
     /// Nothing.
     Nothing,
-    /// These messages go out, and what the voter has decided counts.
+    /// Send these messages, and apply the entries that the voter has decided.
     Send(Vec<ConsensusMessage>),
-    /// The node votes in this slot.
+    /// Start voting in this slot.
     Vote(u64),
-    /// The node no longer votes.
+    /// Stop voting: the node has given up its slot.
     StateLost,
 }
 
 impl AfterWrite {
-    /// Whether other voters rest on the batch. Merely opening a store, or giving a slot up, must not make an older copy of
-    /// it look newer than it is.
+    /// Whether other voters rely on the batch. Only such batches raise the stamp: opening a store or giving
+    /// up a slot must not make an older copy of the store look newer than it is.
     fn is_acknowledged(&self) -> bool {
         matches!(self, AfterWrite::Send(_) | AfterWrite::Vote(_))
     }
@@ -34,50 +34,50 @@
     after: AfterWrite,
 }
 
-/// The store as it will be once all writes are done.
+/// The store's contents, including the batch in flight and its pending writes.
 pub(crate) struct DurableStore {
     saved: StoredState,
     last_batch: u64,
-    /// Acknowledged batches that are on disk.
+    /// Number of acknowledged batches that are on disk.
     stamp: u64,
     in_flight: Option<WriteInFlight>,
-    /// Written with the next batch that has to wait anyway.
+    /// Writes that no message waits for; they are added to the next batch.
     deferred: Vec<StoreWrite>,
 }
 
 impl DurableStore {
-    /// A store with what it held when it was opened.
+    /// Opens a store with the contents that were read from disk.
     pub(crate) fn open(saved: StoredState) -> DurableStore {
         let stamp = saved.value(StoreKey::Stamp).unwrap_or(0);
         DurableStore { saved, last_batch: 0, stamp, in_flight: None, deferred: Vec::new() }
     }
 
-    /// What the store holds, or will hold.
+    /// The store's contents, including the batch in flight.
     pub(crate) fn saved(&self) -> &StoredState {
         &self.saved
     }
 
-    /// Acknowledged batches that are on disk.
+    /// Number of acknowledged batches that are on disk.
     pub(crate) fn stamp(&self) -> u64 {
         self.stamp
     }
 
-    /// Whether a batch is not on disk yet.
+    /// Whether a batch is in flight.
     pub(crate) fn is_writing(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Adds writes that may be lost, to be made with the next batch.
+    /// Defers writes that may be lost in a crash to the next batch.
     pub(crate) fn defer(&mut self, writes: Vec<StoreWrite>) {
         self.deferred.extend(writes);
     }
 
-    /// Drops the writes that were deferred.
+    /// Drops the deferred writes.
     pub(crate) fn drop_deferred(&mut self) {
         self.deferred.clear();
     }
 
-    /// Begins to write a batch, with what the other voters are known to have on disk.
+    /// Starts writing a batch, which includes the highest durable marks received from the other voters.
     pub(crate) fn write(
         &mut self,
         writes: Vec<StoreWrite>,
@@ -95,7 +95,8 @@
         Action::Persist(self.last_batch, batch)
     }
 
-    /// A batch is on disk. What follows, if it is the one that was waited for.
+    /// Records that a batch is on disk and returns what to do next, or `None` if it is not the batch in
+    /// flight.
     pub(crate) fn finish_write(&mut self, batch: u64) -> Option<AfterWrite> {
         let finished = self.in_flight.take_if(|write| write.batch == batch)?;
         self.stamp = finished.stamp;
--- a/crates/fleet/src/endpoint_list.rs
+++ b/crates/fleet/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as this node has it.
+//! The endpoint list that this node has received.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,11 @@
 use crate::policy::{Place, UnitName};
 use crate::state::{EndpointState, Host, HostUpdate, ListedHost};
 
-/// A host that was out counts as ready after the list has shown it so for so long, in ms; as long as a lost node.
+/// How long, in ms, the list must show a host as ready before it counts as ready. The same time makes a
+/// silent node lost.
 const READY_MS: u64 = 5_000;
 
-/// Hosts named in one log entry: a list of thousands comes in parts, none of which fills a link.
+/// Maximum number of hosts in one log entry. A list of thousands is split, so that no entry saturates a link.
 const MAX_UPDATES: usize = 100;
 
 struct ListedEndpoint {
@@ -27,7 +28,7 @@
 }
 
 impl EndpointList {
-    /// Replaces the whole list. Hosts that it no longer names are kept as gone.
+    /// Replaces the whole list. Hosts that it no longer contains are kept as gone.
     pub(crate) fn replace(&mut self, now: Timestamp, listed: Vec<(UnitName, Place, EndpointState)>) {
         let mut before = std::mem::take(&mut self.endpoints);
         for (name, place, endpoint_state) in listed {
@@ -45,23 +46,24 @@
         self.is_connected = true;
     }
 
-    /// The list's service does not answer: what is known may be old.
+    /// Records that discovery does not respond, so the list may be out of date.
     pub(crate) fn disconnect(&mut self) {
         self.is_connected = false;
     }
 
-    /// Whether changes of the list are received now. A list that stands still shows a deploy's first host only.
+    /// Whether changes of the list are being received. A stale list would show only the first host of a
+    /// rolling deploy as draining.
     pub(crate) fn is_current(&self) -> bool {
         self.is_connected
     }
 
-    /// Whether a request to let a host out may be proposed.
+    /// Whether a request to drain a host may be proposed.
     pub(crate) fn may_drain_hosts(&self) -> bool {
         self.is_connected || is_injected(InjectedFault::ListNotCounted)
     }
 
-    /// What the log is to be told of the list, at most [`MAX_UPDATES`] hosts at once. A host that has been gone for
-    /// `forget_ms` is removed.
+    /// The differences between this list and the replicated state, at most [`MAX_UPDATES`] hosts at once. A
+    /// host that has been gone for `forget_ms` is removed.
     pub(crate) fn updates(
         &mut self,
         now: Timestamp,
@@ -76,7 +78,7 @@
         updates.take(MAX_UPDATES).collect()
     }
 
-    /// Hosts that this list never named are gone, as of now.
+    /// Adds hosts of the replicated state that this list never contained, as gone since now.
     fn add_unlisted(&mut self, now: Timestamp, hosts: &BTreeMap<UnitName, Host>) {
         for (name, host) in hosts {
             self.endpoints.entry(name.clone()).or_insert_with(|| ListedEndpoint {
@@ -88,7 +90,7 @@
     }
 }
 
-/// What is to be said of one host.
+/// A change of one host.
 enum EndpointUpdate {
     Set(ListedHost),
     Remove,
@@ -104,7 +106,7 @@
 }
 
 impl ListedEndpoint {
-    /// What is to be said of this host, given what was agreed of it; `None` if nothing is.
+    /// The change to propose for this host, given its replicated state; `None` if there is none.
     fn update_of(&self, agreed: Option<&Host>, now: Timestamp, forget_ms: u64) -> Option<EndpointUpdate> {
         let unchanged_ms = now.ms_since(self.since);
         let is_agreed = |host: &Host| host.listed == self.endpoint_state && host.place == self.place;
@@ -115,7 +117,7 @@
                     return Some(EndpointUpdate::Remove);
                 }
             }
-            // A host that flaps between ready and draining must not count as back each time.
+            // A host that flaps between ready and draining must not count as ready each time.
             EndpointState::Ready if unchanged_ms < READY_MS => return None,
             EndpointState::Ready | EndpointState::Draining => {}
         }
--- a/crates/fleet/src/fault_injection.rs
+++ b/crates/fleet/src/fault_injection.rs
@@ -1,34 +1,34 @@
-//! Faults that tests inject to show that their checkers notice them. Without the feature `fault-injection`, which only
-//! tests switch on, there is none.
+//! Faults that tests inject to prove that their checks detect them. Without the feature `fault-injection`,
+//! which only tests enable, no fault can be injected.
 
 /// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Limits do not count what is lost unplanned.
+    /// Limits do not count lost units.
     LostNotCounted,
-    /// A release's turns are granted while it is halted.
+    /// Leases for a release are granted while it is halted.
     GrantWhileHalted,
     /// A lease that is no longer in force lets its unit begin.
     StaleLeaseBegins,
-    /// A halted release's units may still begin.
+    /// Units of a halted release may still begin their drain.
     BeginWhileHalted,
-    /// After a loss of all processes a release goes on by itself.
+    /// A running release is not halted after all voters have restarted.
     NoHaltAfterRestart,
-    /// A unit goes out on a begin of any age.
+    /// A unit starts draining however long ago it asked to begin.
     StaleBeginRequest,
-    /// A unit goes out as soon as it is granted, without asking to begin.
+    /// A unit starts draining as soon as it is granted a lease, without asking to begin.
     DrainOnGrant,
-    /// A voter that comes back with an older disk votes.
+    /// A voter that restarts with an older copy of its store votes.
     OutdatedStoreVotes,
-    /// What is to go out does not wait for the disk.
+    /// Messages are sent before the writes that they depend on are on disk.
     SendBeforeDurable,
-    /// A unit is taken for back as soon as it is heard.
+    /// A unit counts as back as soon as a heartbeat arrives.
     ServingWhenHeard,
-    /// A host is said to be empty though a lost node may hold connections there.
+    /// A host is reported empty although a lost node may hold connections to it.
     EmptyIgnoresLost,
-    /// Hosts that the list shows as out are not counted.
+    /// Limits do not count hosts that the endpoint list shows as draining or gone.
     ListNotCounted,
-    /// A host is back before all nodes have heard so.
+    /// A host counts as back before all nodes have applied its return.
     HostReturnedEarly,
 }
 
@@ -37,7 +37,7 @@
     static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Injects a fault on this thread, or none.
+/// Injects a fault on this thread; `None` removes it.
 #[cfg(feature = "fault-injection")]
 pub fn inject(fault: Option<InjectedFault>) {
     INJECTED.set(fault);
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes.
+//! Handling of messages from other nodes.
 
 use super::Fleet;
 use crate::Timestamp;
@@ -10,7 +10,7 @@
 use crate::state::State;
 
 impl Fleet {
-    /// A message of another node has come.
+    /// Handles a message from another node.
     pub fn heard(&mut self, now: Timestamp, sender: &UnitName, envelope: Envelope) {
         self.context.now = now;
         if let Some(mark) = envelope.durable_mark {
@@ -45,13 +45,13 @@
         let now = self.context.now;
         self.context.liveness.record(sender, heartbeat, proved_at, now, HeartbeatSource::Direct);
         if self.context.liveness.is_duplicate(sender) && !was_duplicate {
-            self.log(format!("two living processes give the name {sender}"));
+            self.log(format!("two live processes use the node name {sender}"));
         }
         let update = self.log_tail.update_for(&self.context.state, position);
         self.send_reply(sender, update);
     }
 
-    /// Answers a heartbeat, or sends what was decided since.
+    /// Replies to a heartbeat, or sends decided steps unsolicited.
     pub(super) fn send_reply(&mut self, receiver: &UnitName, log_update: LogUpdate) {
         let reply = HeartbeatReply {
             echo: self.echo(),
@@ -70,7 +70,8 @@
         self.context.voter_replies.insert(sender.clone(), now);
         let known_echo = self.echoes.insert(sender.clone(), reply.echo);
         if known_echo.is_none_or(|known| known.incarnation != reply.echo.incarnation) {
-            // The next heartbeat is the first that proves anything to this process of the voter.
+            // This is a new process of the voter. It accepts only its own echoes as proof, so send one
+            // immediately.
             self.next_heartbeat = now;
         }
         if reply.leader.as_ref() == Some(sender) {
@@ -100,7 +101,7 @@
     fn receive_update(&mut self, update: LogUpdate) {
         match update {
             LogUpdate::None => {}
-            // A voter learns of its own epoch by its replica alone.
+            // A voter applies the steps of its own epoch only through its replica.
             LogUpdate::Since(position, steps) => {
                 let is_next = position == self.context.log_position();
                 if !self.replica.is_voting() && is_next && self.context.state.policy.is_some() {
@@ -120,7 +121,7 @@
         if !is_further || (self.replica.is_voting() && !is_new_epoch) {
             return;
         }
-        // The slot can change only once the store's last batch is on disk.
+        // The voter slot can change only once the batch in flight is on disk.
         if is_new_epoch && self.replica.is_writing() {
             return;
         }
@@ -131,7 +132,8 @@
         }
     }
 
-    /// A message of another epoch, or of another node than the holder of its slot, is no vote.
+    /// Handles a consensus message. Messages of another epoch, from a node that does not hold the sender's
+    /// slot, or for another slot are ignored.
     fn receive_consensus(&mut self, sender: &UnitName, epoch: u32, message: ConsensusMessage) {
         let state = &self.context.state;
         let is_from_holder = state.voter_slot(message.get_sender()).is_some_and(|slot| slot.name == *sender);
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Answers the leader with the units that this node itself hears.
+    /// Replies to the leader with the units that this node hears directly.
     fn find_units(&mut self, sender: &UnitName, echo: Echo, names: &[UnitName]) {
         let find = |name: &UnitName| {
             let known = self.context.alive(name).filter(|known| known.source == HeartbeatSource::Direct)?;
@@ -155,7 +157,8 @@
     }
 
     fn receive_found_units(&mut self, echo: Echo, found: Vec<FoundUnit>) {
-        // A unit was alive so long before the other voter answered, and that was after this node had asked.
+        // The other voter measured each age when it replied, which was after this node had asked. So the time
+        // of asking minus the age is a lower bound of the time at which the unit was alive.
         let Some(asked_at) = self.own_moment(echo) else { return };
         let now = self.context.now;
         for FoundUnit { name, heartbeat, age_ms } in found {
@@ -163,12 +166,12 @@
         }
     }
 
-    /// Now, to be said back.
+    /// The current time, to be sent back by the receiver.
     fn echo(&self) -> Echo {
         Echo { incarnation: self.context.incarnation, at: self.context.now.0 }
     }
 
-    /// The moment that an echo names, if it is one of this process.
+    /// The time of an echo, if it comes from this process.
     fn own_moment(&self, echo: Echo) -> Option<Timestamp> {
         (echo.incarnation == self.context.incarnation).then_some(Timestamp(echo.at))
     }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! [`Fleet`]: one node's part in its fleet, as the host of this crate drives it.
+//! [`Fleet`]: the membership of one node in its fleet, driven by the caller's events.
 
 mod messages;
 mod queries;
@@ -27,10 +27,11 @@
 use crate::store::StoreKey;
 use crate::timing::HEARTBEAT_MS;
 
-/// A node's part in its fleet: its voter slot, if it has one, what it knows of what was agreed, and what it is to do.
+/// The membership of one node in its fleet: its voter slot, if it has one, its copy of the replicated state,
+/// and its pending actions.
 ///
-/// It does no I/O and has no clock. Its host reports events with the time at which they happened, and carries out the
-/// actions that it takes after each.
+/// It does no I/O and reads no clock. The caller reports events with their timestamps, and carries out the
+/// actions that it takes after each event.
 pub struct Fleet {
     context: Context,
     version: String,
@@ -46,22 +47,22 @@
     avoidance: HostAvoidance,
     requests: Requests,
     longest_log: usize,
-    /// The moments that voters named last, to be said back to them.
+    /// The last echo of each voter, to be sent back to it.
     echoes: BTreeMap<UnitName, Echo>,
-    /// The leader as a voter named it last, and when.
+    /// The leader that a voter last named, and when.
     leader: Option<(UnitName, Timestamp)>,
-    /// How far a leader has said that the log goes, since this process began.
+    /// The highest applied position that a leader has reported since this process started.
     leader_applied: Option<u64>,
-    /// When a leader spoke last.
+    /// When a reply from a leader was last received.
     leader_heard_at: Option<Timestamp>,
     next_heartbeat: Timestamp,
     next_tick: Timestamp,
-    /// Counts the requests that were sent to some voter, for want of a leader.
+    /// Number of requests that were sent to an arbitrary voter because no leader was known.
     requests_forwarded: usize,
 }
 
 impl Fleet {
-    /// A node that starts now.
+    /// Creates a node that starts now.
     pub fn new(config: FleetConfig, now: Timestamp) -> Fleet {
         let FleetConfig { name, policy, incarnation, seed, version, saved, spoilt, longest_log } = config;
         let boot_count = saved.as_ref().map_or(0, |saved| saved.value(StoreKey::BootCount).unwrap_or(0) + 1);
@@ -110,7 +111,7 @@
 
     // Events.
 
-    /// Time has passed; to be called at least ten times a second, with what the node reports of itself.
+    /// Advances the time. Must be called at least ten times a second, with the node's current status.
     pub fn tick(&mut self, now: Timestamp, node_status: NodeStatus) {
         self.context.now = now;
         let has_changed = node_status.drained != self.node_status.drained
@@ -122,7 +123,7 @@
         self.avoidance.record_count();
         self.member.note_totals(now, &self.node_status);
         if now >= self.next_tick {
-            // Ticks that a stopped process has missed are not made up for.
+            // Ticks that were missed while the process was stopped are skipped.
             self.next_tick = now.plus_ms(TICK_MS);
             self.control();
         }
@@ -132,7 +133,7 @@
         self.run_replica();
     }
 
-    /// A link to or from this peer has come up; messages that were under way may be lost.
+    /// Records that a link to or from this peer was established. Messages that were in transit may be lost.
     pub fn linked(&mut self, now: Timestamp, peer: &UnitName) {
         self.context.now = now;
         let peer_slot = self.context.state.voter_slot_of(peer).map(|voter_slot| voter_slot.number);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// That batch of [`Action::Persist`] is on disk for good.
+    /// Records that this batch of [`Action::Persist`] is durable on disk.
     pub fn written(&mut self, now: Timestamp, batch: u64) {
         self.context.now = now;
         let decided = self.replica.finish_write(&self.context, batch, &mut self.actions);
@@ -153,41 +154,42 @@
         }
     }
 
-    /// The store has failed: this node votes no more until it is started anew.
+    /// Records that the store has failed. This node does not vote again until it is restarted.
     pub fn disk_died(&mut self, now: Timestamp, why: &str) {
         self.context.now = now;
         self.replica.lose_store();
         self.leadership = Leadership::default();
-        self.log(format!("the store counts as dead, this node gives up its vote: {why}"));
+        self.log(format!("the store has failed, this node no longer votes: {why}"));
     }
 
-    /// The whole endpoint list as the node has it now.
+    /// Replaces the endpoint list.
     pub fn hosts_listed(&mut self, now: Timestamp, listed: Vec<(UnitName, Place, EndpointState)>) {
         self.context.now = now;
         self.endpoint_list.replace(now, listed);
     }
 
-    /// The endpoint list's service does not answer: what is known may be old.
+    /// Records that discovery does not respond, so the endpoint list may be out of date.
     pub fn list_lost(&mut self, now: Timestamp) {
         self.context.now = now;
         self.endpoint_list.disconnect();
     }
 
-    /// An operator vouches for this node's store: it votes without waiting for voters that are gone for good. If the store
-    /// had forgotten something after all, decided entries may be lost. Returns whether there was anything to wait for.
+    /// Records that an operator trusts this node's store: it votes without the confirmation of voters that
+    /// are permanently lost. If the store lacks acknowledged entries after all, decided entries may be lost.
+    /// Returns whether the node was waiting for confirmations.
     pub fn trust(&mut self, now: Timestamp) -> bool {
         self.context.now = now;
         self.replica.trust_store()
     }
 
-    /// What is to be done since the last call, in this order.
+    /// Returns the actions since the last call, in the order in which they are to be carried out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     // Steps.
 
-    /// What is to be looked at a few times a second.
+    /// Runs the periodic checks, at most once in [`TICK_MS`].
     fn control(&mut self) {
         let change = self.replica.update_status(&self.context, &mut self.actions);
         self.end_leadership_if(change);
@@ -224,7 +226,7 @@
         }
     }
 
-    /// What is agreed for this unit, and for the hosts that it is to avoid, is carried out.
+    /// Acts on the replicated state: this unit's own drain, and the hosts that it has to avoid.
     fn follow_state(&mut self) {
         let is_leader = self.leads();
         match self.member.follow(&self.context, &self.node_status, is_leader) {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Takes steps until the disk has to be waited for.
+    /// Runs replica steps until no input is left or a write has to finish first.
     fn run_replica(&mut self) {
         while let Some(decided) = self.replica.step(&self.context, &mut self.actions) {
             self.apply_decided(decided);
@@ -263,7 +265,8 @@
         self.follow_state();
     }
 
-    /// The leader sends what was decided to all that it hears, so that nobody waits for its next heartbeat.
+    /// Sends decided steps to all units that the leader hears directly, so that none has to wait for its next
+    /// heartbeat.
     fn push_update(&mut self, update: &LogUpdate) {
         let Context { name: own_name, now, liveness, .. } = &self.context;
         let is_heard = |name: &UnitName, source: HeartbeatSource, alive_at: Timestamp| {
@@ -296,7 +299,8 @@
         self.replica.enter_epoch(&self.context, &mut self.actions);
     }
 
-    /// What a leader remembers is of its term: without its voter slot this node leads no more.
+    /// Discards the leader's state if this node gave up its voter slot, since it is then no longer the
+    /// leader.
     fn end_leadership_if(&mut self, change: SlotChange) {
         match change {
             SlotChange::GivenUp => self.leadership = Leadership::default(),
@@ -316,7 +320,7 @@
     }
 
     fn send_heartbeats(&mut self) {
-        // Jittered by a tenth: a fleet that was started at once must not speak at once for ever.
+        // A jitter of a tenth spreads the heartbeats of nodes that were started at the same time.
         let jitter = self.random.generate_range(0..HEARTBEAT_MS / 10);
         self.next_heartbeat = self.context.now.plus_ms(HEARTBEAT_MS - jitter);
         let heartbeat = self.own_heartbeat();
--- a/crates/fleet/src/fleet/queries.rs
+++ b/crates/fleet/src/fleet/queries.rs
@@ -1,4 +1,4 @@
-//! What a node knows of its fleet.
+//! Queries about what a node knows of its fleet.
 
 use std::collections::BTreeSet;
 
@@ -10,31 +10,33 @@
 use crate::timing::{HEARTBEAT_MS, VOTER_SILENCE_MS};
 use crate::view::FleetView;
 
-/// A leader that was heard of counts as such for so long, in ms.
+/// Time, in ms, for which a leader that a voter has named counts as known.
 const LEADER_KNOWN_MS: u64 = 3 * HEARTBEAT_MS;
 
 impl Fleet {
-    /// What was agreed, as far as it is known here.
+    /// The replicated state, as far as this node has applied the log.
     pub fn state(&self) -> &State {
         &self.context.state
     }
 
-    /// The nodes that this one is to be linked to: all voters of the policy, and whoever holds a voter slot.
+    /// The nodes that this one keeps links to: all voters of the policy and all current holders of voter
+    /// slots, without itself.
     pub fn voters(&self) -> BTreeSet<UnitName> {
         let Context { name, policy, state, .. } = &self.context;
         let current = state.voter_slots.iter().map(|voter_slot| &voter_slot.name);
         policy.voters.iter().chain(current).filter(|voter| *voter != name).cloned().collect()
     }
 
-    /// Whether it has applied all that a leader has told it of. A process that has just begun knows the log as its own
-    /// disk has it, and must not do what has long been undone.
+    /// Whether this node has applied everything that a leader has reported to it. A process that has just
+    /// started knows only the log on its own disk, and must not act on commands that were reversed since.
     pub fn is_current(&self) -> bool {
         let has_applied_all =
             self.leader_applied.is_some_and(|applied| self.context.state.applied >= applied);
         self.context.state.policy.is_some() && (has_applied_all || self.leads())
     }
 
-    /// Whether it is current, and hears a leader that a majority follows.
+    /// Whether this node is current and in contact with the leader; if it is the leader itself, with a
+    /// majority of the voters.
     pub fn hears_leader(&self) -> bool {
         if !self.is_current() {
             return false;
@@ -45,12 +47,12 @@
         self.leader_heard_at.is_some_and(|at| self.context.now.ms_since(at) < VOTER_SILENCE_MS)
     }
 
-    /// Whether this node leads.
+    /// Whether this node is the leader.
     pub fn leads(&self) -> bool {
         self.replica.is_leader()
     }
 
-    /// The lease under which this process is out, and its cause.
+    /// The lease under which this process is out and its cause, if it is out.
     pub fn is_out(&self) -> Option<(Lease, Cause)> {
         self.member.drain().map(|drain| (drain.lease, drain.cause))
     }
@@ -60,17 +62,18 @@
         self.context.boot_count
     }
 
-    /// How the node's store stands to its voter slot.
+    /// The status of the node's store as a voter.
     pub fn voter_status(&self) -> VoterStatus {
         self.replica.status()
     }
 
-    /// Whether the host may stop: the fleet found it empty, and by all that this leader hears now it is.
+    /// Whether the host may stop: it is marked empty in the log, and all current reports to this leader
+    /// confirm it.
     pub fn may_stop(&self, host: &UnitName) -> bool {
         self.leads() && self.hosts.may_stop(&self.context, host)
     }
 
-    /// What operators are shown.
+    /// The status shown to operators.
     pub fn view(&self) -> FleetView<'_> {
         let Context { name, state, liveness, .. } = &self.context;
         let voters = state.voter_slots.iter().map(|voter_slot| &voter_slot.name);
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The leader, as far as it is known here.
+    /// The leader, if this node knows it.
     pub(super) fn leader(&self) -> Option<&UnitName> {
         if self.leads() {
             return Some(&self.context.name);
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and of this node, and what a leader proposes of them.
+//! Requests from operators and nodes, and which of them a leader proposes.
 
 use super::Fleet;
 use crate::Timestamp;
@@ -10,7 +10,7 @@
 use crate::state::{Command, CommandResult, Entry, RequestId};
 
 impl Fleet {
-    /// An operator's request; its result comes as [`Action::Reply`] within a second.
+    /// Submits an operator's request. Its result is returned as [`Action::Reply`] within a second.
     pub fn ask(&mut self, now: Timestamp, id: RequestId, command: Command) {
         self.context.now = now;
         if let Some(result) = self.context.state.result_of(&id) {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Proposes a command if this node leads; otherwise sends it to the leader, or to a voter that may know it.
+    /// Proposes a command if this node is the leader; otherwise sends it to the leader, or to a voter that
+    /// may know the leader.
     pub(super) fn submit(&mut self, id: Option<RequestId>, command: Command) {
         if self.leads() {
             return self.propose(Entry { id, command });
@@ -51,23 +52,24 @@
         }
     }
 
-    /// The voters in turn.
+    /// The next voter in round-robin order.
     fn next_voter(&mut self) -> Option<UnitName> {
         let voters: Vec<UnitName> = self.voters().into_iter().collect();
         self.requests_forwarded += 1;
         voters.get(self.requests_forwarded % voters.len().max(1)).cloned()
     }
 
-    /// Another node's request.
+    /// Handles a request from another node.
     pub(super) fn receive_request(&mut self, sender: &UnitName, id: Option<RequestId>, command: Command) {
-        // What only a leader may propose would end an epoch, or take a unit for back, on another's word.
+        // Leader-only commands, such as ending an epoch or marking a unit as serving, must not be proposed on
+        // another node's behalf.
         if command.is_leader_only() {
             return;
         }
         if self.leads() {
             return self.propose(Entry { id, command });
         }
-        // Two voters that take each other for the leader would pass it to and fro for ever.
+        // Two voters that take each other for the leader would forward the request back and forth forever.
         if self.context.state.voter_slot_of(sender).is_some() {
             return;
         }
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Proposes a request, or drops it: whoever asked asks again.
+    /// Proposes a request, or drops it; the sender retries.
     fn propose(&mut self, entry: Entry) {
         if self.may_propose(&entry) {
             self.replica.enqueue(Input::Propose(entry));
@@ -84,18 +86,20 @@
     }
 
     fn may_propose(&self, entry: &Entry) -> bool {
-        // A request that waits for a majority would be carried out when there is one again, long after its operator was
-        // told that nothing had been decided.
+        // Without a majority, the request would be carried out once there is one again, long after the
+        // operator was told that it had not been decided.
         if entry.id.is_some() && !self.context.hears_majority() {
             return false;
         }
         match &entry.command {
             Command::Drain { unit } => {
-                // While its list stands still, a deploy that nobody counts may be under way among the hosts.
+                // While the endpoint list is not updated, a rolling deploy of the hosts may be running that
+                // the limits do not count.
                 let is_host = self.context.state.hosts.contains_key(unit);
                 self.leadership.may_grant(&self.context) && (!is_host || self.endpoint_list.may_drain_hosts())
             }
-            // After a loss of all voters the halt is not in the log yet, and a begin that came before it would count.
+            // After a restart of all voters the halt of the release is not in the log until the voters are
+            // recorded, and a drain that began before it would be accepted.
             Command::BeginDrain { .. } => are_voters_recorded(&self.context),
             _ => true,
         }
--- a/crates/fleet/src/host_avoidance.rs
+++ b/crates/fleet/src/host_avoidance.rs
@@ -1,4 +1,4 @@
-//! Which hosts this node keeps away from, by what was agreed.
+//! Hosts that this node avoids, derived from the replicated state.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::policy::{HostSettings, UnitName};
 use crate::state::State;
 
-/// What a node was told to avoid, and how fast it is to leave.
+/// Hosts to avoid, and the interval at which one connection to them is migrated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Avoidance {
     hosts: BTreeSet<UnitName>,
@@ -16,8 +16,8 @@
 impl Avoidance {
     fn agreed(state: &State, settings: &HostSettings) -> Avoidance {
         let hosts = state.hosts.iter().filter(|(_, host)| host.is_wanted_out());
-        // The rate is the whole fleet's. Shared among the units that are heard, it would let those that are cut off go
-        // too fast.
+        // The configured rate is for the whole fleet. It is divided among all units: divided among the live
+        // ones only, it would let units that are partitioned off migrate too fast.
         let units = state.units.len().max(1) as u64;
         Avoidance {
             hosts: hosts.map(|(name, _)| name.clone()).collect(),
@@ -26,26 +26,26 @@
     }
 }
 
-/// Keeps the node told.
+/// Tracks which hosts the node was told to avoid, and tells it when they change.
 #[derive(Default)]
 pub(crate) struct HostAvoidance {
     told: Option<Avoidance>,
-    /// Whether the node has counted its connections since it was told.
+    /// Whether the node has counted its connections since it was last told.
     has_counted: bool,
 }
 
 impl HostAvoidance {
-    /// The node has counted its connections.
+    /// Records that the node has counted its connections.
     pub(crate) fn record_count(&mut self) {
         self.has_counted = self.told.is_some();
     }
 
-    /// Whether the node's counts hold for the hosts that it is to avoid now.
+    /// Whether the node's last connection count was taken while it avoided the current set of hosts.
     pub(crate) fn has_counted(&self) -> bool {
         self.has_counted
     }
 
-    /// Tells the node which hosts to avoid, if that has changed.
+    /// Returns the action that tells the node which hosts to avoid, if that has changed.
     pub(crate) fn update(&mut self, state: &State) -> Option<Action> {
         let agreed = Avoidance::agreed(state, state.host_settings()?);
         if self.told.as_ref() == Some(&agreed) {
@@ -56,7 +56,7 @@
         if has_nothing_to_avoid {
             return None;
         }
-        // What was counted so far was counted while the node still went there.
+        // The last count was taken while the node could still open connections to these hosts.
         self.has_counted = false;
         Some(Action::AvoidHosts { hosts: agreed.hosts, every_ms: agreed.every_ms })
     }
--- a/crates/fleet/src/leader/gates.rs
+++ b/crates/fleet/src/leader/gates.rs
@@ -1,4 +1,5 @@
-//! What ends a release: losses, units that stay out, and changed units that do worse than before and than the others.
+//! Gates that halt a release: lost units, units that stay out too long, and changed units that perform worse
+//! than before and than unchanged units.
 
 use super::units::UnitController;
 use crate::context::Context;
@@ -6,24 +7,24 @@
 use crate::state::{CallCounts, Cause, Release};
 use crate::timing::ALIVE_MS;
 
-/// Why a release has to halt. The texts are shown to operators.
+/// Why a release must halt. The texts are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum GateFailure {
     #[error("{lost} units are lost unplanned, at most {most} may be")]
     Losses { lost: usize, most: u32 },
-    #[error("{unit} has been out for {limit_s} s")]
+    #[error("{unit} has been out for {limit_s} s, the longest allowed")]
     OutTooLong { unit: UnitName, limit_s: u32 },
-    #[error("{unit}: {now} calls wait, {before} did before")]
+    #[error("{unit}: {now} calls are waiting, {before} before its change")]
     Waiting { unit: UnitName, now: u32, before: u32 },
-    #[error("{unit}: {now} hosts are down to it, {before} were before")]
+    #[error("{unit}: {now} hosts are ejected, {before} before its change")]
     HostsDown { unit: UnitName, now: u32, before: u32 },
     #[error("{unit}: {failed} of 1000 calls fail, at most {most} may")]
     Failures { unit: UnitName, failed: i64, most: i64 },
-    #[error("{unit}: {busy} of 1000 calls are turned away, at most {most} may be")]
+    #[error("{unit}: {busy} of 1000 calls are rejected because of load, at most {most} may be")]
     Rejections { unit: UnitName, busy: i64, most: i64 },
 }
 
-/// Calls per thousand that went wrong.
+/// Failed and rejected calls, per thousand calls.
 #[derive(Clone, Copy, Default)]
 struct Rates {
     failed: i64,
@@ -37,7 +38,7 @@
     }
 }
 
-/// The first gate that the release has failed, if any.
+/// The first gate that the release fails, if any.
 pub(super) fn failed_gate(
     context: &Context,
     release: &Release,
@@ -73,8 +74,8 @@
     too_long.map(|(name, _)| name)
 }
 
-/// In a bad hour all units fail more than before. Only what changed units have more than unchanged ones counts against the
-/// release.
+/// The mean rates of the unchanged units. During an incident all units fail more calls than before, so only
+/// what changed units exceed the unchanged ones by counts against the release.
 fn mean_of_unchanged(context: &Context, release: &Release) -> Rates {
     let gates = &release.plan.gates;
     let unchanged: Vec<Rates> = context
--- a/crates/fleet/src/leader/hosts.rs
+++ b/crates/fleet/src/leader/hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts: what the endpoint list shows goes into the log, and hosts that are out are watched until they may stop or are
-//! back.
+//! Host controller: proposes changes of the endpoint list, and watches hosts that are out until they are
+//! empty or back.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 use crate::state::{Command, HoldState, Host, HostHold, Unit};
 use crate::view::DrainingHost;
 
-/// The controller looks through its list once in this time, in ms, and proposes the same again after it.
+/// Interval, in ms, at which the controller runs and repeats proposals that were not decided.
 const CONTROL_INTERVAL_MS: u64 = 1_000;
 
-/// The lease of a host, and how far the log was applied when it was seen.
+/// The hold of a host, and the log position at which it was first observed.
 #[derive(Clone, Copy)]
 struct ObservedHold {
     held: HostHold,
     applied: u64,
 }
 
-/// Watches the endpoint list and the hosts that are out.
+/// Watches the endpoint list and the hosts that are held out.
 #[derive(Default)]
 pub(crate) struct HostController {
     controlled_at: Option<Timestamp>,
@@ -30,7 +30,7 @@
 }
 
 impl HostController {
-    /// Proposes what has changed.
+    /// Returns proposals for changed hosts, at most once in [`CONTROL_INTERVAL_MS`].
     pub(super) fn control(&mut self, context: &Context, list: &mut EndpointList) -> Vec<LeaderAction> {
         let Some(settings) = context.state.host_settings() else { return vec![] };
         let forget_ms = u64::from(settings.forget_after_s) * 1_000;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether the host may stop: the fleet found it empty, and by all that is heard now it is.
+    /// Whether the host may stop: it is marked empty in the log, and all current reports confirm it.
     pub(crate) fn may_stop(&self, context: &Context, host: &UnitName) -> bool {
         let Some(observed) = self.observed.get(host) else { return false };
         let agreed = context.state.hosts.get(host).and_then(|host| host.held).map(|held| held.hold);
@@ -71,7 +71,7 @@
             && is_empty(context, host, observed.applied)
     }
 
-    /// Who still holds what at hosts that are to be empty.
+    /// The hosts that are being drained, with the nodes that still hold connections there.
     pub(crate) fn draining_hosts<'a>(&self, context: &'a Context) -> Vec<DrainingHost<'a>> {
         let hosts = context.state.hosts.iter().filter(|(_, host)| Host::is_wanted_out(host));
         let is_unheard = |(name, unit): &(&UnitName, &Unit)| !unit.dead && context.alive(name).is_none();
@@ -101,7 +101,7 @@
     }
 }
 
-/// Nodes that are heard to hold connections at this host, and how many.
+/// Number of connections and attempts that each live node reports at this host.
 fn holders<'a>(context: &'a Context, host: &UnitName) -> BTreeMap<&'a UnitName, u32> {
     let held_by = |name: &'a UnitName| {
         let holds = &context.alive(name)?.heartbeat.holds;
@@ -111,12 +111,14 @@
     context.state.units.keys().filter_map(held_by).collect()
 }
 
-/// Whether every unit has reported, knowing that the host is out since this point of the log, that it holds nothing there.
+/// Whether every unit that is not confirmed dead reports, after applying the log up to this position, that it
+/// holds nothing at the host.
 fn is_empty(context: &Context, host: &UnitName, applied: u64) -> bool {
     context.state.units.iter().all(|(name, unit)| {
         let is_passed_over = unit.dead || (unit.lost && is_injected(InjectedFault::EmptyIgnoresLost));
         let reports_nothing = context.alive(name).is_some_and(|known| {
-            // A unit that knows more of the log than this leader may use the host again, and no longer reports it.
+            // A unit that has applied more of the log than this leader may already use the host again without
+            // reporting it.
             let knows_the_same = (applied..=context.state.applied).contains(&known.heartbeat.have.applied);
             let holds = known.heartbeat.holds.as_ref();
             knows_the_same && holds.is_some_and(|holds| !holds.iter().any(|(held, _)| held == host))
@@ -125,8 +127,8 @@
     })
 }
 
-/// Whether every unit that is heard has applied the log so far. A lost one that still keeps away from a host only spares
-/// it.
+/// Whether every unit that is not lost has applied the log up to this position. A lost unit that still avoids
+/// the host does no harm: it only sends the host less load.
 fn all_have_applied(context: &Context, applied: u64) -> bool {
     context.state.units.iter().all(|(name, unit)| {
         unit.lost || context.alive(name).is_some_and(|known| known.heartbeat.have.applied >= applied)
--- a/crates/fleet/src/leader/mod.rs
+++ b/crates/fleet/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! The leader's controllers: who is lost or back, which unit a release changes next, when a release halts, which hosts
-//! may stop, and who votes.
+//! The leader's controllers: they decide which units are lost or back, which unit a release changes next,
+//! when a release halts, which hosts may stop, and which nodes vote.
 //!
-//! They only propose. What an entry does is judged where it stands in the log, so that a leader that is none any more does
-//! no harm.
+//! They only propose. Each entry is validated when it is applied, at its position in the log, so a deposed
+//! leader does no harm.
 
 mod gates;
 mod hosts;
@@ -27,16 +27,16 @@
 use crate::state::{Command, Unit};
 use crate::timing::LOST_MS;
 
-/// How the leader's own replica stands.
+/// Status of the leader's own replica.
 #[derive(Clone, Copy)]
 pub(crate) struct ReplicaStatus {
-    /// Entries were accepted that are not decided.
+    /// Whether there are accepted entries that are not decided.
     pub has_undecided: bool,
-    /// Entries of this epoch's log.
+    /// Number of entries in this epoch's log.
     pub log_length: usize,
 }
 
-/// What a leader remembers in its term.
+/// State of a leader during its term.
 #[derive(Default)]
 pub(crate) struct Leadership {
     since: Option<Timestamp>,
@@ -47,7 +47,7 @@
 }
 
 impl Leadership {
-    /// One look at everything, a few times a second while this node leads.
+    /// Runs all controllers. Called at each tick while this node is the leader.
     pub(crate) fn control(
         &mut self,
         context: &Context,
@@ -81,7 +81,7 @@
         actions
     }
 
-    /// Which processes make up the group is in the log before anything else is done.
+    /// Proposes to record the running voter processes in the log, which comes before all other proposals.
     fn record_voters(&mut self, context: &Context) -> Option<LeaderAction> {
         let voters = active_voters(context);
         if !is_majority(voters.len(), context) {
@@ -90,16 +90,19 @@
         self.proposals.propose(context.now, "reign".into(), Command::LeaderStarted { voters })
     }
 
-    /// Whether a new leader has led for long enough to know who is lost. Before that it has not heard everyone yet.
+    /// Whether the leader has led for long enough to know which units are lost. Before that, heartbeats of
+    /// live units may still be outstanding.
     fn knows_losses(&self, now: Timestamp) -> bool {
         self.since.is_some_and(|since| now.ms_since(since) >= LOST_MS)
     }
 
-    /// Whether this leader may let units out. A new one may not know yet who was lost meanwhile, and would grant the room
-    /// that those use up; unless it heard all that count as serving before it led.
+    /// Whether this leader may grant leases. A new leader may not know yet which units were lost in the
+    /// meantime, and would exceed the limits that they count against. So it waits, unless every unit that
+    /// counts as serving was heard serving.
     pub(crate) fn may_grant(&self, context: &Context) -> bool {
         let is_accounted_for = |(name, unit): (&UnitName, &Unit)| {
-            // One that counts as serving and came back a moment ago, unseen, may have been away for long.
+            // A unit that counts as serving may have been away for a long time and just returned, so its last
+            // heartbeat must say that it serves.
             let is_serving = context.liveness.get(name).is_some_and(|known| {
                 context.now.ms_since(known.alive_at) < LOST_MS && known.heartbeat.serving
             });
--- a/crates/fleet/src/leader/quorum.rs
+++ b/crates/fleet/src/leader/quorum.rs
@@ -1,11 +1,11 @@
-//! Which voters vote now, and whether that is in the log.
+//! Which voters are active, and whether that is recorded in the log.
 
 use crate::context::Context;
 use crate::message::VoterStatus;
 use crate::policy::UnitName;
 use crate::state::{BootCount, VoterSlot};
 
-/// Whether it is in the log which processes make up the group of voters.
+/// Whether a majority of the voters is active and the boot count of each active voter is recorded in the log.
 pub(crate) fn are_voters_recorded(context: &Context) -> bool {
     let active = active_voters(context);
     let is_recorded =
@@ -13,12 +13,12 @@
     is_majority(active.len(), context) && active.iter().all(is_recorded)
 }
 
-/// Whether so many voters are a majority of this epoch's.
+/// Whether this number of voters is a majority in this epoch.
 pub(super) fn is_majority(voters: usize, context: &Context) -> bool {
     voters * 2 > context.state.voter_slots.len()
 }
 
-/// The voters that are heard to vote in their slots, and how often each one's store was opened.
+/// The voters that are active in their slots according to their heartbeats, each with its boot count.
 pub(super) fn active_voters(context: &Context) -> Vec<(UnitName, BootCount)> {
     let boot_count_of = |voter_slot: &VoterSlot| {
         if voter_slot.name == context.name {
--- a/crates/fleet/src/leader/releases.rs
+++ b/crates/fleet/src/leader/releases.rs
@@ -1,4 +1,4 @@
-//! The running release: its halt before its next step.
+//! Release controller: halts the running release, or proposes its next step.
 
 use super::gates::failed_gate;
 use super::proposals::{LeaderAction, RecentProposals};
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::state::{Command, Release, Unit, UnitState};
 
-/// A wave that has no unit left to change.
+/// A wave with no units left to change.
 struct ClearedWave {
     release: u64,
     wave: usize,
@@ -21,7 +21,7 @@
 }
 
 impl ReleaseController {
-    /// Proposes the halt of the release, or its next step.
+    /// Proposes to halt the release if it fails a gate, or else its next step.
     pub(super) fn control(
         &mut self,
         context: &Context,
@@ -50,7 +50,7 @@
         proposals.propose(context.now, format!("turn {} {unit}", release.number), command)
     }
 
-    /// Proposes the next wave once the last one has been watched for long enough.
+    /// Proposes the next wave once the current one has been watched for the plan's `watch_s`.
     fn advance_wave(
         &mut self,
         context: &Context,
--- a/crates/fleet/src/leader/units.rs
+++ b/crates/fleet/src/leader/units.rs
@@ -1,4 +1,4 @@
-//! Which units are lost, and which are back.
+//! Unit controller: detects units that are lost, and units that are back.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 use crate::state::{Cause, Command, Unit, UnitState};
 use crate::timing::{ALIVE_MS, HEARTBEAT_MS, LOST_MS, PROPOSE_AGAIN_MS};
 
-/// A unit that was lost, or drained by an operator, is back after serving for so long, in ms.
+/// How long, in ms, a unit that was lost, or drained by an operator, must serve before it counts as back.
 const BACK_MS: u64 = 5_000;
 
-/// Since when a unit has been in its state.
+/// A unit's state, and when it was first observed.
 pub(super) struct ObservedState {
     pub unit_state: UnitState,
     pub since: Timestamp,
-    /// How far the log was applied then.
+    /// The log position at which the state was observed.
     pub applied: u64,
 }
 
@@ -27,17 +27,17 @@
 #[derive(Default)]
 pub(super) struct UnitController {
     observed: BTreeMap<UnitName, ObservedState>,
-    /// When the other voters were last asked for units that this one does not hear.
+    /// When the other voters were last asked about units that this one does not hear.
     asked_at: Option<Timestamp>,
 }
 
 impl UnitController {
-    /// Since when each unit has been in its state, by name.
+    /// The observed state of each unit, by name.
     pub(super) fn observed(&self) -> &BTreeMap<UnitName, ObservedState> {
         &self.observed
     }
 
-    /// Notes the units whose state has changed.
+    /// Records the units whose state has changed.
     pub(super) fn observe(&mut self, context: &Context) {
         for (name, unit) in &context.state.units {
             let known = self.observed.get(name);
@@ -46,7 +46,8 @@
             }
             let lease = unit.unit_state.lease();
             let same_lease = known.filter(|known| lease.is_some() && known.unit_state.lease() == lease);
-            // Under the same lease the time out goes on, also when a begin is repeated, until the unit is to return.
+            // Under the same lease the time that the unit is out continues, even if its begin is repeated,
+            // until it starts to return.
             let since = match (same_lease, &unit.unit_state) {
                 (Some(_), UnitState::Returning { .. }) | (None, _) => context.now,
                 (Some(known), _) => known.since,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Asks the other voters for the units that this one does not hear itself: a link of its own may be cut.
+    /// Asks the other voters about the units that this one does not hear directly, since one of its own links
+    /// may be down.
     pub(super) fn find_silent_units(&mut self, context: &Context) -> Vec<LeaderAction> {
         if self.asked_at.is_some_and(|at| context.now.ms_since(at) < PROPOSE_AGAIN_MS) {
             return vec![];
@@ -78,7 +80,7 @@
         context.other_voters().map(|voter_slot| ask(&voter_slot.name)).collect()
     }
 
-    /// Proposes the units that have served for long enough to count as back.
+    /// Proposes to mark units as serving that have served for long enough to count as back.
     pub(super) fn mark_serving(
         &self,
         context: &Context,
@@ -103,11 +105,11 @@
     }
 }
 
-/// Whether a unit serves again, or in another version, and has done so for the time of watching.
+/// Whether a unit serves again, or serves with another version, and has done so for the watch time.
 fn is_back(context: &Context, unit: &Unit, known: &UnitLiveness, observed: &ObservedState) -> bool {
     let has_returned = match &unit.unit_state {
         UnitState::Serving => unit.lost || unit.version != known.heartbeat.version,
-        // Its view of the log may be older than this state, and it may still go out by it.
+        // Until the unit has applied this state, it may still go out according to an older one.
         UnitState::Returning { .. } => known.heartbeat.have.applied >= observed.applied,
         UnitState::Begun { nonce, cause: Cause::Release(_), .. } => {
             known.heartbeat.incarnation != nonce.incarnation
@@ -133,7 +135,7 @@
     known.alive_at >= since && known.alive_at.ms_since(since) >= watch_ms
 }
 
-/// How long, in ms, a unit has to serve before it is back.
+/// How long, in ms, a unit must serve before it counts as back.
 fn watch_ms(context: &Context, cause: Option<Cause>) -> u64 {
     match (cause, &context.state.release) {
         (Some(Cause::Release(_)), Some(release)) => u64::from(release.plan.watch_s) * 1_000,
@@ -141,7 +143,7 @@
     }
 }
 
-/// Proposes the units that no voter hears any more.
+/// Proposes to mark units as lost that no voter has heard for [`LOST_MS`].
 pub(super) fn mark_lost(context: &Context, proposals: &mut RecentProposals) -> Vec<LeaderAction> {
     let is_silent = |name: &UnitName| {
         let known = context.liveness.get(name);
--- a/crates/fleet/src/leader/voters.rs
+++ b/crates/fleet/src/leader/voters.rs
@@ -1,4 +1,5 @@
-//! Who votes: a voter whose disk has failed it gets a new slot, a voter is replaced, and a long log ends with its epoch.
+//! Voter controller: gives a voter whose store lost its state a new slot, replaces voters, and ends the epoch
+//! of a long log.
 
 use super::proposals::LeaderAction;
 use super::quorum::active_voters;
@@ -8,19 +9,19 @@
 use crate::state::{Command, VoterReplacement, VoterSlot};
 use crate::timing::PROPOSE_AGAIN_MS;
 
-/// The next epoch is proposed at most once in this time, in ms.
+/// Minimum interval, in ms, between two proposals of a new epoch.
 const RECONFIGURE_AGAIN_MS: u64 = 5 * PROPOSE_AGAIN_MS;
 
-/// An entry that is not decided within this time, in ms, may wait for an answer that was lost.
+/// Time, in ms, after which an undecided entry may be waiting for an answer that was lost.
 const RESYNC_AFTER_MS: u64 = 2 * PROPOSE_AGAIN_MS;
 
-/// Something is not decided, at this point of the log.
+/// An entry that is not decided, and the log position since which it waits.
 struct Undecided {
     applied: u64,
     since: Timestamp,
 }
 
-/// Watches the voters and the log that they keep.
+/// Watches the voters and the length of the log.
 #[derive(Default)]
 pub(super) struct VoterController {
     reconfigured_at: Option<Timestamp>,
@@ -28,9 +29,10 @@
 }
 
 impl VoterController {
-    /// Asks the other voters to begin the round anew if nothing has been decided for a while.
+    /// Asks the other voters to synchronise again if entries have stayed undecided for [`RESYNC_AFTER_MS`].
     ///
-    /// The library does not ask again for a follower's answer that was lost before the next entry, and there may be none.
+    /// If a follower's answer is lost, the library does not ask for it again until the next entry, and there
+    /// may be none.
     pub(super) fn resync(&mut self, context: &Context, has_undecided: bool) -> Vec<LeaderAction> {
         let applied = context.state.applied;
         let waiting = self.undecided.as_ref().filter(|known| has_undecided && known.applied == applied);
@@ -46,13 +48,14 @@
         context.other_voters().map(ask).collect()
     }
 
-    /// Proposes the next epoch if a slot has to change hands or the log is long, and a majority of the voters goes on.
+    /// Proposes the next epoch if a slot has to be reassigned or the log is long, provided that a majority of
+    /// its voters keeps its slots and is active.
     pub(super) fn reconfigure(&mut self, context: &Context, is_log_long: bool) -> Option<LeaderAction> {
         if self.reconfigured_at.is_some_and(|at| context.now.ms_since(at) < RECONFIGURE_AGAIN_MS) {
             return None;
         }
         let state = &context.state;
-        // One slot at a time: the others are a majority without it.
+        // Only one slot changes at a time, so that the others remain a majority.
         let change = renewed_slot(context).or_else(|| replaced_slot(context));
         if change.is_none() && !is_log_long {
             return None;
@@ -73,7 +76,7 @@
     }
 }
 
-/// The slot of the first voter whose store has failed it, given anew to its process.
+/// A new slot for the first voter whose store lost its state, assigned to the voter's current process.
 fn renewed_slot(context: &Context) -> Option<(usize, VoterSlot)> {
     let renew = |voter_slot: &VoterSlot| {
         let heartbeat = &context.alive(&voter_slot.name)?.heartbeat;
@@ -88,7 +91,7 @@
     context.state.voter_slots.iter().enumerate().find_map(|(index, slot)| Some((index, renew(slot)?)))
 }
 
-/// The slot that an operator wants to go to another node, if that is heard with an empty store.
+/// The slot that an operator has assigned to another node, if that node reports a store without voter state.
 fn replaced_slot(context: &Context) -> Option<(usize, VoterSlot)> {
     let VoterReplacement { old, new } = context.state.pending_replacement()?;
     let index = context.state.voter_slots.iter().position(|voter_slot| voter_slot.name == *old)?;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,20 @@
-//! What a fleet of nodes decides together: which units and hosts may be out, releases in waves, halts and rollbacks.
+//! Coordination of a fleet of nodes: which units and hosts may be out of service, releases in waves, halts
+//! and rollbacks.
 //!
-//! No I/O and no clock: [`Fleet`] is told what happened and when, and says what is to be done. The same events give the
-//! same actions, to the byte. `docs/fleet.md` says what is promised.
+//! The crate does no I/O and reads no clock: [`Fleet`] takes events with their timestamps and returns
+//! actions. The same events give the same actions, byte for byte. `docs/fleet.md` states the guarantees.
 //!
-//! The parts, each of which imports only those before it:
+//! The modules, each of which imports only those before it:
 //!
-//! - [`policy`], `time`, `timing`, [`fault_injection`]: what files say, moments, intervals, faults for tests.
+//! - [`policy`], `time`, `timing`, [`fault_injection`]: configuration files, timestamps, intervals, faults
+//!   for tests.
 //! - [`state`]: the replicated state machine.
-//! - `store`, [`consensus`], [`message`]: what is on disk, a voter of the log, and what nodes send each other.
-//! - `liveness`, `context`: who is heard, and all that a node knows.
+//! - `store`, [`consensus`], [`message`]: the stored data, a voter of the log, and the messages between
+//!   nodes.
+//! - `liveness`, `context`: which units are alive, and the data that the other modules share.
 //! - `durable`, `replica`: this node's voter slot and its store.
-//! - `leader`: the controllers of the voter that leads. `member`: this node's own drain.
-//! - `fleet`: [`Fleet`], which brings them together.
+//! - `leader`: the controllers that run on the leader. `member`: this node's own drain.
+//! - `fleet`: [`Fleet`], which combines them.
 
 mod action;
 mod config;
@@ -43,7 +46,7 @@
 pub use time::Timestamp;
 pub use view::{DrainingHost, FleetView};
 
-/// Hosts, as the fleet agrees on them.
+/// Types for the hosts whose drains the fleet coordinates.
 pub mod hosts {
     pub use crate::state::{EndpointState, HoldState, Host, HostHold, HostUpdate, ListedHost};
     pub use crate::view::DrainingHost;
--- a/crates/fleet/src/liveness.rs
+++ b/crates/fleet/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Which units are alive, judged by their heartbeats.
+//! Liveness of units, derived from their heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,31 @@
 use crate::state::Incarnation;
 use crate::timing::{ALIVE_MS, LOST_MS};
 
-/// How a heartbeat came to this node.
+/// How a heartbeat reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
-    /// Its sender sent it to this node.
+    /// Directly from its sender.
     Direct,
-    /// Another voter passed it on.
+    /// Through another voter.
     Relayed,
 }
 
-/// What is known of one unit.
+/// Liveness record of one unit.
 #[derive(Clone, Debug)]
 pub(crate) struct UnitLiveness {
     /// Its last heartbeat.
     pub heartbeat: Heartbeat,
-    /// It was alive then or later, by this node's clock.
+    /// The latest time, by this node's clock, at which the unit is known to have been alive.
     pub alive_at: Timestamp,
-    /// When the heartbeat that proved `alive_at` was received.
+    /// When the last heartbeat that proved its sender alive was received.
     received_at: Timestamp,
-    /// Since when it has served without a break, as the same process and version.
+    /// Start of the current period of uninterrupted serving by one process and version.
     pub serving_since: Option<Timestamp>,
-    /// Another process that gave the same name, and when it was alive last.
+    /// Another process with the same name, and when it was last known to be alive.
     other_process: Option<(Incarnation, Timestamp)>,
-    /// When both processes were found to be alive.
+    /// When both processes were last found to be alive.
     pub duplicate_since: Option<Timestamp>,
-    /// How the last heartbeat came.
+    /// How the last heartbeat arrived.
     pub source: HeartbeatSource,
 }
 
@@ -65,14 +65,16 @@
         let alive_at = proved_at.unwrap_or_default().max(self.alive_at);
         let is_same_process = self.heartbeat.incarnation == heartbeat.incarnation;
         let is_same_version = self.heartbeat.version == heartbeat.version;
-        // Heartbeats that were held up arrive all at once, each proving a later moment, and would look like a long time
-        // of serving. So the time of serving begins when a heartbeat is received, and lasts until what it proves.
+        // Delayed heartbeats arrive in a burst, each proving a later time, which would look like a long
+        // period of serving. So a period starts when a heartbeat is received, and ends at the latest time
+        // that a heartbeat proves.
         let is_unbroken = is_same_process && is_same_version && now.ms_since(self.received_at) < ALIVE_MS;
         let mut other_process = self.other_process;
         let mut duplicate_since =
             self.duplicate_since.filter(|since| alive_at.ms_since(*since) < 2 * LOST_MS);
         if !is_same_process {
-            // Two processes under one name are heard in turn, and each would pass for a sign of life of the other.
+            // Heartbeats of two processes with one name alternate, and each would count as proof that the
+            // other is alive.
             let was_here = other_process.is_some_and(|(other, _)| other == heartbeat.incarnation);
             if proved_at.is_some() && was_here {
                 duplicate_since = Some(alive_at);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Whether this process of the unit was heard so lately that it may still run.
+    /// Whether this process of the unit was heard recently enough that it may still be running.
     pub(crate) fn may_still_run(&self, incarnation: Incarnation, now: Timestamp) -> bool {
         self.heartbeat.incarnation == incarnation
             || self
@@ -109,14 +111,15 @@
     heartbeat.serving && heartbeat.out.is_none()
 }
 
-/// What is known of all units that were heard.
+/// Liveness records of all units that sent a heartbeat.
 #[derive(Default)]
 pub(crate) struct Liveness {
     units: BTreeMap<UnitName, UnitLiveness>,
 }
 
 impl Liveness {
-    /// Takes in a heartbeat. It proves that its sender was alive at `proved_at`, or nothing if that is `None`.
+    /// Records a heartbeat, which proves that its sender was alive at `proved_at`, or proves nothing if that
+    /// is `None`.
     pub(crate) fn record(
         &mut self,
         name: &UnitName,
@@ -132,7 +135,7 @@
         self.units.insert(name.clone(), next);
     }
 
-    /// Takes in a heartbeat that another voter passed on, if it proves a later moment than what is known.
+    /// Records a heartbeat that another voter relayed, if it proves a later time than the one known.
     pub(crate) fn record_relayed(
         &mut self,
         name: &UnitName,
@@ -145,22 +148,22 @@
         }
     }
 
-    /// What is known of a unit, however long ago.
+    /// The record of a unit, however old.
     pub(crate) fn get(&self, name: &UnitName) -> Option<&UnitLiveness> {
         self.units.get(name)
     }
 
-    /// What is known of a unit that counts as alive.
+    /// The record of a unit, if it counts as alive.
     pub(crate) fn alive(&self, name: &UnitName, now: Timestamp) -> Option<&UnitLiveness> {
         self.units.get(name).filter(|unit| now.ms_since(unit.alive_at) < ALIVE_MS)
     }
 
-    /// All units that were heard, by name.
+    /// All records, by unit name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&UnitName, &UnitLiveness)> {
         self.units.iter()
     }
 
-    /// Whether two living processes give this name.
+    /// Whether two live processes use this name.
     pub(crate) fn is_duplicate(&self, name: &UnitName) -> bool {
         self.units.get(name).is_some_and(|unit| unit.duplicate_since.is_some())
     }
--- a/crates/fleet/src/log_tail.rs
+++ b/crates/fleet/src/log_tail.rs
@@ -1,14 +1,14 @@
-//! The last steps of the log, for nodes that are a little behind.
+//! The most recent log steps, for nodes that are a few steps behind.
 
 use std::collections::VecDeque;
 
 use crate::message::{LogPosition, LogUpdate};
 use crate::state::{LogStep, State};
 
-/// Steps kept.
+/// Maximum number of steps kept.
 const MAX_STEPS: usize = 512;
 
-/// The last steps that were applied to the state, the oldest first.
+/// The steps that were last applied to the state, oldest first.
 #[derive(Default)]
 pub(crate) struct LogTail {
     steps: VecDeque<LogStep>,
@@ -23,18 +23,19 @@
         }
     }
 
-    /// The state was replaced as a whole.
+    /// Drops all steps, after the whole state was replaced.
     pub(crate) fn clear(&mut self) {
         self.steps.clear();
     }
 
-    /// What brings a node from its position to this state.
+    /// The update that takes a node from its log position to this state.
     pub(crate) fn update_for(&self, state: &State, position: LogPosition) -> LogUpdate {
         if state.policy.is_none() || position.applied >= state.applied {
             return LogUpdate::None;
         }
-        // What came before the epoch's start is no entry of its log: a voter that has fallen behind enters it whole. A
-        // node that has nothing starts from the fleet's founding, not from the voters that its own file names.
+        // Steps of earlier epochs are not in this epoch's log, so a voter that is an epoch behind needs the
+        // whole state. A node that has applied nothing needs it too: its own state lists the voters of its
+        // configuration file, which need not be those that the fleet was founded with.
         let needs_whole_state = position.epoch < state.epoch || position.applied == 0;
         let missing = (state.applied - position.applied) as usize;
         if needs_whole_state || missing > self.steps.len() {
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! A unit's own part: it asks to begin its drain, goes out and comes back, and counts how its calls ended.
+//! This unit's own drain: it asks to begin, goes out and comes back. Also counts how the unit's calls ended.
 
 use std::collections::VecDeque;
 
@@ -10,28 +10,29 @@
 use crate::policy::Act;
 use crate::state::{CallCounts, Cause, Command, Lease, Nonce, UnitState};
 
-/// A unit goes out only so long, in ms, after it asked to begin. A halt holds everywhere within this after its entry: long
-/// enough for two round trips over a crowded link and a slow disk, short enough to be waited for by a person.
+/// How long, in ms, after its request to begin a unit may go out. It bounds the time until a halt takes
+/// effect on all units: long enough for two round trips over a congested link and a slow disk, short enough
+/// for an operator to wait.
 const BEGIN_TIMEOUT_MS: u64 = 2_000;
 
-/// A request is repeated after this time, in ms: the leader may have changed meanwhile.
+/// Interval, in ms, after which a request is repeated, since the leader may have changed.
 const RETRY_MS: u64 = 1_000;
 
-/// Calls are counted for gates over this time, in ms; as long as the shortest watch that says anything.
+/// Period, in ms, over which calls are counted for gates: the shortest that gives a meaningful result.
 const CALL_COUNTS_MS: u64 = 10_000;
 
-/// The totals are noted once in this time, in ms.
+/// Minimum interval, in ms, between two recorded totals.
 const NOTE_TOTALS_MS: u64 = 1_000;
 
-/// What the unit has to do next.
+/// The unit's next step.
 pub(crate) enum MemberStep {
-    /// Have the node do this.
+    /// Return this action to the node.
     Act(Action),
-    /// Have the leader decide this.
+    /// Submit this command to the leader.
     Submit(Command),
 }
 
-/// A request to begin a drain that waits for its entry.
+/// A request to begin a drain whose log entry is not applied yet.
 struct BeginRequest {
     lease: Lease,
     nonce: Nonce,
@@ -45,15 +46,15 @@
     pub cause: Cause,
 }
 
-/// This unit.
+/// The state of this unit's own drain, and its recent call totals.
 #[derive(Default)]
 pub(crate) struct Member {
     begin_requests: u64,
     begin_request: Option<BeginRequest>,
     drain: Option<CurrentDrain>,
-    /// When it left the process, or asked to be taken back, since it is out.
+    /// When the current drain last asked the process to exit or to be activated again.
     finished_at: Option<Timestamp>,
-    /// Totals as they were, the oldest first.
+    /// Recorded totals, oldest first.
     totals: VecDeque<(Timestamp, NodeStatus)>,
 }
 
@@ -63,7 +64,7 @@
         self.drain
     }
 
-    /// Notes the node's totals.
+    /// Records the node's totals, at most once in [`NOTE_TOTALS_MS`].
     pub(crate) fn note_totals(&mut self, now: Timestamp, totals: &NodeStatus) {
         if self.totals.back().is_some_and(|(at, _)| now.ms_since(*at) < NOTE_TOTALS_MS) {
             return;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// What follows for this unit from what is agreed.
+    /// The unit's next step according to the replicated state.
     pub(crate) fn follow(
         &mut self,
         context: &Context,
@@ -148,8 +149,8 @@
         Some(MemberStep::Submit(Command::BeginDrain { unit, lease, nonce, call_counts }))
     }
 
-    /// The drain has begun in the log: this process goes out if its own request has begun it, and of late. What was begun
-    /// long ago may have been halted since, and this unit has not heard of it.
+    /// Handles a drain that has begun in the log. This process goes out only if its own recent request began
+    /// the drain: an older one may have been halted since, without this unit having learned of it.
     fn begin(
         &mut self,
         context: &Context,
@@ -167,7 +168,8 @@
         if may_go_out {
             return Some(self.go_out(lease, cause));
         }
-        // A node that operators took out stays out in its next process; one that left to be changed has been.
+        // A node that an operator drained stays drained after a restart; one that exited for a release is
+        // already changed.
         let is_release = matches!(cause, Cause::Release(_));
         let goes_on = nonce.incarnation == context.incarnation || !is_release;
         if !goes_on || (is_release && wanted_act(context, cause).is_none()) {
@@ -176,8 +178,8 @@
         self.ask_to_begin(context, status, is_leader, lease)
     }
 
-    /// It is out for a release and has drained: it leaves to be changed, or asks to be taken back after a rehearsal. While
-    /// the release is halted it stays as it is.
+    /// Handles the end of a drain for a release: the process exits to be changed, or asks to be activated
+    /// again if the plan only drains. While the release is halted, nothing happens.
     fn finish_drain(&mut self, context: &Context, status: &NodeStatus, cause: Cause) -> Option<MemberStep> {
         let has_finished = self.finished_at.is_some_and(|at| context.now.ms_since(at) < RETRY_MS);
         if !status.drained || has_finished {
@@ -196,7 +198,7 @@
     }
 }
 
-/// What the release that this cause names wants of the unit, if it runs.
+/// The act of the release that this cause names, if it is the current one and running.
 fn wanted_act(context: &Context, cause: Cause) -> Option<Act> {
     let Cause::Release(number) = cause else { return None };
     let release = context.state.release.as_ref()?;
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between nodes. Each [`Envelope`] is one frame on a link, encoded by `postcard`: the order of fields and of
-//! variants is part of the protocol.
+//! Messages between nodes. Each [`Envelope`] is one frame on a link, encoded by `postcard`: the order of
+//! fields and of variants is part of the protocol.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 
 pub use crate::state::LogStep;
 
-/// Version of the protocol. It changes with every change of the types below; links to other versions are refused.
+/// Version of the protocol. Every change of the types below changes it; links to other versions are refused.
 pub const VERSION: u32 = 3;
 
 /// The first frame of a link, in both directions.
@@ -25,12 +25,13 @@
     pub incarnation: Incarnation,
 }
 
-/// How far a voter's disk is, sent with every message: each peer remembers the highest that it received.
+/// The durable state of a voter's store, sent with every message. Each peer remembers the highest mark that
+/// it received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DurableMark {
     /// The voter's slot.
     pub voter_slot: u64,
-    /// Acknowledged batches that are on disk.
+    /// Number of acknowledged batches that are on disk.
     pub stamp: u64,
 }
 
@@ -43,22 +44,22 @@
     pub applied: u64,
 }
 
-/// How a node's store stands to its voter slot.
+/// The status of a node's store as a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterStatus {
     /// It has no store, or its store has failed.
     NoStore,
     /// It has a store with nothing in it.
     Fresh,
-    /// Its store lost or never had what peers know of it: it votes only in a new slot.
+    /// Its store lacks data that peers know it acknowledged: it votes only in a new slot.
     StateLost,
-    /// It holds this slot, and waits for other voters to confirm that its store is not an old copy.
+    /// It holds this slot and waits until other voters confirm that its store is not an old copy.
     Recovering(u64),
     /// It votes in this slot.
     Active(u64),
 }
 
-/// The texts that the admin interface and its scripts know.
+/// The texts shown by the admin interface, which scripts match.
 impl std::fmt::Display for VoterStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -78,39 +79,40 @@
     pub incarnation: Incarnation,
     /// How far it has applied the log.
     pub have: LogPosition,
-    /// Whether it takes clients.
+    /// Whether it accepts clients.
     pub serving: bool,
-    /// The lease under which it is out.
+    /// The lease under which it is out, if any.
     pub out: Option<Lease>,
     /// The version that it runs.
     pub version: String,
-    /// How its calls ended of late.
+    /// How its recent calls ended.
     pub call_counts: CallCounts,
-    /// Connections and attempts at hosts that are wanted out; none are left at those that are not named. `None` while the
-    /// node has not kept away from them since its last count.
+    /// Number of connections and attempts at each host that is to be out; there are none at hosts that are
+    /// not listed. `None` until the node has counted its connections while avoiding these hosts.
     pub holds: Option<Vec<(UnitName, u32)>>,
-    /// How its store stands to its voter slot.
+    /// The status of its store as a voter.
     pub voter_status: VoterStatus,
     /// How often its store was opened.
     pub boot_count: BootCount,
-    /// The echo of the last reply that the sender got from the receiver. It proves that the sender was alive at that moment
-    /// or later; without it, a heartbeat that a stalled link brings late would make a unit look alive that is long gone.
+    /// The echo from the last reply that the sender got from the receiver. It proves that the sender was
+    /// alive at that time or later; without it, a heartbeat that a stalled link delivers late would make a
+    /// dead unit look alive.
     pub echo: Option<Echo>,
 }
 
-/// A moment of one process, by its own clock. To any other process it means nothing; it is only sent back.
+/// A timestamp on one process's own clock. Other processes do not interpret it; they only send it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The process whose moment it is.
+    /// The process whose clock it is from.
     pub incarnation: Incarnation,
     /// Nanoseconds on its clock.
     pub at: u64,
 }
 
-/// What brings the receiver to what the sender knows of the log.
+/// The part of the log that the sender has applied and the receiver has not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogUpdate {
-    /// There is nothing that the receiver does not have.
+    /// The receiver is up to date.
     None,
     /// The steps after this position.
     Since(LogPosition, Vec<LogStep>),
@@ -118,48 +120,48 @@
     Whole(Box<State>),
 }
 
-/// A voter's reply to a heartbeat; the leader also sends it unasked when entries are decided.
+/// A voter's reply to a heartbeat; the leader also sends it unsolicited when entries are decided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Now, to be sent back in the next heartbeat.
+    /// The sender's current time, to be sent back in the next heartbeat.
     pub echo: Echo,
     /// The leader, as far as the sender knows.
     pub leader: Option<UnitName>,
-    /// What the receiver does not have of the log.
+    /// The steps that the receiver has not applied.
     pub log_update: LogUpdate,
     /// How far the sender has applied the log.
     pub applied: u64,
-    /// The highest mark that the sender received from the receiver.
+    /// The highest durable mark that the sender has received from the receiver of this reply.
     pub receiver_mark: Option<DurableMark>,
-    /// The sender holds or held a voter slot: the fleet is founded.
+    /// Whether the sender holds or held a voter slot, so the fleet is founded.
     pub founded: bool,
-    /// How the sender's store stands to its voter slot.
+    /// The status of the sender's store as a voter.
     pub voter_status: VoterStatus,
 }
 
-/// A unit that a voter hears.
+/// A unit whose heartbeats a voter receives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FoundUnit {
     /// Its name.
     pub name: UnitName,
     /// Its last heartbeat.
     pub heartbeat: Heartbeat,
-    /// How long ago, in ms, it was known to be alive.
+    /// Time, in ms, since it was last known to be alive.
     pub age_ms: u64,
 }
 
-/// What one node says to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive.
+    /// A node's heartbeat.
     Heartbeat(Heartbeat),
-    /// The answer of a voter.
+    /// A voter's reply to a heartbeat.
     HeartbeatReply(HeartbeatReply),
-    /// Something to propose; to the leader, or to a voter that may know it.
+    /// A command to propose, sent to the leader, or to a voter that may know the leader.
     Request {
-        /// The request, if its sender waits for the result.
+        /// The request's id, if its sender waits for the result.
         id: Option<RequestId>,
-        /// What is asked for.
+        /// The requested command.
         command: Command,
     },
     /// A message of the consensus protocol.
@@ -169,17 +171,17 @@
         /// The message.
         consensus_message: ConsensusMessage,
     },
-    /// The leader waits for this voter's answer, which may have been lost.
+    /// The leader waits for this voter's answer, which may be lost, and asks it to synchronise again.
     Resync,
-    /// Nothing but the envelope's mark.
+    /// Carries only the envelope's durable mark.
     DurableMarkOnly,
-    /// The leader asks another voter whether it hears these units.
+    /// The leader asks another voter whether it receives heartbeats from these units.
     FindUnits(Echo, Vec<UnitName>),
-    /// The answer, with the leader's echo: the units that the sender itself hears.
+    /// The reply, with the leader's echo: the units whose heartbeats the sender receives directly.
     UnitsFound(Echo, Vec<FoundUnit>),
 }
 
-/// One message, with how far its sender's disk is.
+/// A message with its sender's durable mark.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender's mark, if it holds a voter slot.
@@ -189,15 +191,15 @@
 }
 
 impl Envelope {
-    /// The envelope as it goes over a link.
+    /// Encodes the envelope as one frame.
     pub fn encode(&self) -> Vec<u8> {
         crate::store::encode(self)
     }
 
-    /// Reads an envelope as it came over a link.
+    /// Decodes an envelope from one frame.
     ///
     /// # Errors
-    /// If the bytes are not exactly one envelope.
+    /// Fails if the bytes are not exactly one envelope.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, postcard::Error> {
         let (envelope, rest) = postcard::take_from_bytes(bytes)?;
         if rest.is_empty() { Ok(envelope) } else { Err(postcard::Error::DeserializeUnexpectedEnd) }
--- a/crates/fleet/src/policy/error.rs
+++ b/crates/fleet/src/policy/error.rs
@@ -1,12 +1,12 @@
-//! Faults in policy and plan files.
+//! Errors in policy and plan files.
 
-/// What is wrong with a fleet policy or a plan: the key, and why.
+/// An invalid value in a fleet policy or a plan.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {why}")]
 pub struct PolicyError {
     /// The key in the file.
     pub key: String,
-    /// Why its value is refused.
+    /// Why its value is invalid.
     pub why: String,
 }
 
--- a/crates/fleet/src/policy/fleet_policy.rs
+++ b/crates/fleet/src/policy/fleet_policy.rs
@@ -1,4 +1,4 @@
-//! The policy that a fleet is founded on.
+//! The fleet policy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,66 +8,70 @@
 use super::limits::{Limits, Scope};
 use super::place::{Place, UnitName};
 
-/// Each voter hears all others twice a second.
+/// Maximum number of voters; bounded because each voter hears from all others twice a second.
 const MAX_VOTERS: usize = 9;
 
-/// The longest time, in seconds, in which repeated calls may be recognised.
+/// Longest allowed `recall_s`, in seconds.
 const MAX_RECALL_S: u32 = 3_600;
 
-/// How many hosts there will be is not known when a policy is checked: of so many, some must be able to go out.
+/// Number of hosts for which a policy's limits are checked, since the actual number is not known then: of
+/// this many hosts, at least one must be allowed out.
 const VERY_MANY_HOSTS: u32 = 1_000_000;
 
-/// What the fleet is founded on. All nodes are configured with the same; the one in the log counts.
+/// The policy that the fleet is founded on. All nodes are configured with the same policy; the one in the log
+/// applies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPolicy {
-    /// A name that all its members give, so that two fleets at one address never mix.
+    /// The fleet's name, which all members send, so that two fleets never mix if they share an address.
     pub group: String,
-    /// Nodes that hold the log: an odd number, best in zones of their own.
+    /// The nodes that hold the log: an odd number, preferably in different zones.
     pub voters: Vec<UnitName>,
-    /// How many units may be out at once.
+    /// Limits on how many units may be out at once.
     #[serde(default)]
     pub limits: Limits,
-    /// How hosts are taken out; without it, the endpoint list alone decides about them.
+    /// Settings for draining hosts; without them, only the endpoint list decides which hosts are out.
     #[serde(default)]
     pub hosts: Option<HostSettings>,
-    /// How calls outlive their node; without it, they do not.
+    /// Settings for the takeover of in-flight calls; without them, calls are lost with their node.
     #[serde(default)]
     pub work: Option<TakeoverSettings>,
-    /// All units, and where they are.
+    /// All units and their places.
     pub units: BTreeMap<UnitName, Place>,
 }
 
-/// How in-flight calls outlive their node.
+/// Settings for the takeover of in-flight calls when their node is lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TakeoverSettings {
-    /// Seconds after its final answer in which a repeated call is recognised.
+    /// Seconds after a call's final answer during which a repeat of it is recognised.
     #[serde(default = "default_recall_s")]
     pub recall_s: u32,
 }
 
-/// Longer than clients retry by themselves.
+/// 30 s is longer than clients retry on their own.
 fn default_recall_s() -> u32 {
     30
 }
 
-/// How hosts are taken out.
+/// Settings for draining hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// How many of the hosts in the endpoint list may be out at once.
+    /// Limits on how many hosts of the endpoint list may be out at once.
     #[serde(default)]
     pub limits: Limits,
-    /// Connections a second that the whole fleet migrates away from hosts that are wanted out.
+    /// Connections per second that the whole fleet migrates away from hosts that are to be out.
     #[serde(default = "default_moves_per_second")]
     pub moves_per_second: u32,
-    /// Seconds after which a host that the list no longer names is removed from the fleet; until then it counts as out.
+    /// Seconds after which a host that the endpoint list no longer contains is removed from the fleet; until
+    /// then it counts as out.
     #[serde(default = "default_forget_after_s")]
     pub forget_after_s: u32,
 }
 
-/// The thousand connections of a loaded host go within a minute, and each of ten others gets two more a second.
+/// At 20 per second, the 1000 connections of a loaded host migrate within a minute, and each of ten other
+/// hosts gets two more per second.
 fn default_moves_per_second() -> u32 {
     20
 }
@@ -77,7 +81,7 @@
 }
 
 impl FleetPolicy {
-    /// Every scope that this unit is in.
+    /// All scopes that contain this unit.
     pub fn scopes_of<'a>(&'a self, unit: &UnitName) -> Vec<Scope<'a>> {
         let Some(place) = self.units.get(unit) else { return vec![] };
         self.limits.scopes_of(place, self.units.iter())
@@ -86,11 +90,11 @@
     /// Checks the policy.
     ///
     /// # Errors
-    /// Names the first key whose value cannot be used: voters that are no units, doubled or more than nine, limits
-    /// that would never let some unit go out, and settings out of their range.
+    /// Names the first key with an invalid value: voters that are not units, that occur twice or that are
+    /// more than nine, limits that would never allow some unit out, and settings out of range.
     pub fn check(&self) -> Result<(), PolicyError> {
         if self.group.is_empty() {
-            return Err(PolicyError::new("group", "is empty"));
+            return Err(PolicyError::new("group", "must not be empty"));
         }
         self.check_voters()?;
         self.check_limits()?;
@@ -107,10 +111,10 @@
         let mut seen = BTreeSet::new();
         for voter in &self.voters {
             if !self.units.contains_key(voter) {
-                return Err(PolicyError::new("voters", format!("{voter} is none of the units")));
+                return Err(PolicyError::new("voters", format!("{voter} is not one of the units")));
             }
             if !seen.insert(voter) {
-                return Err(PolicyError::new("voters", format!("{voter} stands twice")));
+                return Err(PolicyError::new("voters", format!("{voter} is listed twice")));
             }
         }
         Ok(())
@@ -125,7 +129,9 @@
                 }
                 let Scope { name, .. } = scope;
                 let key = format!("limits.{}", name.split(' ').next().unwrap_or_default());
-                let why = format!("of {total} units in {name} none may ever be out, so {unit} never");
+                let why = format!(
+                    "allows none of the {total} units in {name} to be out, so {unit} could never be drained"
+                );
                 return Err(PolicyError::new(key, why));
             }
         }
@@ -136,13 +142,13 @@
 impl HostSettings {
     fn check(&self) -> Result<(), PolicyError> {
         if self.moves_per_second == 0 {
-            let why = "is 0: nothing would ever be eased off";
+            let why = "must not be 0: no host would ever be drained";
             return Err(PolicyError::new("hosts.moves_per_second", why));
         }
         let Limits { fleet, zone, cell, kind } = &self.limits;
         for (key, limit) in [("fleet", fleet), ("zone", zone), ("cell", cell), ("kind", kind)] {
             if limit.room(VERY_MANY_HOSTS) == 0 {
-                let why = "lets no host ever go out, however many there are";
+                let why = "never allows a host to be out, however many hosts there are";
                 return Err(PolicyError::new(format!("hosts.limits.{key}"), why));
             }
         }
--- a/crates/fleet/src/policy/limits.rs
+++ b/crates/fleet/src/policy/limits.rs
@@ -4,16 +4,16 @@
 
 use super::place::{Place, UnitName};
 
-/// A count of units, or a part of them. Parts round towards fewer out.
+/// A number of units, or a share of them. Shares are rounded so that fewer units are out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
-    /// So many.
+    /// A number of units.
     Count(u32),
-    /// So many of a thousand.
+    /// A share of the units, in thousandths.
     Part(u32),
 }
 
-/// As it stands in a file: `3`, or `"12.5%"`.
+/// An amount as written in a file: `3` or `"12.5%"`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 enum AmountInFile {
@@ -21,8 +21,8 @@
     Part(String),
 }
 
-// In a file the value's type tells a count from a part. Between nodes and on disk values carry no type, so a flag says
-// which of the two follows.
+// In a file the type of the value distinguishes a count from a share. `postcard` does not encode types, so
+// between nodes and on disk a flag says which of the two follows.
 impl Serialize for Amount {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match (serializer.is_human_readable(), *self) {
@@ -54,7 +54,7 @@
                 let number = text.strip_suffix('%').and_then(|text| text.parse::<f64>().ok());
                 let part = number.filter(|part| (0.0..=100.0).contains(part));
                 part.map(|part| Amount::Part((part * 10.0).round() as u32))
-                    .ok_or_else(|| format!("{text:?} is neither a count nor a part like \"10%\""))
+                    .ok_or_else(|| format!("{text:?} is neither a count nor a percentage such as \"10%\""))
             }
         }
     }
@@ -70,7 +70,7 @@
 }
 
 impl Amount {
-    /// This amount of so many, rounded towards fewer.
+    /// This amount out of `total`, rounded down.
     fn rounded_down(self, total: u32) -> u32 {
         match self {
             Amount::Count(count) => count,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// This amount of so many, rounded towards more.
+    /// This amount out of `total`, rounded up.
     pub(super) fn rounded_up(self, total: u32) -> u32 {
         match self {
             Amount::Count(count) => count,
@@ -87,18 +87,18 @@
     }
 }
 
-/// Bounds on what is out at once, over one set of units.
+/// Bounds on how many of a set of units or hosts are out at once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Units out at once.
+    /// Maximum number out at once.
     pub most_out: Option<Amount>,
-    /// Units that go on serving.
+    /// Minimum number that stay in service.
     pub least_left: Option<Amount>,
 }
 
 impl Limit {
-    /// How many of so many may be out at once.
+    /// How many of `total` may be out at once.
     pub fn room(&self, total: u32) -> u32 {
         let most_out = self.most_out.map_or(total, |most| most.rounded_down(total));
         let least_left = self.least_left.map_or(0, |least| least.rounded_up(total));
@@ -106,32 +106,33 @@
     }
 }
 
-/// Limits over the fleet, and over each zone, cell and kind for itself.
+/// Limits for the whole fleet, and for each zone, cell and kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Over all.
+    /// Limit for the whole fleet.
     pub fleet: Limit,
-    /// Over each zone.
+    /// Limit for each zone.
     pub zone: Limit,
-    /// Over each cell.
+    /// Limit for each cell.
     pub cell: Limit,
-    /// Over each kind.
+    /// Limit for each kind.
     pub kind: Limit,
 }
 
-/// One limit, and what it is over.
+/// A limit and the units or hosts that it applies to.
 pub struct Scope<'a> {
-    /// How the scope is shown to operators.
+    /// The name of the scope as shown to operators.
     pub name: String,
     /// The limit.
     pub limit: &'a Limit,
-    /// The units or hosts that it is over.
+    /// The units or hosts that it applies to.
     pub members: Vec<&'a UnitName>,
 }
 
 impl Limits {
-    /// Every scope that something at this place is in. `all` gives everything that these limits are over.
+    /// All scopes that contain a unit or host at this place. `all` yields all units or hosts that these
+    /// limits apply to.
     pub fn scopes_of<'a>(
         &'a self,
         place: &Place,
--- a/crates/fleet/src/policy/mod.rs
+++ b/crates/fleet/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! What operators' files say of a fleet: its units, how many of them may be out, and plans of releases.
+//! The operators' files: fleet policy (units, and limits on how many may be out) and release plans.
 
 mod error;
 mod fleet_policy;
--- a/crates/fleet/src/policy/place.rs
+++ b/crates/fleet/src/policy/place.rs
@@ -1,4 +1,4 @@
-//! Names of units and hosts, and where they are.
+//! Names and places of units and hosts.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,14 +19,14 @@
     }
 }
 
-/// Where a unit or host is, and of what kind. Limits are over all that have one of these in common.
+/// Location and kind of a unit or host. A limit applies to all units or hosts that share one of these values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
     /// The failure domain.
     #[serde(default)]
     pub zone: String,
-    /// A part of the fleet, of whatever meaning to its operators.
+    /// A part of the fleet; its meaning is up to the operators.
     #[serde(default)]
     pub cell: String,
     /// The kind of machine or role.
--- a/crates/fleet/src/policy/plan.rs
+++ b/crates/fleet/src/policy/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of releases.
+//! Release plans.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,10 +13,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Act {
-    /// It drains, leaves the wanted version in its folder and exits; its supervisor starts that version.
+    /// It drains, writes the wanted version to a file in its folder and exits; its supervisor starts that
+    /// version.
     #[default]
     Exit,
-    /// It drains, and its clients come back to it: a rehearsal that changes nothing.
+    /// It drains and then accepts clients again: a rehearsal that changes nothing.
     Drain,
 }
 
@@ -27,25 +28,25 @@
     /// They stay out until the release is resumed or rolled back.
     #[default]
     Hold,
-    /// Those that still run take clients again.
+    /// Units that still run accept clients again.
     Return,
 }
 
-/// What halts a release, measured on units that came back against the same units before they went out.
+/// Thresholds that halt a release. Changed units are compared with themselves before they went out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gates {
-    /// Calls of a thousand that failed, more than before.
+    /// Increase in failed calls, per thousand calls.
     pub failures_per_thousand: u32,
-    /// Calls of a thousand that were rejected because of load, more than before.
+    /// Increase in calls that were rejected because of load, per thousand calls.
     pub busy_per_thousand: u32,
-    /// A unit is judged once it had so many calls.
+    /// Number of calls that a unit must have had before its rates are judged.
     pub least_calls: u32,
-    /// Units of the fleet that may be lost unplanned, at once.
+    /// Number of units of the fleet that may be lost at once without holding a lease.
     pub most_lost: u32,
-    /// Calls that wait at a unit, more than before; not checked if not given.
+    /// Increase in calls that wait at a unit; not checked if absent.
     pub waiting: Option<u32>,
-    /// Hosts that a unit has ejected, more than before; not checked if not given.
+    /// Increase in hosts that a unit has ejected; not checked if absent.
     pub hosts_down: Option<u32>,
 }
 
@@ -62,22 +63,23 @@
     }
 }
 
-/// One release.
+/// The plan of one release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The version that units are to say they run.
+    /// The version that units must report after the change.
     pub version: String,
-    /// These units; all if none is named.
+    /// The units to change; all units if empty.
     #[serde(default)]
     pub units: Vec<UnitName>,
-    /// How many units are changed in each wave, the last for all that follow.
+    /// Number of units in each wave; the last value applies to all further waves.
     #[serde(default = "default_waves")]
     pub waves: Vec<Amount>,
-    /// Seconds of serving after which a unit counts as back, and a wave is judged.
+    /// Seconds that a unit must serve before it counts as back, and seconds that a wave is watched before the
+    /// next begins.
     #[serde(default = "default_watch_s")]
     pub watch_s: u32,
-    /// Seconds that one unit may be out.
+    /// Maximum time, in seconds, that one unit may be out.
     #[serde(default = "default_unit_limit_s")]
     pub unit_limit_s: u32,
     /// What each unit does once it is out.
@@ -107,19 +109,22 @@
     /// Checks the plan against the policy.
     ///
     /// # Errors
-    /// Names the first key whose value cannot be used.
+    /// Names the first key with an invalid value.
     pub fn check(&self, policy: &FleetPolicy) -> Result<(), PolicyError> {
         if self.version.is_empty() {
-            return Err(PolicyError::new("version", "is empty"));
+            return Err(PolicyError::new("version", "must not be empty"));
         }
         if let Some(unknown) = self.units.iter().find(|unit| !policy.units.contains_key(unit)) {
-            return Err(PolicyError::new("units", format!("{unknown} is none of the fleet's units")));
+            return Err(PolicyError::new("units", format!("{unknown} is not one of the fleet's units")));
         }
         if self.waves.is_empty() || self.waves.iter().any(|wave| wave.rounded_up(1000) == 0) {
-            return Err(PolicyError::new("waves", "expected at least one, each of more than nothing"));
+            return Err(PolicyError::new("waves", "expected at least one wave, each of at least one unit"));
         }
         if self.watch_s == 0 {
-            return Err(PolicyError::new("watch_s", "is 0: a unit that was not seen to serve is not back"));
+            return Err(PolicyError::new(
+                "watch_s",
+                "must not be 0: a unit has to be seen serving to count as back",
+            ));
         }
         if self.unit_limit_s <= self.watch_s {
             return Err(PolicyError::new("unit_limit_s", "must be longer than watch_s"));
@@ -127,7 +132,8 @@
         Ok(())
     }
 
-    /// The units of each wave. Zones and cells take turns, so that no wave is of one zone while others have units.
+    /// The units of each wave. Zones and cells alternate, so that no wave consists of one zone while others
+    /// have units left.
     pub fn split(&self, policy: &FleetPolicy) -> Vec<Vec<UnitName>> {
         let order = self.order(policy);
         let total = order.len() as u32;
@@ -145,7 +151,8 @@
         waves
     }
 
-    /// All units that the plan changes: the first of each zone, then the second; within a zone its cells take turns.
+    /// All units that the plan changes: the first of each zone, then the second of each, and so on; within a
+    /// zone the cells alternate.
     fn order<'a>(&'a self, policy: &'a FleetPolicy) -> Vec<&'a UnitName> {
         let units: BTreeSet<&UnitName> =
             if self.units.is_empty() { policy.units.keys().collect() } else { self.units.iter().collect() };
--- a/crates/fleet/src/replica/mod.rs
+++ b/crates/fleet/src/replica/mod.rs
@@ -1,6 +1,7 @@
-//! This node's part in the agreed log: its voter slot, its store, and the consensus protocol between them.
+//! The replica of the log on this node: its voter slot, its store, and the consensus protocol.
 //!
-//! A message of the protocol goes out, and a decision counts, only once all that it rests on is on disk.
+//! A protocol message is sent, and a decision is applied, only once all writes that it depends on are on
+//! disk.
 
 mod recovery;
 
@@ -17,28 +18,29 @@
 use crate::state::{Entry, LogStep, State};
 use crate::store::{StoreKey, StoreWrite, StoredState, encode};
 
-/// Inputs that wait for the disk; while a disk stalls for longer, messages are lost, as on a link.
+/// Maximum number of inputs that wait for the disk. Further inputs are dropped while the disk stalls, as if a
+/// link had lost them.
 const MAX_QUEUED_INPUTS: usize = 4_096;
 
 /// An input of the consensus protocol.
 pub(crate) enum Input {
-    /// Another voter's message.
+    /// A message from another voter.
     Message(ConsensusMessage),
     /// An entry that this node proposes.
     Propose(Entry),
     /// Messages to or from the voter of this slot may have been lost.
     Reconnected(u64),
-    /// Time passes.
+    /// [`crate::consensus::TICK_MS`] have passed.
     Tick,
 }
 
-/// A step of the log, and its place in it over all epochs.
+/// A decided step of the log, and its position in the log over all epochs.
 pub(crate) struct DecidedStep {
     pub position: u64,
     pub step: LogStep,
 }
 
-/// Whether this node gave up its voter slot.
+/// Whether a call has made this node give up its voter slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum SlotChange {
@@ -51,23 +53,24 @@
     store: Option<DurableStore>,
     status: VoterStatus,
     voter: Option<Voter>,
-    /// How far the slot's log was handed on, over all epochs; what the state has beyond that came from other nodes.
+    /// The log position, over all epochs, up to which this voter has delivered decided steps. Steps of the
+    /// state beyond it came from other nodes.
     delivered: u64,
     inputs: VecDeque<Input>,
-    /// What the other voters were heard to have on disk.
+    /// The highest durable mark received from each other node.
     peer_marks: BTreeMap<UnitName, DurableMark>,
-    /// Voters whose store was heard to be empty since this process began.
+    /// Voters that have reported an empty store since this process started.
     fresh_voters: BTreeSet<UnitName>,
-    /// Since when a voter says that the fleet is founded.
+    /// When a voter first reported that the fleet is founded.
     founded_since: Option<Timestamp>,
-    /// An operator has said that this store is whole, whoever is missing.
+    /// Whether an operator trusts this store, so that no confirmations are needed.
     is_trusted: bool,
-    /// Voters that know of nothing newer in this slot than this store has.
+    /// Voters that have confirmed that they know of nothing newer in this slot than this store holds.
     confirmed_by: BTreeSet<UnitName>,
 }
 
 impl Replica {
-    /// A node without a store, which never votes.
+    /// Creates the replica of a node without a store, which never votes.
     pub(crate) fn without_store() -> Replica {
         Replica {
             store: None,
@@ -83,8 +86,8 @@
         }
     }
 
-    /// A node with what its store held, and the state that it starts from if it held a whole one. `is_spoilt` says that
-    /// something in the store could not be read.
+    /// Creates the replica from the store's contents. Also returns the state to start from, if the store
+    /// holds a complete one. `is_spoilt` says whether some of the contents could not be read.
     pub(crate) fn open(saved: StoredState, is_spoilt: bool) -> (Replica, Option<State>) {
         let voter_slot: Option<u64> = saved.value(StoreKey::VoterSlot);
         let base: Option<State> = saved.value(StoreKey::Base);
@@ -100,7 +103,7 @@
         (Replica { store, status, peer_marks, ..Replica::without_store() }, base)
     }
 
-    /// Records that the store was opened once more.
+    /// Writes the boot count of this process to the store.
     pub(crate) fn record_boot(&mut self, context: &Context, actions: &mut Vec<Action>) {
         let writes = vec![StoreWrite::Put(StoreKey::BootCount, encode(&context.boot_count.0))];
         self.write(writes, AfterWrite::Nothing, actions);
@@ -114,7 +117,7 @@
         self.voter.is_some()
     }
 
-    /// Whether this node leads, and a majority follows as far as it knows.
+    /// Whether this node is the leader and, as far as it knows, a majority follows it.
     pub(crate) fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::is_leader)
     }
@@ -133,17 +136,17 @@
         self.voter.as_ref().is_some_and(Voter::has_undecided)
     }
 
-    /// Entries of this epoch's log.
+    /// Number of entries in this epoch's log.
     pub(crate) fn log_length(&self) -> usize {
         self.voter.as_ref().map_or(0, Voter::log_length)
     }
 
-    /// Whether a batch is not on disk yet.
+    /// Whether a batch is in flight.
     pub(crate) fn is_writing(&self) -> bool {
         self.store.as_ref().is_some_and(DurableStore::is_writing)
     }
 
-    /// Whether this node holds or held a voter slot, so that the fleet is founded.
+    /// Whether this node holds or held a voter slot, which means that the fleet is founded.
     pub(crate) fn knows_founding(&self) -> bool {
         match self.status {
             VoterStatus::Active(_) | VoterStatus::Recovering(_) | VoterStatus::StateLost => true,
@@ -151,7 +154,7 @@
         }
     }
 
-    /// The slot that the store holds.
+    /// The voter slot recorded in the store.
     fn held_slot(&self) -> Option<u64> {
         match self.status {
             VoterStatus::Recovering(voter_slot) | VoterStatus::Active(voter_slot) => Some(voter_slot),
@@ -159,41 +162,41 @@
         }
     }
 
-    /// A message with how far this node's disk is.
+    /// Wraps a message in an envelope with this node's durable mark.
     pub(crate) fn envelope(&self, message: Message) -> Envelope {
         let stamp = self.store.as_ref().map(DurableStore::stamp);
         let mark = self.held_slot().zip(stamp).map(|(voter_slot, stamp)| DurableMark { voter_slot, stamp });
         Envelope { durable_mark: mark, message }
     }
 
-    /// What a peer was heard to have on disk.
+    /// The highest durable mark received from a peer.
     pub(crate) fn peer_mark(&self, name: &UnitName) -> Option<DurableMark> {
         self.peer_marks.get(name).copied()
     }
 
-    /// Remembers the most that a peer was heard to have on disk.
+    /// Records a durable mark received from a peer, if it is higher than the known one.
     pub(crate) fn record_peer_mark(&mut self, name: &UnitName, mark: DurableMark) {
         let known = self.peer_marks.entry(name.clone()).or_default();
         *known = mark.max(*known);
     }
 
-    /// A voter was heard to have an empty store.
+    /// Records that a voter reported an empty store.
     pub(crate) fn record_fresh_voter(&mut self, name: &UnitName) {
         self.fresh_voters.insert(name.clone());
     }
 
-    /// A voter says that the fleet is founded.
+    /// Records that a voter reported that the fleet is founded.
     pub(crate) fn record_founded_elsewhere(&mut self, now: Timestamp) {
         self.founded_since.get_or_insert(now);
     }
 
-    /// An operator vouches for the store. Whether there was anything to wait for.
+    /// Records that an operator trusts the store. Returns whether the node was waiting for confirmations.
     pub(crate) fn trust_store(&mut self) -> bool {
         self.is_trusted = matches!(self.status, VoterStatus::Recovering(_));
         self.is_trusted
     }
 
-    /// The store has failed: this node votes no more until it is started anew.
+    /// Records that the store has failed. This node does not vote again until it is restarted.
     pub(crate) fn lose_store(&mut self) {
         self.store = None;
         self.voter = None;
@@ -201,13 +204,14 @@
         self.inputs.clear();
     }
 
-    /// Queues an input of the protocol, for [`Replica::step`].
+    /// Queues an input for [`Replica::step`].
     pub(crate) fn enqueue(&mut self, input: Input) {
         if self.voter.is_none() {
             return;
         }
         if matches!(input, Input::Tick) && self.is_writing() {
-            // Ticks that pile up behind a stalled disk would let elections race when it comes back.
+            // Ticks queued behind a stalled disk would all run at once when it recovers, and set off
+            // elections.
             return;
         }
         if self.inputs.len() < MAX_QUEUED_INPUTS {
@@ -215,8 +219,8 @@
         }
     }
 
-    /// Carries out the queued inputs and returns what was decided; `None` if there is nothing to do, or the disk has to be
-    /// waited for.
+    /// Processes the queued inputs and returns the decided steps; `None` if there are no inputs or a write is
+    /// in flight.
     pub(crate) fn step(&mut self, context: &Context, actions: &mut Vec<Action>) -> Option<Vec<DecidedStep>> {
         if self.is_writing() || self.inputs.is_empty() {
             return None;
@@ -249,7 +253,8 @@
         Some(vec![])
     }
 
-    /// A batch is on disk. What was decided by that; `None` if it is not the batch that was waited for.
+    /// Records that a batch is on disk and returns the steps decided by that; `None` if it is not the batch
+    /// in flight.
     pub(crate) fn finish_write(
         &mut self,
         context: &Context,
@@ -268,7 +273,8 @@
         Some(vec![])
     }
 
-    /// All voters are to know what this one has acknowledged, not only those that a message goes to.
+    /// Sends the new durable mark to the voters that none of these messages is addressed to, so that all
+    /// voters know it.
     fn announce_mark(&self, context: &Context, messages: &[ConsensusMessage], actions: &mut Vec<Action>) {
         for voter_slot in context.other_voters() {
             let is_addressed = messages.iter().any(|message| message.get_receiver() == voter_slot.number);
@@ -278,7 +284,8 @@
         }
     }
 
-    /// All that these messages rest on is on disk: they go out, and what was decided counts.
+    /// Sends these messages and returns the decided steps, now that all writes that they depend on are on
+    /// disk.
     fn release(
         &mut self,
         context: &Context,
@@ -307,23 +314,23 @@
         }
     }
 
-    /// The state's epoch is new here: its slot is taken up, if one is this node's.
+    /// Enters the state's new epoch, and takes the voter slot if one belongs to this node.
     pub(crate) fn enter_epoch(&mut self, context: &Context, actions: &mut Vec<Action>) {
         self.voter = None;
         self.inputs.clear();
         let held = self.held_slot();
         match (context.state.voter_slot_of(&context.name), held) {
-            // Kept over the change.
+            // The node keeps its slot in the new epoch.
             (Some(voter_slot), Some(held)) if voter_slot.number == held => {
                 if matches!(self.status, VoterStatus::Active(_)) {
                     self.take_slot(context, held, actions);
                 }
             }
-            // Given anew, to this very process.
+            // The slot was newly assigned to this process.
             (Some(voter_slot), _) if voter_slot.incarnation == context.incarnation => {
                 self.take_slot(context, voter_slot.number, actions);
             }
-            (_, Some(_)) => self.give_up_slot("its seat was given to another", actions),
+            (_, Some(_)) => self.give_up_slot("its voter slot was reassigned", actions),
             (_, None) => {}
         }
     }
@@ -357,7 +364,7 @@
         self.voter = None;
         self.status = VoterStatus::NoStore;
         self.inputs.clear();
-        actions.push(Action::Log(format!("does not vote: {why}")));
+        actions.push(Action::Log(format!("gives up its vote: {why}")));
         let removed =
             [StoreKey::VoterSlot, StoreKey::Base, StoreKey::Promise, StoreKey::Accepted, StoreKey::Decided];
         let mut writes = vec![StoreWrite::Cut(0)];
@@ -369,7 +376,8 @@
     }
 }
 
-/// A log with a hole, or shorter than what is decided, would be taken for a short one.
+/// Whether the stored log is complete. A log that ends before the decided index, or has an entry that cannot
+/// be decoded, would otherwise be read as a shorter log.
 fn is_log_whole(saved: &StoredState) -> bool {
     let decided = saved.value::<usize>(StoreKey::Decided).unwrap_or(0);
     saved.log.len() >= decided && saved.log.iter().all(|entry| postcard::from_bytes::<Entry>(entry).is_ok())
--- a/crates/fleet/src/replica/recovery.rs
+++ b/crates/fleet/src/replica/recovery.rs
@@ -1,7 +1,9 @@
-//! How a node comes to vote: in the slot that its store holds, as one of the founders, or in a slot given anew.
+//! How a node starts voting: in the slot recorded in its store, as a founding voter, or in a newly assigned
+//! slot.
 //!
-//! A store may be an older copy of itself, restored from a backup. A node that voted with it could contradict what it has
-//! acknowledged, so it waits until enough other voters confirm that they know of nothing newer.
+//! A store may be an older copy, for example restored from a backup. A node that votes with it could
+//! contradict what it has acknowledged, so it waits until enough other voters confirm that they know of
+//! nothing newer.
 
 use super::{Replica, SlotChange};
 use crate::action::Action;
@@ -13,12 +15,13 @@
 use crate::state::{State, VoterSlot};
 use crate::store::StoreKey;
 
-/// A voter with an empty store waits so long, in ms, for the others to be empty too before it takes the fleet for founded
-/// without it.
+/// How long, in ms, a voter with an empty store waits for the others to report empty stores too. After that
+/// it concludes that the fleet was founded without it.
 const FOUNDING_TIMEOUT_MS: u64 = 5_000;
 
 impl Replica {
-    /// Compares what a voter knows of this node's slot with this node's store.
+    /// Compares the durable mark that a voter knows of this node with this node's store. Gives up the slot if
+    /// the store is older.
     pub(crate) fn compare_with_peer(
         &mut self,
         peer: &UnitName,
@@ -34,11 +37,12 @@
                 let stamp = self.store.as_ref().map_or(0, DurableStore::stamp);
                 let is_behind = mark_of_us.is_some_and(|known| known > DurableMark { voter_slot, stamp });
                 if is_behind && !is_injected(InjectedFault::OutdatedStoreVotes) {
-                    self.give_up_slot("its disk is older than what it has acknowledged", actions);
+                    self.give_up_slot("its store is older than what it has acknowledged", actions);
                     return SlotChange::GivenUp;
                 }
-                // A node that was never a voter knows nothing, which confirms nothing. One whose disk has failed it
-                // does count: it is of the minority that may fail, and so this one is the less likely to.
+                // A node that was never a voter knows of no marks, so it confirms nothing. A voter whose
+                // store lost its state does count: only a minority may fail, and it already belongs to that
+                // minority.
                 match peer_status {
                     VoterStatus::Active(_) | VoterStatus::Recovering(_) | VoterStatus::StateLost => {
                         self.confirmed_by.insert(peer.clone());
@@ -48,7 +52,7 @@
                 SlotChange::Unchanged
             }
             VoterStatus::Fresh if mark_of_us.is_some() => {
-                self.give_up_slot("its store is empty, but peers know of its seat", actions);
+                self.give_up_slot("its store is empty, but peers know of its voter slot", actions);
                 SlotChange::GivenUp
             }
             VoterStatus::NoStore | VoterStatus::Fresh | VoterStatus::StateLost | VoterStatus::Active(_) => {
@@ -57,7 +61,7 @@
         }
     }
 
-    /// Votes, or takes or gives up a slot, where that has become clear.
+    /// Starts voting, takes a slot or gives it up, once the conditions for it are met.
     pub(crate) fn update_status(&mut self, context: &Context, actions: &mut Vec<Action>) -> SlotChange {
         if self.is_writing() || self.store.is_none() {
             return SlotChange::Unchanged;
@@ -77,10 +81,11 @@
         }
     }
 
-    /// Votes in the slot that the store holds once enough voters have confirmed that the store is not an old copy.
+    /// Starts voting in the slot recorded in the store, once enough voters have confirmed that the store is
+    /// not an old copy.
     fn try_recover(&mut self, context: &Context, voter_slot: u64, actions: &mut Vec<Action>) -> SlotChange {
         if context.state.voter_slot(voter_slot).is_none() {
-            self.give_up_slot("its seat was given to another", actions);
+            self.give_up_slot("its voter slot was reassigned", actions);
             return SlotChange::GivenUp;
         }
         let is_confirming =
@@ -93,13 +98,13 @@
         if base.is_some_and(|base| base.epoch == context.state.epoch) {
             self.start_voting(context, voter_slot, actions);
         } else {
-            // The group is in a later epoch than the store.
+            // The voters are in a later epoch than the store.
             self.take_slot(context, voter_slot, actions);
         }
         SlotChange::Unchanged
     }
 
-    /// Founds the fleet together with the other voters of the policy, if all their stores are empty.
+    /// Founds the fleet together with the policy's other voters, if all their stores are empty.
     fn try_found(&mut self, context: &Context, actions: &mut Vec<Action>) -> SlotChange {
         let voters = &context.policy.voters;
         let Some(index) = voters.iter().position(|name| *name == context.name) else {
@@ -114,17 +119,18 @@
         let is_founded =
             self.founded_since.is_some_and(|since| context.now.ms_since(since) >= FOUNDING_TIMEOUT_MS);
         if is_founded {
-            self.give_up_slot("its store is empty, but the group exists", actions);
+            self.give_up_slot("its store is empty, but the fleet is already founded", actions);
             return SlotChange::GivenUp;
         }
         SlotChange::Unchanged
     }
 }
 
-/// How many other voters must confirm a store before its node votes again.
+/// Number of other voters that must confirm a store before its node votes again.
 ///
-/// A majority would do to vote, but all that know of this node's last acknowledgement may be among the rest. So many are
-/// needed as meet every majority that this node was part of, without itself.
+/// A majority would suffice to vote, but the voters that know of this node's last acknowledgement may all be
+/// outside it. So the confirming voters must intersect every majority that this node was part of, not
+/// counting itself.
 fn required_confirmations(voters: usize) -> usize {
     let majority = voters / 2 + 1;
     if is_injected(InjectedFault::OutdatedStoreVotes) {
--- a/crates/fleet/src/requests.rs
+++ b/crates/fleet/src/requests.rs
@@ -1,14 +1,14 @@
-//! Requests of operators that wait for their result.
+//! Operators' requests that wait for their result.
 
 use std::collections::BTreeMap;
 
 use crate::Timestamp;
 use crate::state::{Command, RequestId};
 
-/// A request is sent again after this time, in ms.
+/// Interval, in ms, after which a request is sent again.
 const RETRY_MS: u64 = 250;
 
-/// A request is given up after this time, in ms, so that operators hear something within a second.
+/// Time, in ms, after which a request is given up, so that operators get a reply within a second.
 const TIMEOUT_MS: u64 = 900;
 
 struct PendingRequest {
@@ -17,24 +17,24 @@
     sent_at: Option<Timestamp>,
 }
 
-/// The requests that wait, by id.
+/// The pending requests, by id.
 #[derive(Default)]
 pub(crate) struct Requests {
     pending: BTreeMap<RequestId, PendingRequest>,
 }
 
 impl Requests {
-    /// Takes in a request; it is due to be sent at once.
+    /// Adds a request, which is due immediately.
     pub(crate) fn add(&mut self, now: Timestamp, id: RequestId, command: Command) {
         self.pending.insert(id, PendingRequest { command, received_at: now, sent_at: None });
     }
 
-    /// Removes a request that was decided. Whether it was waiting here.
+    /// Removes a request that was decided. Returns whether it was pending on this node.
     pub(crate) fn finish(&mut self, id: &RequestId) -> bool {
         self.pending.remove(id).is_some()
     }
 
-    /// Removes and returns the requests that have waited for too long.
+    /// Removes and returns the requests that have waited for [`TIMEOUT_MS`].
     pub(crate) fn take_expired(&mut self, now: Timestamp) -> Vec<RequestId> {
         let mut expired = Vec::new();
         self.pending.retain(|id, request| {
@@ -47,7 +47,7 @@
         expired
     }
 
-    /// The requests that are to be sent now, for the first time or again.
+    /// The requests that are due to be sent, for the first time or again.
     pub(crate) fn due(&mut self, now: Timestamp) -> Vec<(RequestId, Command)> {
         let mut due = Vec::new();
         for (id, request) in &mut self.pending {
--- a/crates/fleet/src/state/apply/hosts.rs
+++ b/crates/fleet/src/state/apply/hosts.rs
@@ -1,4 +1,4 @@
-//! Commands on hosts: what the endpoint list shows, and leases to be out.
+//! Commands on hosts: updates of the endpoint list, and leases to be out.
 
 use super::{Outcome, State};
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -6,7 +6,7 @@
 use crate::state::{Cause, HoldState, Host, HostHold, HostUpdate, Lease, LimitedKind, Refusal};
 
 impl State {
-    /// Whether one more host may go out, or which limit stands against it.
+    /// Checks that this host may go out within the limits.
     fn check_host_limits(&self, name: &UnitName, host: &Host) -> Result<(), Refusal> {
         let settings = self.host_settings().ok_or(Refusal::HostsNotManaged)?;
         if host.held.is_some() {
@@ -14,7 +14,7 @@
         }
         let places = self.hosts.iter().map(|(name, host)| (name, &host.place));
         for scope in settings.limits.scopes_of(&host.place, places) {
-            // That the list shows this host itself as draining is no reason against it.
+            // The host itself is not counted, since the list may already show it as draining.
             let others = scope.members.iter().filter(|other| **other != name);
             let out = others.filter(|other| self.hosts.get(**other).is_some_and(Host::is_out)).count() as u32;
             let total = scope.members.len() as u32;
@@ -42,7 +42,7 @@
         Ok(format!("{name} is eased off, permit {}", lease.0))
     }
 
-    /// Grants a lease whatever the limits say; the caller has checked that no other override is in use.
+    /// Grants a lease regardless of the limits. The caller has checked that no other override is in use.
     pub(super) fn hold_host_beyond_limits(&mut self, name: &UnitName) -> Result<Lease, Refusal> {
         match self.hosts.get(name) {
             Some(host) if host.held.is_none() => Ok(self.hold_host(name, Cause::Override)),
--- a/crates/fleet/src/state/apply/mod.rs
+++ b/crates/fleet/src/state/apply/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does to the state.
+//! Effects of each command on the state.
 
 mod hosts;
 mod overrides;
@@ -9,10 +9,11 @@
 use super::{Command, CommandResult, Entry, Lease, LogStep, Refusal, RequestId, State, Unit, UnitState};
 use crate::policy::FleetPolicy;
 
-/// Results kept for requests that are repeated: more than operators and scripts send in the minutes in which they retry.
+/// Number of results kept for repeated requests: more than operators and scripts send in the minutes during
+/// which they retry.
 const RESULTS_KEPT: usize = 128;
 
-/// What came of a command: a text for operators, or why nothing was done.
+/// The outcome of a command: a text for operators, or the reason for refusing it.
 type Outcome = Result<String, Refusal>;
 
 impl State {
@@ -40,8 +41,8 @@
         result
     }
 
-    /// A refusal is not kept, since there may be room when the request is repeated; but a release that was refused once
-    /// must not start by a late repetition.
+    /// Keeps the result for repeats of the request. Refusals are not kept, since a repeated request may
+    /// succeed later; only a refused release start is, so that a late repeat does not start it after all.
     fn remember_result(&mut self, id: &RequestId, command: &Command, result: &CommandResult) {
         let is_done = matches!(result, CommandResult::Done(_));
         if !is_done && !matches!(command, Command::StartRelease { .. }) {
@@ -78,7 +79,7 @@
             Command::MarkLost { unit } => self.mark_lost(unit),
             Command::AdvanceWave { release, wave } => self.advance_wave(*release, *wave),
             Command::ReplaceVoter { old, new } => self.replace_voter(old, new),
-            // Whoever reads the log takes it out, as the end of its epoch: see `State::start_epoch`.
+            // The reader of the log converts it to the end of the epoch; see `State::start_epoch`.
             Command::Reconfigure { .. } => Err(Refusal::NotAnEntry),
             Command::LeaderStarted { voters } => self.record_voters(voters),
         }
@@ -88,7 +89,8 @@
         if self.policy.is_some() {
             return Err(Refusal::AlreadyFounded);
         }
-        // A unit that nobody has seen yet must not count as serving: another would be let out in its place.
+        // A unit that no voter has seen yet starts as lost. If it counted as serving, too many others could
+        // be let out.
         let unseen =
             Unit { unit_state: UnitState::Serving, lost: true, term: 0, dead: false, version: String::new() };
         self.units = policy.units.keys().map(|name| (name.clone(), unseen.clone())).collect();
--- a/crates/fleet/src/state/apply/overrides.rs
+++ b/crates/fleet/src/state/apply/overrides.rs
@@ -1,10 +1,10 @@
-//! Drains beyond the limits, of units and hosts alike.
+//! Drains of units and hosts beyond the limits.
 
 use super::{Outcome, State};
 use crate::policy::UnitName;
 use crate::state::{Cause, Lease, OverrideRecord, Refusal, UnitState};
 
-/// Overrides kept to be shown to operators.
+/// Number of overrides kept to be shown to operators.
 const OVERRIDES_KEPT: usize = 32;
 
 impl State {
@@ -24,7 +24,7 @@
         Ok(format!("{name} may go out beyond the limits, permit {}", lease.0))
     }
 
-    /// The unit or host that is out by an override.
+    /// The unit or host that is out by an override, if any.
     fn current_override(&self) -> Option<&UnitName> {
         let units = self.units.iter().filter(|(_, unit)| unit.unit_state.cause() == Some(Cause::Override));
         let hosts =
--- a/crates/fleet/src/state/apply/releases.rs
+++ b/crates/fleet/src/state/apply/releases.rs
@@ -29,12 +29,12 @@
         Ok(format!("release {}", self.releases))
     }
 
-    /// Halts the release. Units that have not begun lose their lease; those that have stay out or return, as the plan
-    /// says.
+    /// Halts the release. Units that have not begun to drain lose their lease; the others stay out or return,
+    /// according to the plan's `on_halt`.
     pub(super) fn halt_release(&mut self, why: &str) -> Outcome {
         let release = self.release.as_mut().filter(|release| !release.is_finished());
         let release = release.ok_or(Refusal::NothingToHalt)?;
-        // The first reason is the one to be shown.
+        // A later halt does not replace the first reason.
         if release.is_running() {
             release.release_state = ReleaseState::Halted(why.to_owned());
         }
@@ -65,7 +65,8 @@
         }
     }
 
-    /// The rollback is a release of its own, under the same limits: newest first.
+    /// Starts the rollback as a new release under the same limits, which changes the units in reverse order
+    /// of their change.
     pub(super) fn roll_back(&mut self) -> Outcome {
         let release = self.release.as_ref().ok_or(Refusal::NothingToRollBack)?;
         if release.is_running() {
@@ -101,7 +102,8 @@
         Ok(format!("release {number} leads back"))
     }
 
-    /// Units that are out for one release return under the number of its rollback. That lets no further unit out.
+    /// Returns the units that are out for the release, under the number of its rollback. This lets no further
+    /// unit out.
     fn return_units_to_release(&mut self, rolled_back: u64, rollback: u64) {
         for unit in self.units.values_mut() {
             match unit.unit_state {
@@ -136,8 +138,8 @@
         Ok(format!("permit {}", lease.0))
     }
 
-    /// A unit that was out for this release serves again: it is done, or it came back as the wrong version, which halts
-    /// the release.
+    /// Records that a unit that was out for this release serves again. A unit that came back with the wrong
+    /// version halts the release.
     pub(super) fn record_return(&mut self, number: u64, name: &UnitName, version: &str) -> Outcome {
         let Some(release) = self.release.as_mut().filter(|release| release.number == number) else {
             return Ok("serving".into());
@@ -147,7 +149,8 @@
         let only_drains = release.plan.act == Act::Drain;
         let is_rollback = release.back.is_some();
         if only_drains || version == wanted {
-            // In a rollback a unit may come to run what it is to run without a turn of its own.
+            // In a rollback, a unit may return with its target version without having been granted a lease by
+            // the rollback.
             if !release.is_done(name) && (is_rollback || began.is_some()) {
                 release.done.push(began.unwrap_or_else(|| ChangedUnit {
                     unit: name.clone(),
@@ -177,8 +180,8 @@
     }
 }
 
-/// Units that may run the release's version: those that are still out, which may come back as either, then those that
-/// are done, the newest first.
+/// Units that may run the release's version: those that are still out, which may come back with either
+/// version, then those that are done, newest first.
 fn units_to_roll_back(release: &Release) -> Vec<&ChangedUnit> {
     release.began.values().chain(release.done.iter().rev()).collect()
 }
--- a/crates/fleet/src/state/apply/units.rs
+++ b/crates/fleet/src/state/apply/units.rs
@@ -1,4 +1,4 @@
-//! Commands on units: leases to be out, the way out and back, and losses.
+//! Commands on units: leases, draining, returning, and losses.
 
 use super::{Outcome, State};
 use crate::fault_injection::{InjectedFault, is_injected};
@@ -6,7 +6,7 @@
 use crate::state::{CallCounts, Cause, ChangedUnit, Lease, LimitedKind, Nonce, Refusal, Unit, UnitState};
 
 impl State {
-    /// Whether one more unit may go out, or which limit stands against it.
+    /// Checks that this unit may go out within the limits.
     pub(super) fn check_unit_limits(&self, name: &UnitName) -> Result<(), Refusal> {
         let policy = self.policy.as_ref().ok_or(Refusal::NotFounded)?;
         let unit = self.units.get(name).ok_or_else(|| Refusal::UnknownUnit(name.clone()))?;
@@ -29,8 +29,8 @@
         Ok(())
     }
 
-    /// Whether all other units of its zone are out. The last units of a zone never go together, whatever the limits
-    /// allow.
+    /// Whether all other units of its zone are out. A release never takes the last unit of a zone out,
+    /// whatever the limits allow.
     pub(super) fn is_last_of_zone(&self, name: &UnitName) -> bool {
         let Some(policy) = &self.policy else { return false };
         let Some(place) = policy.units.get(name) else { return false };
@@ -110,7 +110,7 @@
 
     pub(super) fn mark_lost(&mut self, name: &UnitName) -> Outcome {
         let unit = self.units.get_mut(name).ok_or(Refusal::NoSuchUnit)?;
-        // From here on others may take over the calls that it had in flight.
+        // From this term on, other nodes may take over its in-flight calls.
         unit.term += u64::from(!unit.lost);
         unit.lost = true;
         Ok("lost".into())
@@ -133,7 +133,8 @@
     unit.is_out()
 }
 
-/// The cause of the lease and the unit's call counts before it went out, if this lease lets the unit begin.
+/// The cause of the lease and the unit's call counts before it went out, if the unit may begin under this
+/// lease.
 fn lease_in_force(
     unit_state: &UnitState,
     lease: Lease,
@@ -142,8 +143,9 @@
 ) -> Result<(Cause, CallCounts), Refusal> {
     match unit_state {
         UnitState::Granted { lease: granted, cause } if *granted == lease => Ok((*cause, call_counts)),
-        // Asked again for want of an answer in time, or by the next process of a drained node. The next process of a
-        // unit that left to be changed may know the log only up to its grant, and must not leave a second time.
+        // A repeated request, because no answer came in time or from the next process of a drained node. The
+        // next process of a unit that exited to be changed may know the log only up to its grant, and must
+        // not exit a second time.
         UnitState::Begun { lease: granted, cause, before, nonce: begun } if *granted == lease => {
             if matches!(cause, Cause::Release(_)) && begun.incarnation != nonce.incarnation {
                 return Err(Refusal::BegunByAnotherProcess);
--- a/crates/fleet/src/state/apply/voters.rs
+++ b/crates/fleet/src/state/apply/voters.rs
@@ -1,4 +1,4 @@
-//! Which nodes vote: replacements, epochs, and the processes that make up the group.
+//! Voters: replacements, epochs, and the recorded voter processes.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::state::{BootCount, Refusal, Release, UnitState, VoterReplacement, VoterSlot};
 
 impl State {
-    /// Records the processes that make up the group of voters, and halts the release if all of them are new.
+    /// Records the running voter processes, and halts the release if all of them have restarted.
     ///
-    /// After a loss of all processes at once nobody remembers what was going on when it happened, and the running
-    /// release may have caused it. It must not go on by itself.
+    /// After all voters have restarted at once, none of them knows what happened before, and the running
+    /// release may have caused it. So the release must not continue without an operator.
     pub(super) fn record_voters(&mut self, voters: &[(UnitName, BootCount)]) -> Outcome {
         let is_draining = |name: &UnitName| {
             self.units.get(name).is_some_and(|unit| matches!(unit.unit_state, UnitState::Begun { .. }))
@@ -19,7 +19,8 @@
         let is_restarted = |(name, boot_count): &(UnitName, BootCount)| {
             self.voters.get(name).is_some_and(|known| known < boot_count)
         };
-        // A voter that the release was to restart is no sign of a loss by itself: it may be the only voter there is.
+        // The restart of voters that are out does not count by itself: the release may have restarted the
+        // only voter.
         let all_restarted =
             voters.iter().all(is_restarted) && voters.iter().any(|(name, _)| !is_draining(name));
         for (name, boot_count) in voters {
@@ -46,7 +47,7 @@
         Ok(format!("{new} takes the place of {old} once it is heard with an empty store"))
     }
 
-    /// Ends the epoch; the next has these voter slots.
+    /// Ends the epoch and starts the next one with these voter slots.
     pub(super) fn start_epoch(&mut self, voter_slots: Vec<VoterSlot>) {
         self.applied += 1;
         self.epoch += 1;
--- a/crates/fleet/src/state/command.rs
+++ b/crates/fleet/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Log entries: the commands that change the state, their results, and why a command is refused.
+//! Log entries: commands that change the state, their results, and the reasons for refusing a command.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,52 +8,52 @@
 use super::voter::VoterSlot;
 use crate::policy::{FleetPolicy, Plan, PolicyError, UnitName};
 
-/// What an entry asks for.
+/// A command of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// The leader: the fleet is founded on this policy. The first command of all.
+    /// Leader: found the fleet on this policy. Always the first command.
     Bootstrap(Box<FleetPolicy>),
-    /// Changes nothing; once it is decided, the state that it was applied to was the newest.
+    /// No change. Once it is decided, the state that it was applied to is known to have been the latest.
     Confirm,
-    /// An operator: this unit or host goes out, within the limits.
+    /// Operator: drain this unit or host, within the limits.
     Drain {
         /// Its name.
         unit: UnitName,
     },
-    /// An operator: this unit or host goes out beyond the limits. One at a time.
+    /// Operator: drain this unit or host beyond the limits. Only one may be out by an override at a time.
     Override {
         /// Its name.
         unit: UnitName,
-        /// Why, for the record.
+        /// The reason, kept in the state.
         reason: String,
     },
-    /// An operator, or a unit that has drained: it takes clients again.
+    /// Operator, or a unit that has drained: return this unit or host to service.
     Activate {
         /// Its name.
         unit: UnitName,
     },
-    /// An operator: a release begins.
+    /// Operator: start a release.
     StartRelease {
-        /// What it changes, and how.
+        /// The plan of the release.
         plan: Box<Plan>,
     },
-    /// An operator or the leader: the release stops where it is.
+    /// Operator or leader: halt the release.
     Halt {
-        /// Why, for the record.
+        /// The reason, kept in the state.
         why: String,
     },
-    /// An operator: the halted release goes on.
+    /// Operator: resume the halted release.
     Resume,
-    /// An operator: the units that the last release changed go back to what they ran before.
+    /// Operator: return the units that the last release changed to their previous versions.
     RollBack,
-    /// The leader: this unit is the next that the release changes.
+    /// Leader: grant a lease to the unit that the release changes next.
     GrantTurn {
         /// Number of the release.
         release: u64,
         /// The unit's name.
         unit: UnitName,
     },
-    /// The unit: it goes out, unless its lease is no longer in force.
+    /// Unit: begin the drain, unless its lease is no longer in force.
     BeginDrain {
         /// Its name.
         unit: UnitName,
@@ -61,75 +61,75 @@
         lease: Lease,
         /// Identifies this request.
         nonce: Nonce,
-        /// How its calls ended of late.
+        /// How its recent calls ended.
         call_counts: CallCounts,
     },
-    /// The leader: it has seen the unit serve for long enough.
+    /// Leader: the unit has served for long enough to count as back.
     MarkServing {
         /// Its name.
         unit: UnitName,
-        /// The lease that it held when it was judged.
+        /// The lease that it held when the leader judged it.
         lease: Option<Lease>,
-        /// What it runs.
+        /// The version that it runs.
         version: String,
     },
-    /// The leader: no voter hears this unit.
+    /// Leader: no voter hears this unit.
     MarkLost {
         /// Its name.
         unit: UnitName,
     },
-    /// An operator: no process of this lost unit runs any more.
+    /// Operator: confirm that no process of this lost unit is running.
     ConfirmDead {
         /// Its name.
         unit: UnitName,
     },
-    /// The leader: what has changed in its endpoint list.
+    /// Leader: changes in its endpoint list.
     UpdateHosts {
         /// The hosts that have changed.
         updates: Vec<HostUpdate>,
     },
-    /// The leader: no node holds anything at this host.
+    /// Leader: no node holds connections or attempts at this host.
     MarkHostEmpty {
         /// Its name.
         host: UnitName,
         /// The lease under which it is out.
         lease: Lease,
     },
-    /// The leader: all nodes know that they may use this host again.
+    /// Leader: all nodes know that they may use this host again.
     MarkHostReturned {
         /// Its name.
         host: UnitName,
         /// The lease under which it was out.
         lease: Lease,
     },
-    /// The leader: the wave was watched for long enough.
+    /// Leader: the wave was watched for long enough.
     AdvanceWave {
         /// Number of the release.
         release: u64,
         /// Index of the wave that is done.
         wave: usize,
     },
-    /// An operator: one voter's slot goes to another node for good, once that node reports an empty store.
+    /// Operator: permanently replace a voter by another node, once that node reports an empty store.
     ReplaceVoter {
         /// The voter that leaves.
         old: UnitName,
         /// The node that becomes a voter.
         new: UnitName,
     },
-    /// The leader: the epoch ends, and the next has these voter slots.
+    /// Leader: end the epoch; the next epoch has these voter slots.
     Reconfigure {
         /// All slots of the next epoch.
         voter_slots: Vec<VoterSlot>,
     },
-    /// The leader, before anything else: the processes that make up the group of voters.
+    /// Leader, before any other proposal: record the running voter processes.
     LeaderStarted {
-        /// The voters that it hears, and how often each one's store was opened.
+        /// The active voters, and how often each one's store was opened.
         voters: Vec<(UnitName, BootCount)>,
     },
 }
 
 impl Command {
-    /// Whether only the leader itself may propose it.
+    /// Whether only the leader itself may propose the command.
     pub fn is_leader_only(&self) -> bool {
         match self {
             Command::Bootstrap(_)
@@ -160,9 +160,9 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The request that asked for it, if its sender waits for the result.
+    /// The id of the request, if its sender waits for the result.
     pub id: Option<RequestId>,
-    /// What it asks for.
+    /// The command.
     pub command: Command,
 }
 
@@ -171,11 +171,11 @@
 pub enum LogStep {
     /// An entry.
     Entry(Entry),
-    /// The epoch is over; the next has these voter slots.
+    /// The end of the epoch; the next epoch has these voter slots.
     Reconfigure(Vec<VoterSlot>),
 }
 
-/// What came of a command, in the words that operators are shown.
+/// The result of a command, with the text shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandResult {
     /// It was carried out.
@@ -193,122 +193,122 @@
     }
 }
 
-/// Why a command is refused. The texts are part of what operators and their scripts see.
+/// Why a command is refused. Operators and their scripts see these texts.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
     /// No policy has been agreed on yet.
-    #[error("the group is not founded")]
+    #[error("the fleet is not founded")]
     NotFounded,
-    /// A second bootstrap.
-    #[error("the group is founded already")]
+    /// The fleet was bootstrapped before.
+    #[error("the fleet is already founded")]
     AlreadyFounded,
-    /// Ends of epochs are handled by the reader of the log, not as entries.
-    #[error("no entry for this state")]
+    /// The end of an epoch was applied as an entry; the reader of the log handles it instead.
+    #[error("the end of an epoch is not applied as an entry")]
     NotAnEntry,
-    /// The policy names no such unit.
-    #[error("no unit {0}")]
+    /// An operator named a unit that is not in the policy.
+    #[error("no unit is named {0}")]
     UnknownUnit(UnitName),
-    /// The leader or a unit named a unit that the policy does not.
-    #[error("no such unit")]
+    /// The leader or a unit named a unit that is not in the policy.
+    #[error("the policy has no such unit")]
     NoSuchUnit,
     /// Neither a unit nor a host has this name.
-    #[error("no unit or host {0}")]
+    #[error("no unit or host is named {0}")]
     UnknownUnitOrHost(UnitName),
     /// No host has this name.
-    #[error("no host {0}")]
+    #[error("no host is named {0}")]
     UnknownHost(UnitName),
-    /// It holds a lease already.
+    /// The unit or host already holds a lease.
     #[error("{0} is out already")]
     AlreadyOut(UnitName),
-    /// It is lost.
+    /// The unit is lost.
     #[error("{0} is not heard, or was not seen to serve yet")]
     Lost(UnitName),
-    /// It is not lost.
-    #[error("{0} is heard")]
+    /// The unit is not lost.
+    #[error("{0} is not lost")]
     NotLost(UnitName),
-    /// A limit of the policy has no room.
+    /// A limit of the policy is reached.
     #[error("{out} of {total} {kind} in {scope} are out, at most {room} may be")]
     LimitReached {
         /// How many are out.
         out: u32,
-        /// How many the limit is over.
+        /// How many units or hosts the limit applies to.
         total: u32,
-        /// What is counted.
+        /// Whether units or hosts are counted.
         kind: LimitedKind,
         /// The scope of the limit.
         scope: String,
         /// How many may be out.
         room: u32,
     },
-    /// All other units of its zone are out.
-    #[error("{0} is the last of its zone")]
+    /// All other units of the unit's zone are out.
+    #[error("{0} is the last unit of its zone in service")]
     LastOfZone(UnitName),
     /// The policy has no section for hosts.
-    #[error("the charter has no section for hosts")]
+    #[error("the fleet policy has no hosts section")]
     HostsNotManaged,
     /// Something else is out by an override.
     #[error("{0} is out beyond the limits already, one may be at a time")]
     OverrideInUse(UnitName),
-    /// An override without a reason.
+    /// The override has no reason.
     #[error("an override needs a reason")]
     ReasonMissing,
-    /// The plan of a release is at fault.
+    /// The plan of the release is invalid.
     #[error(transparent)]
     Plan(#[from] PolicyError),
-    /// The release before must finish first.
+    /// The previous release is not finished.
     #[error("release {0} is not finished")]
     ReleaseNotFinished(u64),
-    /// Nothing to halt.
-    #[error("no release goes on")]
+    /// There is no unfinished release to halt.
+    #[error("there is no unfinished release to halt")]
     NothingToHalt,
-    /// Nothing to resume.
+    /// There is no halted release to resume.
     #[error("no release is halted")]
     NothingHalted,
-    /// Nothing to roll back.
-    #[error("there was no release")]
+    /// There is no release to roll back.
+    #[error("there is no release to roll back")]
     NothingToRollBack,
     /// A running release has to be halted before it is rolled back.
     #[error("release {0} is running, halt it first")]
     ReleaseRunning(u64),
     /// A rollback cannot be rolled back.
-    #[error("release {0} leads back already, resume it")]
+    #[error("release {0} is a rollback already, resume it instead")]
     AlreadyRollback(u64),
-    /// The release that is meant is not the current one.
-    #[error("no such release")]
+    /// The command names a release that is not the current one.
+    #[error("that is not the current release")]
     UnknownRelease,
-    /// The release that is meant is halted or finished.
-    #[error("it does not run")]
+    /// The release that the command names is halted or finished.
+    #[error("the release is not running")]
     ReleaseNotRunning,
-    /// The unit is not of the current wave, or has been changed.
-    #[error("it is not {0}'s turn")]
+    /// The unit is not in the current wave, or is already changed.
+    #[error("{0} is not in the current wave, or is already changed")]
     NotInCurrentWave(UnitName),
-    /// Another process of the unit has begun under this lease.
-    #[error("another process of it has begun")]
+    /// Another process of the unit has already begun under this lease.
+    #[error("another process of the unit has already begun to drain")]
     BegunByAnotherProcess,
     /// The lease was withdrawn, or another was granted since.
-    #[error("that permit is not in force")]
+    #[error("the lease is not in force")]
     LeaseNotInForce,
     /// The release of the lease is no longer the current one.
-    #[error("that release is over")]
+    #[error("the release of the lease is over")]
     ReleaseOver,
     /// The release of the lease is halted.
-    #[error("it is halted")]
+    #[error("the release of the lease is halted")]
     ReleaseHalted,
-    /// The unit's or host's state has changed since the leader judged it.
-    #[error("it stands otherwise by now")]
+    /// The state of the unit or host has changed since the leader judged it.
+    #[error("its state has changed in the meantime")]
     StateChanged,
-    /// The wave has units left, or is not the current one.
-    #[error("not now")]
+    /// The wave has units left or is not the current one, or its release is not running.
+    #[error("the wave has units left or is not the current one, or the release is not running")]
     WaveNotDone,
-    /// It is no voter.
-    #[error("{0} holds no seat")]
+    /// The node is not a voter.
+    #[error("{0} is not a voter")]
     NotAVoter(UnitName),
-    /// It is a voter already.
-    #[error("{0} holds a seat already")]
+    /// The node is already a voter.
+    #[error("{0} is already a voter")]
     AlreadyVoter(UnitName),
 }
 
-/// What a limit counts.
+/// What a limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitedKind {
     /// Nodes.
--- a/crates/fleet/src/state/host.rs
+++ b/crates/fleet/src/state/host.rs
@@ -1,7 +1,8 @@
-//! Hosts: which there are, as the endpoint list shows them, and which of them the fleet holds out.
+//! Hosts as the endpoint list shows them, and which of them the fleet holds out.
 //!
-//! The endpoint list stays the authority of which hosts exist. A host that it shows as draining or gone counts as out
-//! like one that the fleet holds out, so that a rolling deploy and an operator's drain share the same limits.
+//! The endpoint list is authoritative for which hosts exist. A host that it shows as draining or gone counts
+//! as out, like one that the fleet holds out, so that a rolling deploy and an operator's drain share the same
+//! limits.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,49 +11,50 @@
 use crate::fault_injection::{InjectedFault, is_injected};
 use crate::policy::{Place, UnitName};
 
-/// What the endpoint list says of a host.
+/// The state of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointState {
     /// It takes connections.
     Ready,
-    /// It is about to stop.
+    /// It is draining before it stops.
     Draining,
-    /// The list no longer names it.
+    /// The list no longer contains it.
     Gone,
 }
 
-/// How far a host that the fleet holds out has come.
+/// Progress of a host that the fleet holds out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HoldState {
-    /// Nodes open nothing new there, and migrate what stands.
+    /// Nodes open nothing new there, and migrate existing connections.
     Out,
-    /// Every node has reported that it holds nothing there. Whether that is still so is for the leader to say
-    /// ([`crate::Fleet::may_stop`]): an entry that waited for a majority may be decided long after it was proposed.
+    /// Every node has reported that it holds nothing there. Only the leader knows whether that still holds
+    /// ([`crate::Fleet::may_stop`]): an entry that waited for a majority may be decided long after it was
+    /// proposed.
     Empty,
-    /// Nodes use it again; it counts as out until all of them know so.
+    /// Nodes use it again. It counts as out until all nodes have applied that.
     Returning,
 }
 
-/// The lease under which a host is out.
+/// The hold of a host: the lease under which it is out, and its progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostHold {
-    /// Its number.
+    /// The lease.
     #[serde(rename = "permit")]
     pub lease: Lease,
     /// Why it was granted.
     pub cause: Cause,
-    /// How far the host has come.
+    /// The progress of the host.
     pub hold: HoldState,
 }
 
-/// One host as the fleet has agreed on it.
+/// A host in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Where it is.
+    /// Its place.
     pub place: Place,
-    /// What the leader's endpoint list said of it last.
+    /// Its last state in the leader's endpoint list.
     pub listed: EndpointState,
-    /// The lease under which it is out, if any.
+    /// The hold under which it is out, if any.
     pub held: Option<HostHold>,
 }
 
@@ -64,26 +66,26 @@
         is_listed_out || self.held.is_some()
     }
 
-    /// Whether nodes are to keep away from it.
+    /// Whether nodes must avoid it.
     pub fn is_wanted_out(&self) -> bool {
         self.held.is_some_and(|held| held.hold != HoldState::Returning)
     }
 }
 
-/// What the endpoint list says of a host that it names, or named until lately.
+/// A host that the endpoint list contains, or contained until recently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Where it is.
+    /// Its place.
     pub place: Place,
-    /// Whether it takes connections.
+    /// Its state in the list.
     pub endpoint_state: EndpointState,
 }
 
-/// One host of the leader's endpoint list, in a [`super::Command::UpdateHosts`].
+/// A change of one host in the leader's endpoint list, for [`super::Command::UpdateHosts`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostUpdate {
     /// Its name.
     pub host: UnitName,
-    /// What the list says of it; `None` removes the host from the fleet.
+    /// The host's new entry; `None` removes the host from the fleet.
     pub listed: Option<ListedHost>,
 }
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated state machine: what every node derives from the same log entries.
+//! The replicated state machine, which every node derives from the same log entries.
 //!
-//! An entry is judged where it stands in the log, never by what its writer believed. Nothing here knows the time, and
-//! the same entries in the same order give the same state, to the byte.
+//! An entry is validated against the state at its position in the log, whatever its proposer knew. Nothing
+//! here reads the time, so the same entries in the same order give the same state, byte for byte.
 //!
-//! The types are in files of their own; [`State`] owns them, and `apply` holds what each command does to it.
+//! The types are in separate files; [`State`] owns them, and `apply` implements each command.
 
 mod apply;
 mod command;
@@ -26,57 +26,57 @@
 pub use unit::{CallCounts, Cause, Unit, UnitState};
 pub use voter::{VoterReplacement, VoterSlot};
 
-/// An operator's drain beyond the limits.
+/// Record of an operator's drain beyond the limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverrideRecord {
     /// The unit or host.
     pub unit: UnitName,
-    /// Why, in the operator's words.
+    /// The operator's reason.
     pub reason: String,
     /// The lease that was granted for it.
     #[serde(rename = "permit")]
     pub lease: Lease,
 }
 
-/// All that the fleet has agreed on.
+/// The replicated state of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Entries applied, over all epochs.
+    /// Number of entries applied, over all epochs.
     pub applied: u64,
-    /// Number of the log's epoch, from 1.
+    /// Number of the log's epoch, starting from 1.
     pub epoch: u32,
-    /// Entries applied before this epoch.
+    /// Number of entries applied before this epoch.
     pub epoch_began: u64,
     /// The voters of this epoch.
     #[serde(rename = "seats")]
     pub voter_slots: Vec<VoterSlot>,
-    /// How often another node has become a voter.
+    /// How often the set of voters has changed.
     #[serde(rename = "seats_changed")]
     pub voter_slots_changed: u32,
-    /// The number that the next new voter slot gets.
+    /// The number of the next new voter slot.
     #[serde(rename = "next_seat")]
     pub next_voter_slot: u64,
-    /// What the fleet was founded on; `None` before that.
+    /// The policy that the fleet was founded on; `None` before that.
     #[serde(rename = "charter")]
     pub policy: Option<FleetPolicy>,
     /// All units of the policy.
     pub units: BTreeMap<UnitName, Unit>,
-    /// Hosts that the leaders' endpoint lists have shown.
+    /// Hosts from the leaders' endpoint lists.
     pub hosts: BTreeMap<UnitName, Host>,
-    /// The number that the next lease gets.
+    /// The number of the next lease.
     #[serde(rename = "next_permit")]
     pub next_lease: u64,
-    /// Releases so far, rollbacks included.
+    /// Number of releases so far, including rollbacks.
     pub releases: u64,
-    /// The last release.
+    /// The latest release.
     pub release: Option<Release>,
-    /// The last overrides, the oldest first.
+    /// The latest overrides, oldest first.
     pub overrides: Vec<OverrideRecord>,
-    /// Which voter is to give its slot to which node.
+    /// The pending replacement of a voter, if any.
     replace: Option<VoterReplacement>,
-    /// How often each voter's store was opened, as leaders heard it.
+    /// How often each voter's store was opened, as recorded by leaders.
     pub voters: BTreeMap<UnitName, BootCount>,
-    /// Results of the last requests, the oldest first.
+    /// Results of the latest requests, oldest first.
     #[serde(rename = "answers")]
     results: VecDeque<(RequestId, CommandResult)>,
 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The result of a request that was decided lately.
+    /// The result of a recently decided request.
     pub fn result_of(&self, id: &RequestId) -> Option<&CommandResult> {
         self.results.iter().rev().find(|(known, _)| known == id).map(|(_, result)| result)
     }
@@ -119,27 +119,27 @@
         self.voter_slots.iter().find(|voter_slot| voter_slot.name == *name)
     }
 
-    /// The voter slot of this number.
+    /// The voter slot with this number.
     pub fn voter_slot(&self, number: u64) -> Option<&VoterSlot> {
         self.voter_slots.iter().find(|voter_slot| voter_slot.number == number)
     }
 
-    /// Units that count against the limits: out, about to be, or lost.
+    /// Units that count against the limits: out, granted a lease, returning or lost.
     pub fn units_out(&self) -> impl Iterator<Item = (&UnitName, &Unit)> {
         self.units.iter().filter(|(_, unit)| unit.is_out())
     }
 
-    /// How many units are lost without holding a lease.
+    /// Number of units that are lost without holding a lease.
     pub fn unplanned_losses(&self) -> usize {
         self.units.values().filter(|unit| unit.lost && unit.unit_state == UnitState::Serving).count()
     }
 
-    /// The replacement of a voter that an operator has asked for and that is not done.
+    /// The replacement of a voter that an operator requested and that is not complete.
     pub fn pending_replacement(&self) -> Option<&VoterReplacement> {
         self.replace.as_ref()
     }
 
-    /// The policy's section for hosts.
+    /// The host settings of the policy.
     pub fn host_settings(&self) -> Option<&HostSettings> {
         self.policy.as_ref()?.hosts.as_ref()
     }
--- a/crates/fleet/src/state/unit.rs
+++ b/crates/fleet/src/state/unit.rs
@@ -1,10 +1,10 @@
-//! Units: the nodes of the fleet, and whether each may be out.
+//! Units, which are the nodes of the fleet, and their states.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::{Lease, Nonce};
 
-/// How calls ended at a node over the last seconds.
+/// How calls ended at a node over the last 10 seconds, and its current gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Calls that ended.
@@ -13,29 +13,29 @@
     pub failed: u32,
     /// Of these, calls that were rejected because of load.
     pub busy: u32,
-    /// Calls that wait now.
+    /// Calls that are waiting now.
     pub waiting: u32,
-    /// Hosts that the node has ejected now.
+    /// Hosts that the node currently ejects.
     pub hosts_down: u32,
 }
 
 /// Why a lease was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// An operator drains it until it is activated.
+    /// An operator drains the unit or host until it is activated again.
     Drain,
-    /// The release of this number changes it.
+    /// The release with this number changes the unit.
     Release(u64),
-    /// An operator drains it beyond the limits.
+    /// An operator drains the unit or host beyond the limits.
     Override,
 }
 
-/// Whether a unit serves or holds a lease to be out.
+/// The state of a unit: serving, or holding a lease to be out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UnitState {
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// It counts as out, and may ask to begin its drain.
+    /// It holds a lease and counts as out, and may ask to begin its drain.
     Granted {
         /// The lease to be out.
         #[serde(rename = "permit")]
@@ -43,7 +43,7 @@
         /// Why it was granted.
         cause: Cause,
     },
-    /// It may be out from here on.
+    /// Its drain has begun, so it may be out.
     Begun {
         /// The lease to be out.
         #[serde(rename = "permit")]
@@ -55,9 +55,9 @@
         /// How calls ended at the unit before it went out.
         before: CallCounts,
     },
-    /// It is to take clients again.
+    /// It is to accept clients again.
     Returning {
-        /// The lease that it was out under.
+        /// The lease under which it was out.
         #[serde(rename = "permit")]
         lease: Lease,
         /// Why it was granted.
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Why the unit holds a lease.
+    /// Why the lease that the unit holds was granted.
     pub fn cause(&self) -> Option<Cause> {
         match self {
             UnitState::Serving => None,
@@ -87,19 +87,20 @@
     }
 }
 
-/// One unit as the fleet has agreed on it.
+/// A unit in the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unit {
-    /// Whether it serves or holds a lease.
+    /// Whether it serves or holds a lease to be out.
     #[serde(rename = "standing")]
     pub unit_state: UnitState,
-    /// No voter hears it, or it was never seen to serve.
+    /// Whether no voter hears it, or it was never seen serving.
     pub lost: bool,
     /// How often it was marked lost.
     pub term: u64,
-    /// An operator has confirmed that its process runs no more. Cleared once it is seen to serve again.
+    /// Whether an operator has confirmed that none of its processes is running. Cleared once it is seen
+    /// serving again.
     pub dead: bool,
-    /// The version that it was last seen to run.
+    /// The version that it last reported while serving.
     pub version: String,
 }
 
--- a/crates/fleet/src/state/voter.rs
+++ b/crates/fleet/src/state/voter.rs
@@ -1,23 +1,24 @@
-//! Voters: the nodes that keep the log, each in a numbered slot.
+//! Voters, which are the nodes that keep the log, each in a numbered slot.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::Incarnation;
 use crate::policy::UnitName;
 
-/// A voter's place in one epoch of the log. Its number is never given twice.
+/// A voter's membership in the consensus group of an epoch. Numbers are never reused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
     /// The voter's id in the consensus protocol.
     pub number: u64,
     /// The node that holds it.
     pub name: UnitName,
-    /// The process that it was given to after a disk had failed; 0 for the slots that the fleet was founded with.
+    /// The process that the slot was assigned to when it was created; 0 for the slots that the fleet was
+    /// founded with.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
 }
 
-/// One node is to take another's voter slot for good.
+/// A pending permanent replacement of a voter by another node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(UnitName, UnitName)", into = "(UnitName, UnitName)")]
 pub struct VoterReplacement {
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -1,11 +1,11 @@
-//! What a voter keeps on disk, as values: whoever hosts the [`crate::Fleet`] writes and reads them.
+//! A voter's stored data as encoded values. The caller of [`crate::Fleet`] reads and writes them.
 
 use std::collections::BTreeMap;
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// One change of the store. Changes are made in their order, and a batch of them is on disk whole or not at all.
+/// One change of the store. Changes are applied in order, and each batch of them is atomic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreWrite {
     /// Sets a value.
@@ -18,12 +18,12 @@
     Cut(u64),
 }
 
-/// What the store holds beside the log.
+/// Keys of the values that the store holds besides the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum StoreKey {
     /// How often the store was opened.
     BootCount,
-    /// Counts the batches that were acknowledged to other voters.
+    /// Number of batches that were acknowledged to other voters.
     Stamp,
     /// The voter slot that the node holds, if any.
     VoterSlot,
@@ -35,7 +35,7 @@
     Accepted,
     /// How many entries of the log are decided.
     Decided,
-    /// What the other voters are known to have on disk.
+    /// The highest durable marks received from the other voters.
     DurableMark,
 }
 
@@ -53,7 +53,7 @@
     ];
 }
 
-/// What a store held when it was opened.
+/// The contents of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredState {
     /// Encoded values by key.
@@ -63,7 +63,7 @@
 }
 
 impl StoredState {
-    /// Makes these changes.
+    /// Applies these changes.
     pub fn apply(&mut self, writes: &[StoreWrite]) {
         for write in writes {
             match write {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The value of a key, if it is there and can be decoded.
+    /// The value of a key, if it is present and can be decoded.
     pub fn value<T: DeserializeOwned>(&self, key: StoreKey) -> Option<T> {
         postcard::from_bytes(self.values.get(&key)?).ok()
     }
@@ -87,8 +87,8 @@
 /// The encoded form of a value, on disk and between nodes.
 ///
 /// # Panics
-/// If the value has a sequence of unknown length, the one thing that `postcard` cannot encode. No type of this crate
-/// has one, and a value that could not be written must not be taken for written.
+/// If the value has a sequence of unknown length, the only thing that `postcard` cannot encode. No type of
+/// this crate has one; the panic ensures that a value that was not encoded does not count as written.
 pub(crate) fn encode(value: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).expect("all sequences have a known length")
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the fleet.
+//! The fleet's status as shown to operators.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,46 @@
 use crate::policy::UnitName;
 use crate::state::State;
 
-/// The fleet as this node knows it.
+/// The fleet's status as this node knows it.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetView<'a> {
-    /// This node.
+    /// The name of this node.
     pub name: &'a UnitName,
-    /// The version that it runs.
+    /// The version that this node runs.
     pub version: &'a str,
-    /// The leader, as far as it is known.
+    /// The leader, if this node knows it.
     pub leader: Option<&'a UnitName>,
-    /// Whether that is this node.
+    /// Whether this node is the leader.
     pub leads: bool,
-    /// How this node's store stands to its voter slot.
+    /// The status of this node's store as a voter.
     #[serde(rename = "chair")]
     pub voter_status: String,
-    /// The epoch that this node knows.
+    /// The latest epoch that this node knows.
     pub epoch: u32,
-    /// Entries that it has applied.
+    /// Number of log entries that this node has applied.
     pub applied: u64,
-    /// Voters that answered within the last seconds.
+    /// Voters that replied to this node within the last 3 seconds, and this node if it is a voter.
     pub hears: Vec<&'a UnitName>,
-    /// Voters that did not.
+    /// Voters that did not reply in that time.
     pub misses: Vec<&'a UnitName>,
-    /// Names that two living processes give.
+    /// Names that two live processes use.
     #[serde(rename = "doubled")]
     pub duplicates: Vec<&'a UnitName>,
-    /// Hosts that are to be empty; known to the leader alone.
+    /// Hosts that are being drained; only the leader knows them.
     #[serde(rename = "emptying")]
     pub draining_hosts: Vec<DrainingHost<'a>>,
-    /// What was agreed.
+    /// The replicated state.
     pub state: &'a State,
 }
 
-/// A host on its way out, as its leader knows it.
+/// A host that is being drained, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DrainingHost<'a> {
     /// Its name.
     pub host: &'a UnitName,
-    /// Nodes that hold connections there, and how many.
+    /// Number of connections and attempts that each node holds at this host.
     pub held_by: BTreeMap<&'a UnitName, u32>,
-    /// Nodes that are not heard: the host is not reported empty while there are any.
+    /// Nodes that are not heard from. The host is not reported empty while there are any.
     pub not_heard: Vec<&'a UnitName>,
     /// Whether the host may stop now.
     pub may_stop: bool,
