--- a/crates/fleet/src/endpoint_list.rs
+++ b/crates/fleet/src/endpoint_list.rs
@@ -7,8 +7,8 @@
 use crate::policy::{Place, UnitName};
 use crate::state::{EndpointState, Host, HostUpdate, ListedHost};
 
-/// How long, in ms, the list must show a host as ready before it counts as ready. The same time makes a
-/// silent node lost.
+/// How long, in ms, the list must show a host as ready before it counts as ready; as long as a unit must be
+/// silent to be lost.
 const READY_MS: u64 = 5_000;
 
 /// Maximum number of hosts in one log entry. A list of thousands is split, so that no entry saturates a link.
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -70,8 +70,8 @@
         self.context.voter_replies.insert(sender.clone(), now);
         let known_echo = self.echoes.insert(sender.clone(), reply.echo);
         if known_echo.is_none_or(|known| known.incarnation != reply.echo.incarnation) {
-            // This is a new process of the voter. It accepts only its own echoes as proof, so send one
-            // immediately.
+            // This process of the voter is new to this node. It accepts only its own echo as proof, so the
+            // next heartbeat is sent immediately.
             self.next_heartbeat = now;
         }
         if reply.leader.as_ref() == Some(sender) {
--- a/crates/fleet/src/fleet/requests.rs
+++ b/crates/fleet/src/fleet/requests.rs
@@ -98,8 +98,8 @@
                 let is_host = self.context.state.hosts.contains_key(unit);
                 self.leadership.may_grant(&self.context) && (!is_host || self.endpoint_list.may_drain_hosts())
             }
-            // After a restart of all voters the halt of the release is not in the log until the voters are
-            // recorded, and a drain that began before it would be accepted.
+            // After a restart of all voters, the halt of the release is not in the log until the voters are
+            // recorded, and a `BeginDrain` that precedes it in the log would be accepted.
             Command::BeginDrain { .. } => are_voters_recorded(&self.context),
             _ => true,
         }
--- a/crates/fleet/src/leader/gates.rs
+++ b/crates/fleet/src/leader/gates.rs
@@ -74,8 +74,8 @@
     too_long.map(|(name, _)| name)
 }
 
-/// The mean rates of the unchanged units. During an incident all units fail more calls than before, so only
-/// what changed units exceed the unchanged ones by counts against the release.
+/// The mean rates of the unchanged units. During an incident all units fail more calls than before, so
+/// changed units are judged against the unchanged ones as well.
 fn mean_of_unchanged(context: &Context, release: &Release) -> Rates {
     let gates = &release.plan.gates;
     let unchanged: Vec<Rates> = context
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -10,15 +10,16 @@
 use crate::policy::Act;
 use crate::state::{CallCounts, Cause, Command, Lease, Nonce, UnitState};
 
-/// How long, in ms, after its request to begin a unit may go out. It bounds the time until a halt takes
-/// effect on all units: long enough for two round trips over a congested link and a slow disk, short enough
-/// for an operator to wait.
+/// How long, in ms, after its request to begin a unit may go out. A halt takes effect on all units within
+/// this time of its entry: long enough for two round trips over a congested link and a slow disk, short
+/// enough for an operator to wait.
 const BEGIN_TIMEOUT_MS: u64 = 2_000;
 
 /// Interval, in ms, after which a request is repeated, since the leader may have changed.
 const RETRY_MS: u64 = 1_000;
 
-/// Period, in ms, over which calls are counted for gates: the shortest that gives a meaningful result.
+/// Period, in ms, over which calls are counted for gates; as long as the shortest `watch_s` that gives a
+/// meaningful result.
 const CALL_COUNTS_MS: u64 = 10_000;
 
 /// Minimum interval, in ms, between two recorded totals.
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -51,7 +51,7 @@
     NoStore,
     /// It has a store with nothing in it.
     Fresh,
-    /// Its store lacks data that peers know it acknowledged: it votes only in a new slot.
+    /// Its store lost or never had data that peers know it acknowledged: it votes only in a new slot.
     StateLost,
     /// It holds this slot and waits until other voters confirm that its store is not an old copy.
     Recovering(u64),
--- a/crates/fleet/src/replica/recovery.rs
+++ b/crates/fleet/src/replica/recovery.rs
@@ -41,8 +41,8 @@
                     return SlotChange::GivenUp;
                 }
                 // A node that was never a voter knows of no marks, so it confirms nothing. A voter whose
-                // store lost its state does count: only a minority may fail, and it already belongs to that
-                // minority.
+                // store lost its state does count: only a minority may fail, and since it is part of that
+                // minority, this store is less likely to be.
                 match peer_status {
                     VoterStatus::Active(_) | VoterStatus::Recovering(_) | VoterStatus::StateLost => {
                         self.confirmed_by.insert(peer.clone());
