--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -4,8 +4,8 @@
 use crate::state::Incarnation;
 use crate::store::StoredState;
 
-/// Default maximum number of log entries in one epoch. It keeps the log that a voter is sent when it joins an
-/// epoch to a few hundred KiB.
+/// Default number of log entries after which the leader ends the epoch, so that the log that a voter is sent
+/// when it joins an epoch stays at a few hundred KiB.
 pub const LONGEST_LOG: usize = 2_000;
 
 /// The configuration that a node starts with.
@@ -33,9 +33,9 @@
 /// The status that the node reports. Counts are totals since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Whether it accepts clients, or would if the fleet did not hold it out.
+    /// Whether it accepts clients; nothing but the fleet prevents it from doing so.
     pub serving: bool,
-    /// Whether it was told to drain and has no clients left.
+    /// Whether it was told to drain and holds nothing any more, such as calls in flight.
     pub drained: bool,
     /// Calls that ended.
     pub calls: u64,
@@ -45,7 +45,7 @@
     pub busy: u64,
     /// Calls that are waiting now.
     pub waiting: u32,
-    /// Hosts that it currently ejects.
+    /// Number of hosts that it currently has ejected.
     pub hosts_down: u32,
     /// Number of connections and attempts at each host that it is told to avoid; hosts without any are left
     /// out.
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -19,7 +19,8 @@
 pub type ConsensusMessage = EngineMessage<Entry>;
 
 enum Engine {
-    /// A single voter, which the library does not support: every entry on disk is decided.
+    /// A single voter, which the library does not support: every entry on disk is decided. Also used if the
+    /// library rejects the configuration.
     Alone,
     /// The library's replica, for two or more voters.
     Group(Box<OmniPaxos<Entry, SharedLog>>),
--- a/crates/fleet/src/durable.rs
+++ b/crates/fleet/src/durable.rs
@@ -16,7 +16,7 @@
     Send(Vec<ConsensusMessage>),
     /// Start voting in this slot.
     Vote(u64),
-    /// Stop voting: the node has given up its slot.
+    /// Set the status to `StateLost`: the slot is removed from the disk.
     StateLost,
 }
 
@@ -34,7 +34,7 @@
     after: AfterWrite,
 }
 
-/// The store's contents, including the batch in flight and its pending writes.
+/// The store's contents with the batch in flight applied, and the writes that are deferred to the next batch.
 pub(crate) struct DurableStore {
     saved: StoredState,
     last_batch: u64,
@@ -67,7 +67,7 @@
         self.in_flight.is_some()
     }
 
-    /// Defers writes that may be lost in a crash to the next batch.
+    /// Adds writes to the next batch. They are lost if the process crashes before it, which must be harmless.
     pub(crate) fn defer(&mut self, writes: Vec<StoreWrite>) {
         self.deferred.extend(writes);
     }
--- a/crates/fleet/src/fault_injection.rs
+++ b/crates/fleet/src/fault_injection.rs
@@ -4,7 +4,7 @@
 /// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Limits do not count lost units.
+    /// Limits do not count lost units that hold no lease.
     LostNotCounted,
     /// Leases for a release are granted while it is halted.
     GrantWhileHalted,
--- a/crates/fleet/src/fleet/messages.rs
+++ b/crates/fleet/src/fleet/messages.rs
@@ -41,7 +41,7 @@
             self.replica.record_fresh_voter(sender);
         }
         let was_duplicate = self.context.liveness.is_duplicate(sender);
-        let proved_at = heartbeat.echo.and_then(|echo| self.own_moment(echo));
+        let proved_at = heartbeat.echo.and_then(|echo| self.own_echo_time(echo));
         let now = self.context.now;
         self.context.liveness.record(sender, heartbeat, proved_at, now, HeartbeatSource::Direct);
         if self.context.liveness.is_duplicate(sender) && !was_duplicate {
@@ -159,7 +159,7 @@
     fn receive_found_units(&mut self, echo: Echo, found: Vec<FoundUnit>) {
         // The other voter measured each age when it replied, which was after this node had asked. So the time
         // of asking minus the age is a lower bound of the time at which the unit was alive.
-        let Some(asked_at) = self.own_moment(echo) else { return };
+        let Some(asked_at) = self.own_echo_time(echo) else { return };
         let now = self.context.now;
         for FoundUnit { name, heartbeat, age_ms } in found {
             self.context.liveness.record_relayed(&name, heartbeat, asked_at.minus_ms(age_ms), now);
@@ -172,7 +172,7 @@
     }
 
     /// The time of an echo, if it comes from this process.
-    fn own_moment(&self, echo: Echo) -> Option<Timestamp> {
+    fn own_echo_time(&self, echo: Echo) -> Option<Timestamp> {
         (echo.incarnation == self.context.incarnation).then_some(Timestamp(echo.at))
     }
 }
--- a/crates/fleet/src/fleet/mod.rs
+++ b/crates/fleet/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 use crate::store::StoreKey;
 use crate::timing::HEARTBEAT_MS;
 
-/// The membership of one node in its fleet: its voter slot, if it has one, its copy of the replicated state,
+/// One node's side of the fleet protocol: its voter slot, if it has one, its copy of the replicated state,
 /// and its pending actions.
 ///
 /// It does no I/O and reads no clock. The caller reports events with their timestamps, and carries out the
@@ -57,7 +57,7 @@
     leader_heard_at: Option<Timestamp>,
     next_heartbeat: Timestamp,
     next_tick: Timestamp,
-    /// Number of requests that were sent to an arbitrary voter because no leader was known.
+    /// Position in the round robin over the voters, which is used when no leader is known.
     requests_forwarded: usize,
 }
 
@@ -174,9 +174,9 @@
         self.endpoint_list.disconnect();
     }
 
-    /// Records that an operator trusts this node's store: it votes without the confirmation of voters that
-    /// are permanently lost. If the store lacks acknowledged entries after all, decided entries may be lost.
-    /// Returns whether the node was waiting for confirmations.
+    /// Records that an operator trusts this node's store: it votes without waiting for confirmations, for use
+    /// when other voters are permanently lost. If the store lacks acknowledged entries after all, decided
+    /// entries may be lost. Returns whether the node was waiting for confirmations.
     pub fn trust(&mut self, now: Timestamp) -> bool {
         self.context.now = now;
         self.replica.trust_store()
--- a/crates/fleet/src/fleet/queries.rs
+++ b/crates/fleet/src/fleet/queries.rs
@@ -67,8 +67,8 @@
         self.replica.status()
     }
 
-    /// Whether the host may stop: it is marked empty in the log, and all current reports to this leader
-    /// confirm it.
+    /// Whether the host may stop: it is marked empty in the log, this leader hears a majority, and every unit
+    /// that is not confirmed dead reports that it holds nothing there.
     pub fn may_stop(&self, host: &UnitName) -> bool {
         self.leads() && self.hosts.may_stop(&self.context, host)
     }
--- a/crates/fleet/src/host_avoidance.rs
+++ b/crates/fleet/src/host_avoidance.rs
@@ -15,7 +15,7 @@
 
 impl Avoidance {
     fn agreed(state: &State, settings: &HostSettings) -> Avoidance {
-        let hosts = state.hosts.iter().filter(|(_, host)| host.is_wanted_out());
+        let hosts = state.hosts.iter().filter(|(_, host)| host.must_be_avoided());
         // The configured rate is for the whole fleet. It is divided among all units: divided among the live
         // ones only, it would let units that are partitioned off migrate too fast.
         let units = state.units.len().max(1) as u64;
--- a/crates/fleet/src/leader/hosts.rs
+++ b/crates/fleet/src/leader/hosts.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Whether the host may stop: it is marked empty in the log, and all current reports confirm it.
+    /// Whether the host may stop: it is marked empty in the log, this leader hears a majority, and every unit
+    /// that is not confirmed dead reports that it holds nothing there.
     pub(crate) fn may_stop(&self, context: &Context, host: &UnitName) -> bool {
         let Some(observed) = self.observed.get(host) else { return false };
         let agreed = context.state.hosts.get(host).and_then(|host| host.held).map(|held| held.hold);
@@ -71,9 +72,9 @@
             && is_empty(context, host, observed.applied)
     }
 
-    /// The hosts that are being drained, with the nodes that still hold connections there.
+    /// The hosts that nodes must avoid, with the nodes that still hold connections there.
     pub(crate) fn draining_hosts<'a>(&self, context: &'a Context) -> Vec<DrainingHost<'a>> {
-        let hosts = context.state.hosts.iter().filter(|(_, host)| Host::is_wanted_out(host));
+        let hosts = context.state.hosts.iter().filter(|(_, host)| Host::must_be_avoided(host));
         let is_unheard = |(name, unit): &(&UnitName, &Unit)| !unit.dead && context.alive(name).is_none();
         let unheard = context.state.units.iter().filter(is_unheard).map(|(name, _)| name);
         hosts
--- a/crates/fleet/src/leader/mod.rs
+++ b/crates/fleet/src/leader/mod.rs
@@ -47,7 +47,8 @@
 }
 
 impl Leadership {
-    /// Runs all controllers. Called at each tick while this node is the leader.
+    /// Runs the controllers. Called at each tick while this node is the leader. Before the fleet is founded,
+    /// it proposes to found it; before the voters are recorded, it proposes to record them.
     pub(crate) fn control(
         &mut self,
         context: &Context,
@@ -60,7 +61,7 @@
         let mut actions = self.voters.resync(context, replica.has_undecided);
         if context.state.policy.is_none() {
             let bootstrap = Command::Bootstrap(Box::new(context.policy.clone()));
-            actions.extend(self.proposals.propose(context.now, "found".into(), bootstrap));
+            actions.extend(self.proposals.propose(context.now, "bootstrap".into(), bootstrap));
             return actions;
         }
         self.units.observe(context);
@@ -81,13 +82,14 @@
         actions
     }
 
-    /// Proposes to record the running voter processes in the log, which comes before all other proposals.
+    /// Proposes to record the running voter processes in the log, which comes before the controllers' other
+    /// proposals.
     fn record_voters(&mut self, context: &Context) -> Option<LeaderAction> {
         let voters = active_voters(context);
         if !is_majority(voters.len(), context) {
             return None;
         }
-        self.proposals.propose(context.now, "reign".into(), Command::LeaderStarted { voters })
+        self.proposals.propose(context.now, "record voters".into(), Command::LeaderStarted { voters })
     }
 
     /// Whether the leader has led for long enough to know which units are lost. Before that, heartbeats of
--- a/crates/fleet/src/leader/releases.rs
+++ b/crates/fleet/src/leader/releases.rs
@@ -47,7 +47,7 @@
         let unit =
             release.remaining_units().find(|name| context.state.units.get(*name).is_some_and(can_go))?;
         let command = Command::GrantTurn { release: release.number, unit: unit.clone() };
-        proposals.propose(context.now, format!("turn {} {unit}", release.number), command)
+        proposals.propose(context.now, format!("grant {} {unit}", release.number), command)
     }
 
     /// Proposes the next wave once the current one has been watched for the plan's `watch_s`.
@@ -65,6 +65,6 @@
             return None;
         }
         let command = Command::AdvanceWave { release: number, wave };
-        proposals.propose(context.now, format!("pass {number} {wave}"), command)
+        proposals.propose(context.now, format!("advance wave {number} {wave}"), command)
     }
 }
--- a/crates/fleet/src/leader/units.rs
+++ b/crates/fleet/src/leader/units.rs
@@ -46,8 +46,8 @@
             }
             let lease = unit.unit_state.lease();
             let same_lease = known.filter(|known| lease.is_some() && known.unit_state.lease() == lease);
-            // Under the same lease the time that the unit is out continues, even if its begin is repeated,
-            // until it starts to return.
+            // While the lease stays the same, the time out is counted from its grant, even if the drain is
+            // begun again. It restarts when the unit starts to return.
             let since = match (same_lease, &unit.unit_state) {
                 (Some(_), UnitState::Returning { .. }) | (None, _) => context.now,
                 (Some(known), _) => known.since,
@@ -65,18 +65,19 @@
             return vec![];
         }
         self.asked_at = Some(context.now);
-        let is_quiet = |name: &&UnitName| {
+        let is_silent_unit = |name: &&UnitName| {
             context.liveness.get(name).is_none_or(|known| {
                 let silence_ms = context.now.ms_since(known.alive_at);
                 known.source != HeartbeatSource::Direct || silence_ms > ALIVE_MS - HEARTBEAT_MS
             })
         };
-        let quiet: Vec<UnitName> = context.state.units.keys().filter(is_quiet).cloned().collect();
-        if quiet.is_empty() {
+        let silent: Vec<UnitName> = context.state.units.keys().filter(is_silent_unit).cloned().collect();
+        if silent.is_empty() {
             return vec![];
         }
         let echo = Echo { incarnation: context.incarnation, at: context.now.0 };
-        let ask = |name: &UnitName| LeaderAction::Send(name.clone(), Message::FindUnits(echo, quiet.clone()));
+        let ask =
+            |name: &UnitName| LeaderAction::Send(name.clone(), Message::FindUnits(echo, silent.clone()));
         context.other_voters().map(|voter_slot| ask(&voter_slot.name)).collect()
     }
 
@@ -99,7 +100,7 @@
                 lease: unit.unit_state.lease(),
                 version: known.heartbeat.version.clone(),
             };
-            actions.extend(proposals.propose(context.now, format!("seen {name}"), command));
+            actions.extend(proposals.propose(context.now, format!("serving {name}"), command));
         }
         actions
     }
--- a/crates/fleet/src/leader/voters.rs
+++ b/crates/fleet/src/leader/voters.rs
@@ -15,7 +15,7 @@
 /// Time, in ms, after which an undecided entry may be waiting for an answer that was lost.
 const RESYNC_AFTER_MS: u64 = 2 * PROPOSE_AGAIN_MS;
 
-/// An entry that is not decided, and the log position since which it waits.
+/// Since when entries are undecided, and the log position at that time.
 struct Undecided {
     applied: u64,
     since: Timestamp,
@@ -29,7 +29,8 @@
 }
 
 impl VoterController {
-    /// Asks the other voters to synchronise again if entries have stayed undecided for [`RESYNC_AFTER_MS`].
+    /// Asks the other voters to synchronise again if there are undecided entries and nothing has been applied
+    /// for [`RESYNC_AFTER_MS`].
     ///
     /// If a follower's answer is lost, the library does not ask for it again until the next entry, and there
     /// may be none.
@@ -49,7 +50,7 @@
     }
 
     /// Proposes the next epoch if a slot has to be reassigned or the log is long, provided that a majority of
-    /// its voters keeps its slots and is active.
+    /// its voters keep their slots and are active.
     pub(super) fn reconfigure(&mut self, context: &Context, is_log_long: bool) -> Option<LeaderAction> {
         if self.reconfigured_at.is_some_and(|at| context.now.ms_since(at) < RECONFIGURE_AGAIN_MS) {
             return None;
@@ -65,10 +66,10 @@
             voter_slots[index] = voter_slot;
         }
         let active = active_voters(context);
-        let goes_on = |slot: &&VoterSlot| {
+        let keeps_slot = |slot: &&VoterSlot| {
             state.voter_slots.contains(slot) && active.iter().any(|(name, _)| *name == slot.name)
         };
-        if voter_slots.iter().filter(goes_on).count() * 2 <= voter_slots.len() {
+        if voter_slots.iter().filter(keeps_slot).count() * 2 <= voter_slots.len() {
             return None;
         }
         self.reconfigured_at = Some(context.now);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -33,7 +33,7 @@
     Submit(Command),
 }
 
-/// A request to begin a drain whose log entry is not applied yet.
+/// The last request to begin the current drain.
 struct BeginRequest {
     lease: Lease,
     nonce: Nonce,
@@ -138,8 +138,8 @@
         let has_asked = self.begin_request.as_ref().is_some_and(|request| {
             request.lease == lease && context.now.ms_since(request.asked_at) < RETRY_MS
         });
-        let hears_group = context.hears_any_voter() || is_leader;
-        if has_asked || !status.serving || !hears_group {
+        let hears_voters = context.hears_any_voter() || is_leader;
+        if has_asked || !status.serving || !hears_voters {
             return None;
         }
         self.begin_requests += 1;
@@ -172,8 +172,8 @@
         // A node that an operator drained stays drained after a restart; one that exited for a release is
         // already changed.
         let is_release = matches!(cause, Cause::Release(_));
-        let goes_on = nonce.incarnation == context.incarnation || !is_release;
-        if !goes_on || (is_release && wanted_act(context, cause).is_none()) {
+        let may_continue = nonce.incarnation == context.incarnation || !is_release;
+        if !may_continue || (is_release && wanted_act(context, cause).is_none()) {
             return None;
         }
         self.ask_to_begin(context, status, is_leader, lease)
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -9,7 +9,8 @@
 
 pub use crate::state::LogStep;
 
-/// Version of the protocol. Every change of the types below changes it; links to other versions are refused.
+/// Version of the protocol. It must be raised with every change of the types below; links to other versions
+/// are refused.
 pub const VERSION: u32 = 3;
 
 /// The first frame of a link, in both directions.
@@ -47,11 +48,12 @@
 /// The status of a node's store as a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterStatus {
-    /// It has no store, or its store has failed.
+    /// It has no store, its store has failed, or it is giving up its slot.
     NoStore,
     /// It has a store with nothing in it.
     Fresh,
-    /// Its store lost or never had data that peers know it acknowledged: it votes only in a new slot.
+    /// Its store has no usable voter state: it is unreadable, incomplete, older than what peers know of it,
+    /// or its slot was reassigned. The node votes only in a new slot.
     StateLost,
     /// It holds this slot and waits until other voters confirm that its store is not an old copy.
     Recovering(u64),
@@ -79,7 +81,7 @@
     pub incarnation: Incarnation,
     /// How far it has applied the log.
     pub have: LogPosition,
-    /// Whether it accepts clients.
+    /// Whether it accepts clients; see `out` for a drain by the fleet.
     pub serving: bool,
     /// The lease under which it is out, if any.
     pub out: Option<Lease>,
@@ -88,7 +90,8 @@
     /// How its recent calls ended.
     pub call_counts: CallCounts,
     /// Number of connections and attempts at each host that is to be out; there are none at hosts that are
-    /// not listed. `None` until the node has counted its connections while avoiding these hosts.
+    /// not listed. `None` until the node has counted its connections while avoiding these hosts, and while it
+    /// has not applied all that a leader has reported.
     pub holds: Option<Vec<(UnitName, u32)>>,
     /// The status of its store as a voter.
     pub voter_status: VoterStatus,
@@ -112,7 +115,7 @@
 /// The part of the log that the sender has applied and the receiver has not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogUpdate {
-    /// The receiver is up to date.
+    /// The sender has applied nothing that the receiver has not.
     None,
     /// The steps after this position.
     Since(LogPosition, Vec<LogStep>),
--- a/crates/fleet/src/policy/fleet_policy.rs
+++ b/crates/fleet/src/policy/fleet_policy.rs
@@ -8,7 +8,8 @@
 use super::limits::{Limits, Scope};
 use super::place::{Place, UnitName};
 
-/// Maximum number of voters; bounded because each voter hears from all others twice a second.
+/// Maximum number of voters; bounded because each voter hears from all others twice a second, so the traffic
+/// grows with the square of the number.
 const MAX_VOTERS: usize = 9;
 
 /// Longest allowed `recall_s`, in seconds.
@@ -130,7 +131,8 @@
                 let Scope { name, .. } = scope;
                 let key = format!("limits.{}", name.split(' ').next().unwrap_or_default());
                 let why = format!(
-                    "allows none of the {total} units in {name} to be out, so {unit} could never be drained"
+                    "allows none of the {total} units in {name} to be out, so {unit} could never be drained \
+                     within the limits"
                 );
                 return Err(PolicyError::new(key, why));
             }
--- a/crates/fleet/src/policy/limits.rs
+++ b/crates/fleet/src/policy/limits.rs
@@ -4,7 +4,8 @@
 
 use super::place::{Place, UnitName};
 
-/// A number of units, or a share of them. Shares are rounded so that fewer units are out.
+/// A number of units, or a share of them. Limits round shares so that fewer units are out; waves round them
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
     /// A number of units.
--- a/crates/fleet/src/policy/plan.rs
+++ b/crates/fleet/src/policy/plan.rs
@@ -32,21 +32,22 @@
     Return,
 }
 
-/// Thresholds that halt a release. Changed units are compared with themselves before they went out.
+/// Thresholds that halt a release. Rates of a changed unit are compared with the higher of its own before the
+/// change and the mean of the unchanged units; its waiting calls and ejected hosts only with its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gates {
-    /// Increase in failed calls, per thousand calls.
+    /// Largest allowed increase in failed calls, per thousand calls.
     pub failures_per_thousand: u32,
-    /// Increase in calls that were rejected because of load, per thousand calls.
+    /// Largest allowed increase in calls that were rejected because of load, per thousand calls.
     pub busy_per_thousand: u32,
     /// Number of calls that a unit must have had before its rates are judged.
     pub least_calls: u32,
     /// Number of units of the fleet that may be lost at once without holding a lease.
     pub most_lost: u32,
-    /// Increase in calls that wait at a unit; not checked if absent.
+    /// Largest allowed increase in calls that wait at a unit; not checked if absent.
     pub waiting: Option<u32>,
-    /// Increase in hosts that a unit has ejected; not checked if absent.
+    /// Largest allowed increase in hosts that a unit has ejected; not checked if absent.
     pub hosts_down: Option<u32>,
 }
 
@@ -72,7 +73,7 @@
     /// The units to change; all units if empty.
     #[serde(default)]
     pub units: Vec<UnitName>,
-    /// Number of units in each wave; the last value applies to all further waves.
+    /// Number or share of units in each wave; the last value applies to all further waves.
     #[serde(default = "default_waves")]
     pub waves: Vec<Amount>,
     /// Seconds that a unit must serve before it counts as back, and seconds that a wave is watched before the
@@ -132,8 +133,8 @@
         Ok(())
     }
 
-    /// The units of each wave. Zones and cells alternate, so that no wave consists of one zone while others
-    /// have units left.
+    /// The units of each wave. Zones and cells alternate, so that no wave of several units consists of one
+    /// zone while others have units left.
     pub fn split(&self, policy: &FleetPolicy) -> Vec<Vec<UnitName>> {
         let order = self.order(policy);
         let total = order.len() as u32;
--- a/crates/fleet/src/replica/mod.rs
+++ b/crates/fleet/src/replica/mod.rs
@@ -62,7 +62,7 @@
     /// Voters that have reported an empty store since this process started.
     fresh_voters: BTreeSet<UnitName>,
     /// When a voter first reported that the fleet is founded.
-    founded_since: Option<Timestamp>,
+    founding_reported_at: Option<Timestamp>,
     /// Whether an operator trusts this store, so that no confirmations are needed.
     is_trusted: bool,
     /// Voters that have confirmed that they know of nothing newer in this slot than this store holds.
@@ -80,7 +80,7 @@
             inputs: VecDeque::new(),
             peer_marks: BTreeMap::new(),
             fresh_voters: BTreeSet::new(),
-            founded_since: None,
+            founding_reported_at: None,
             is_trusted: false,
             confirmed_by: BTreeSet::new(),
         }
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The voter slot recorded in the store.
+    /// The slot that this node holds, recovering or active.
     fn held_slot(&self) -> Option<u64> {
         match self.status {
             VoterStatus::Recovering(voter_slot) | VoterStatus::Active(voter_slot) => Some(voter_slot),
@@ -187,7 +187,7 @@
 
     /// Records that a voter reported that the fleet is founded.
     pub(crate) fn record_founded_elsewhere(&mut self, now: Timestamp) {
-        self.founded_since.get_or_insert(now);
+        self.founding_reported_at.get_or_insert(now);
     }
 
     /// Records that an operator trusts the store. Returns whether the node was waiting for confirmations.
@@ -364,7 +364,7 @@
         self.voter = None;
         self.status = VoterStatus::NoStore;
         self.inputs.clear();
-        actions.push(Action::Log(format!("gives up its vote: {why}")));
+        actions.push(Action::Log(format!("does not vote: {why}")));
         let removed =
             [StoreKey::VoterSlot, StoreKey::Base, StoreKey::Promise, StoreKey::Accepted, StoreKey::Decided];
         let mut writes = vec![StoreWrite::Cut(0)];
--- a/crates/fleet/src/replica/recovery.rs
+++ b/crates/fleet/src/replica/recovery.rs
@@ -15,13 +15,13 @@
 use crate::state::{State, VoterSlot};
 use crate::store::StoreKey;
 
-/// How long, in ms, a voter with an empty store waits for the others to report empty stores too. After that
-/// it concludes that the fleet was founded without it.
+/// How long, in ms, after a voter first reports that the fleet is founded a voter with an empty store waits
+/// for the others to report empty stores too, before it concludes that the fleet was founded without it.
 const FOUNDING_TIMEOUT_MS: u64 = 5_000;
 
 impl Replica {
-    /// Compares the durable mark that a voter knows of this node with this node's store. Gives up the slot if
-    /// the store is older.
+    /// Compares the durable mark that a voter knows of this node with this node's store. Records the voter's
+    /// confirmation if it knows of nothing newer, and gives up the slot otherwise.
     pub(crate) fn compare_with_peer(
         &mut self,
         peer: &UnitName,
@@ -41,8 +41,8 @@
                     return SlotChange::GivenUp;
                 }
                 // A node that was never a voter knows of no marks, so it confirms nothing. A voter whose
-                // store lost its state does count: only a minority may fail, and since it is part of that
-                // minority, this store is less likely to be.
+                // store lost its state does count: only a minority may fail, and it is part of that minority,
+                // so this node's own store is less likely to have failed too.
                 match peer_status {
                     VoterStatus::Active(_) | VoterStatus::Recovering(_) | VoterStatus::StateLost => {
                         self.confirmed_by.insert(peer.clone());
@@ -117,7 +117,7 @@
             return SlotChange::Unchanged;
         }
         let is_founded =
-            self.founded_since.is_some_and(|since| context.now.ms_since(since) >= FOUNDING_TIMEOUT_MS);
+            self.founding_reported_at.is_some_and(|since| context.now.ms_since(since) >= FOUNDING_TIMEOUT_MS);
         if is_founded {
             self.give_up_slot("its store is empty, but the fleet is already founded", actions);
             return SlotChange::GivenUp;
--- a/crates/fleet/src/state/apply/mod.rs
+++ b/crates/fleet/src/state/apply/mod.rs
@@ -79,7 +79,8 @@
             Command::MarkLost { unit } => self.mark_lost(unit),
             Command::AdvanceWave { release, wave } => self.advance_wave(*release, *wave),
             Command::ReplaceVoter { old, new } => self.replace_voter(old, new),
-            // The reader of the log converts it to the end of the epoch; see `State::start_epoch`.
+            // `Voter::take_decided` converts it to `LogStep::Reconfigure`, so it is never applied as an
+            // entry.
             Command::Reconfigure { .. } => Err(Refusal::NotAnEntry),
             Command::LeaderStarted { voters } => self.record_voters(voters),
         }
--- a/crates/fleet/src/state/apply/releases.rs
+++ b/crates/fleet/src/state/apply/releases.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Starts the rollback as a new release under the same limits, which changes the units in reverse order
-    /// of their change.
+    /// Starts the rollback as a new release under the same limits. It changes first the units that are still
+    /// out, then those that are done, newest first.
     pub(super) fn roll_back(&mut self) -> Outcome {
         let release = self.release.as_ref().ok_or(Refusal::NothingToRollBack)?;
         if release.is_running() {
--- a/crates/fleet/src/state/apply/units.rs
+++ b/crates/fleet/src/state/apply/units.rs
@@ -29,8 +29,8 @@
         Ok(())
     }
 
-    /// Whether all other units of its zone are out. A release never takes the last unit of a zone out,
-    /// whatever the limits allow.
+    /// Whether the unit's zone has other units and all of them are out. The last units of a zone never go out
+    /// together for a release, whatever the limits allow.
     pub(super) fn is_last_of_zone(&self, name: &UnitName) -> bool {
         let Some(policy) = &self.policy else { return false };
         let Some(place) = policy.units.get(name) else { return false };
--- a/crates/fleet/src/state/command.rs
+++ b/crates/fleet/src/state/command.rs
@@ -8,12 +8,13 @@
 use super::voter::VoterSlot;
 use crate::policy::{FleetPolicy, Plan, PolicyError, UnitName};
 
-/// A command of a log entry.
+/// A command of a log entry. The description of each variant begins with who proposes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Leader: found the fleet on this policy. Always the first command.
+    /// Leader: found the fleet on this policy. The leader proposes nothing else before it is applied.
     Bootstrap(Box<FleetPolicy>),
-    /// No change. Once it is decided, the state that it was applied to is known to have been the latest.
+    /// Node: no change. Once it is decided, the state that it was applied to is known to have been the
+    /// latest.
     Confirm,
     /// Operator: drain this unit or host, within the limits.
     Drain {
@@ -95,7 +96,7 @@
         /// The lease under which it is out.
         lease: Lease,
     },
-    /// Leader: all nodes know that they may use this host again.
+    /// Leader: all units that are not lost have applied that this host is used again.
     MarkHostReturned {
         /// Its name.
         host: UnitName,
@@ -109,7 +110,8 @@
         /// Index of the wave that is done.
         wave: usize,
     },
-    /// Operator: permanently replace a voter by another node, once that node reports an empty store.
+    /// Operator: permanently replace a voter by another node, once that node reports a store without usable
+    /// voter state.
     ReplaceVoter {
         /// The voter that leaves.
         old: UnitName,
@@ -121,7 +123,7 @@
         /// All slots of the next epoch.
         voter_slots: Vec<VoterSlot>,
     },
-    /// Leader, before any other proposal: record the running voter processes.
+    /// Leader, before its controllers propose anything else: record the running voter processes.
     LeaderStarted {
         /// The active voters, and how often each one's store was opened.
         voters: Vec<(UnitName, BootCount)>,
@@ -241,7 +243,7 @@
         room: u32,
     },
     /// All other units of the unit's zone are out.
-    #[error("{0} is the last unit of its zone in service")]
+    #[error("all other units in the zone of {0} are out")]
     LastOfZone(UnitName),
     /// The policy has no section for hosts.
     #[error("the fleet policy has no hosts section")]
--- a/crates/fleet/src/state/host.rs
+++ b/crates/fleet/src/state/host.rs
@@ -1,4 +1,5 @@
-//! Hosts as the endpoint list shows them, and which of them the fleet holds out.
+//! Hosts as the endpoint list shows them, and which of them the fleet holds out, that is, has granted a lease
+//! for.
 //!
 //! The endpoint list is authoritative for which hosts exist. A host that it shows as draining or gone counts
 //! as out, like one that the fleet holds out, so that a rolling deploy and an operator's drain share the same
@@ -27,11 +28,11 @@
 pub enum HoldState {
     /// Nodes open nothing new there, and migrate existing connections.
     Out,
-    /// Every node has reported that it holds nothing there. Only the leader knows whether that still holds
-    /// ([`crate::Fleet::may_stop`]): an entry that waited for a majority may be decided long after it was
-    /// proposed.
+    /// Every unit that is not confirmed dead has reported that it holds nothing there. Only the leader knows
+    /// whether that still holds ([`crate::Fleet::may_stop`]): an entry that waited for a majority may be
+    /// decided long after it was proposed.
     Empty,
-    /// Nodes use it again. It counts as out until all nodes have applied that.
+    /// Nodes use it again. It counts as out until all units that are not lost have applied that.
     Returning,
 }
 
@@ -67,7 +68,7 @@
     }
 
     /// Whether nodes must avoid it.
-    pub fn is_wanted_out(&self) -> bool {
+    pub fn must_be_avoided(&self) -> bool {
         self.held.is_some_and(|held| held.hold != HoldState::Returning)
     }
 }
--- a/crates/fleet/src/state/unit.rs
+++ b/crates/fleet/src/state/unit.rs
@@ -4,7 +4,7 @@
 
 use super::ids::{Lease, Nonce};
 
-/// How calls ended at a node over the last 10 seconds, and its current gauges.
+/// How calls ended at a node over about the last 10 seconds; `waiting` and `hosts_down` are current values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Calls that ended.
@@ -15,7 +15,7 @@
     pub busy: u32,
     /// Calls that are waiting now.
     pub waiting: u32,
-    /// Hosts that the node currently ejects.
+    /// Number of hosts that the node currently has ejected.
     pub hosts_down: u32,
 }
 
--- a/crates/fleet/src/state/voter.rs
+++ b/crates/fleet/src/state/voter.rs
@@ -5,7 +5,8 @@
 use super::ids::Incarnation;
 use crate::policy::UnitName;
 
-/// A voter's membership in the consensus group of an epoch. Numbers are never reused.
+/// A voter's numbered membership in the consensus group, kept over epochs until it is reassigned. Numbers are
+/// never reused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterSlot {
     /// The voter's id in the consensus protocol.
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -12,7 +12,7 @@
     Put(StoreKey, Vec<u8>),
     /// Removes a value.
     Remove(StoreKey),
-    /// Sets the log entry of this index.
+    /// Sets the log entry of this index and removes those after it.
     Log(u64, Vec<u8>),
     /// Removes the log entries from this index on.
     Cut(u64),
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -32,14 +32,14 @@
     /// Names that two live processes use.
     #[serde(rename = "doubled")]
     pub duplicates: Vec<&'a UnitName>,
-    /// Hosts that are being drained; only the leader knows them.
+    /// Hosts that the fleet holds out and that are not returning; listed on the leader only.
     #[serde(rename = "emptying")]
     pub draining_hosts: Vec<DrainingHost<'a>>,
     /// The replicated state.
     pub state: &'a State,
 }
 
-/// A host that is being drained, as the leader knows it.
+/// A host that the fleet holds out, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DrainingHost<'a> {
     /// Its name.
