--- a/crates/fleet/src/leader/releases.rs
+++ b/crates/fleet/src/leader/releases.rs
@@ -1,4 +1,4 @@
-//! The running release: its halt before its next step.
+//! Release controller: halts the running release, or proposes its next step.
 
 use super::gates::failed_gate;
 use super::proposals::{LeaderAction, RecentProposals};
@@ -7,7 +7,7 @@
 use crate::context::Context;
 use crate::state::{Command, Release, Unit, UnitState};
 
-/// A wave that has no unit left to change.
+/// A wave with no units left to change.
 struct ClearedWave {
     release: u64,
     wave: usize,
@@ -21,7 +21,7 @@
 }
 
 impl ReleaseController {
-    /// Proposes the halt of the release, or its next step.
+    /// Proposes to halt the release if it fails a gate, or else its next step.
     pub(super) fn control(
         &mut self,
         context: &Context,
@@ -47,10 +47,10 @@
         let unit =
             release.remaining_units().find(|name| context.state.units.get(*name).is_some_and(can_go))?;
         let command = Command::GrantTurn { release: release.number, unit: unit.clone() };
-        proposals.propose(context.now, format!("turn {} {unit}", release.number), command)
+        proposals.propose(context.now, format!("grant {} {unit}", release.number), command)
     }
 
-    /// Proposes the next wave once the last one has been watched for long enough.
+    /// Proposes the next wave once the current one has been watched for the plan's `watch_s`.
     fn advance_wave(
         &mut self,
         context: &Context,
@@ -65,6 +65,6 @@
             return None;
         }
         let command = Command::AdvanceWave { release: number, wave };
-        proposals.propose(context.now, format!("pass {number} {wave}"), command)
+        proposals.propose(context.now, format!("advance wave {number} {wave}"), command)
     }
 }
