--- a/crates/node/src/config/decode.rs
+++ b/crates/node/src/config/decode.rs
@@ -1,4 +1,4 @@
-//! The configuration as a node is given it: a JSON file, and environment variables that win over its keys.
+//! Reads a node's configuration: a JSON file, and environment variables that override its keys.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,26 +13,26 @@
 use crate::endpoint_list;
 use crate::protocol::Names;
 
-/// The variable that names the configuration file.
+/// The environment variable that names the configuration file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// The variable of the endpoint list's service.
+/// The environment variable with the address of the endpoint list's service.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
-/// File descriptors that most systems grant a process, where the platform says no limit.
+/// Limit of file descriptors if the configuration sets none: what most systems grant a process.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// Limits of file descriptors that are taken. A connection needs two, and the node some for itself: with
-/// fewer than 64 nothing could be served.
+/// Accepted limits of file descriptors. A connection needs two, and the node needs some for itself: with
+/// fewer than 64 it could serve nothing.
 const DESCRIPTORS: std::ops::Range<u64> = 64..1 << 20;
 
-/// Keys that a fleet's section may have.
+/// Keys allowed in the `fleet` section.
 const FLEET_KEYS: [&str; 5] = ["listen", "peers", "folder", "version", "charter"];
 
-/// What an address has to look like.
+/// The expected form of an address, for error messages.
 const ADDRESS: &str = "an address and a port";
 
-/// The configuration at the start of a process.
+/// Reads the configuration at the start of the process.
 ///
 /// # Errors
 ///
@@ -41,9 +41,9 @@
     decode(&read_file()?, |variable| std::env::var(variable).ok())
 }
 
-/// The configuration as the file has it now. The variables keep what they were at the start, but the service
-/// of the endpoint list may have moved since, and a node that trusts its variable asks one that is about to
-/// go.
+/// Reads the configuration file again. The environment variables still have their values from the start of
+/// the process. The one for the endpoint list's service is ignored: the service may have moved since, and the
+/// node would ask an instance that is about to shut down.
 ///
 /// # Errors
 ///
@@ -73,7 +73,7 @@
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<NodeConfig, ConfigError> {
     let json: Value =
-        serde_json::from_str(text).map_err(|fault| ConfigError::NoJson { key: FILE_VARIABLE, fault })?;
+        serde_json::from_str(text).map_err(|fault| ConfigError::InvalidJson { key: FILE_VARIABLE, fault })?;
     let source = Source { json: &json, variable: &variable };
     let admin = source.admin()?;
     let seed = text_at(&json, "seed")?;
@@ -94,7 +94,8 @@
         admin,
         fleet,
         marks_repeats: map.flag_or("clients.marksRetry", false)?,
-        seed: u64::from_str_radix(seed, 16).map_err(|_| bad("seed", seed, "up to 16 hexadecimal digits"))?,
+        seed: u64::from_str_radix(seed, 16)
+            .map_err(|_| invalid("seed", seed, "up to 16 hexadecimal digits"))?,
         descriptors: descriptors(&json)?,
         names: Names {
             traffic: classes,
@@ -111,20 +112,20 @@
     })
 }
 
-/// The file and the variables that win over its keys.
+/// The file and the environment variables that override its keys.
 struct Source<'a, V> {
     json: &'a Value,
     variable: &'a V,
 }
 
-/// A text of the configuration, and where it was found.
+/// A string of the configuration, and the key or variable that it comes from.
 struct Text {
     key: &'static str,
     value: String,
 }
 
 impl<V: Fn(&str) -> Option<String>> Source<'_, V> {
-    /// What the variable says, or else the key of the file.
+    /// The value of the environment variable, or else of the file's key.
     fn text(&self, variable: &'static str, key: &'static str) -> Result<Text, ConfigError> {
         match (self.variable)(variable) {
             Some(value) => Ok(Text { key: variable, value }),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The admin interface's address, which need not be there.
+    /// The admin interface's address, which is optional.
     fn admin(&self) -> Result<Option<SocketAddr>, ConfigError> {
         let variable = "ROUTER_ADMIN";
         let key = "admin";
@@ -149,13 +150,13 @@
     }
 }
 
-/// The settings of the decisions, and whether the endpoint list is pushed to an agent of the node's own.
+/// Reads the settings of the decisions, and whether the endpoint list is pushed to the node's own agent.
 fn decode_settings(map: &SettingsMap) -> Result<(Settings, bool), ConfigError> {
     let settings = glendeck_settings::settings(map)?;
     let list_is_pushed = settings.poll_interval.is_none();
     let settings = Settings {
-        // The settings promise message times, but lines between nodes and hosts carry none, and the decisions
-        // would wait for them while hosts go under.
+        // The settings promise message times, but lines between nodes and hosts carry none. The decisions
+        // would wait for these times while hosts become overloaded.
         reports_message_times: false,
         poll_interval: Some(endpoint_list::poll_interval(settings.poll_interval)),
         ..settings
@@ -163,7 +164,7 @@
     Ok((settings, list_is_pushed))
 }
 
-/// The longest time that a client of any class waits.
+/// The longest time that a client of any class waits for its answer.
 fn longest_deadline(map: &SettingsMap, classes: usize) -> Result<Span, ConfigError> {
     let mut longest = Span::ZERO;
     for class in 0..classes {
@@ -201,21 +202,23 @@
 fn check_fleet_keys(json: &Value) -> Result<(), ConfigError> {
     let mut keys = json.as_object().into_iter().flat_map(serde_json::Map::keys);
     match keys.find(|key| !FLEET_KEYS.contains(&key.as_str())) {
-        Some(key) => {
-            Err(bad(&format!("fleet.{key}"), "set", "one of listen, peers, folder, version, charter"))
-        }
+        Some(key) => Err(invalid(
+            &format!("fleet.{key}"),
+            "unknown key",
+            "one of listen, peers, folder, version, charter",
+        )),
         None => Ok(()),
     }
 }
 
-/// Reads the policy that the fleet was founded on, of which this node has to be a unit.
+/// Reads the fleet's initial policy, which has to list this node as a unit.
 fn read_policy(path: &str, name: &str) -> Result<FleetPolicy, ConfigError> {
     let unreadable = |fault: String| ConfigError::FleetPolicy { path: path.to_owned(), fault };
     let text = std::fs::read_to_string(path).map_err(|fault| unreadable(fault.to_string()))?;
     let policy: FleetPolicy = toml::from_str(&text).map_err(|fault| unreadable(fault.to_string()))?;
     policy.check()?;
     if !policy.units.contains_key(&UnitName(name.to_owned())) {
-        return Err(bad("fleet.charter", path, "a file whose units have this node's name"));
+        return Err(invalid("fleet.charter", path, "a file whose units have this node's name"));
     }
     Ok(policy)
 }
@@ -225,7 +228,7 @@
     let mut addresses = BTreeMap::new();
     for (peer, value) in peers {
         let key = format!("fleet.peers.{peer}");
-        let text = value.as_str().ok_or_else(|| bad(&key, &value.to_string(), ADDRESS))?;
+        let text = value.as_str().ok_or_else(|| invalid(&key, &value.to_string(), ADDRESS))?;
         addresses.insert(UnitName(peer.clone()), parse_address(&key, text)?);
     }
     Ok(addresses)
@@ -236,18 +239,18 @@
     let Some(limit) = limit else { return Ok(DEFAULT_DESCRIPTORS) };
     match limit.as_u64().filter(|number| DESCRIPTORS.contains(number)) {
         Some(number) => Ok(number as usize),
-        None => Err(bad("limits.sockets", &limit.to_string(), "a whole number from 64 on")),
+        None => Err(invalid("limits.sockets", &limit.to_string(), "a whole number from 64 on")),
     }
 }
 
-// Values of the file, by their keys.
+// Access to the file's values by key.
 
 fn missing(key: &str) -> ConfigError {
     ConfigError::Missing { key: key.to_owned() }
 }
 
-fn bad(key: &str, value: &str, expected: &'static str) -> ConfigError {
-    ConfigError::Bad { key: key.to_owned(), value: format!("{value:?}"), expected }
+fn invalid(key: &str, value: &str, expected: &'static str) -> ConfigError {
+    ConfigError::Invalid { key: key.to_owned(), value: format!("{value:?}"), expected }
 }
 
 /// The value of a key that may be missing or null.
@@ -256,37 +259,37 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| bad(key, text, ADDRESS))
+    text.parse().map_err(|_| invalid(key, text, ADDRESS))
 }
 
 fn text_at<'a>(json: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
     let value = json.get(key).ok_or_else(|| missing(key))?;
-    value.as_str().ok_or_else(|| bad(key, &value.to_string(), "text"))
+    value.as_str().ok_or_else(|| invalid(key, &value.to_string(), "text"))
 }
 
 fn fleet_text<'a>(fleet: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
     let full_key = format!("fleet.{key}");
     let value = fleet.get(key).ok_or_else(|| missing(&full_key))?;
-    value.as_str().ok_or_else(|| bad(&full_key, &value.to_string(), "text"))
+    value.as_str().ok_or_else(|| invalid(&full_key, &value.to_string(), "text"))
 }
 
 fn items<'a>(settings: &'a Value, key: &str) -> Result<&'a [Value], ConfigError> {
     let full_key = format!("settings.{key}");
     let value = settings.get(key).ok_or_else(|| missing(&full_key))?;
     let items = value.as_array().map(Vec::as_slice);
-    items.ok_or_else(|| bad(&full_key, &value.to_string(), "a list"))
+    items.ok_or_else(|| invalid(&full_key, &value.to_string(), "a list"))
 }
 
-/// A list of texts.
+/// Reads a list of strings.
 fn texts(settings: &Value, key: &str) -> Result<Vec<String>, ConfigError> {
     let text = |item: &Value| item.as_str().map(str::to_owned);
     let texts: Option<Vec<String>> = items(settings, key)?.iter().map(text).collect();
-    texts.ok_or_else(|| bad(&format!("settings.{key}"), "its items", "names"))
+    texts.ok_or_else(|| invalid(&format!("settings.{key}"), "other items", "a list of strings"))
 }
 
-/// The names of a list's objects.
+/// Reads the names of the objects in a list.
 fn names(settings: &Value, key: &str) -> Result<Vec<String>, ConfigError> {
     let name = |item: &Value| item.get("name").and_then(Value::as_str).map(str::to_owned);
     let names: Option<Vec<String>> = items(settings, key)?.iter().map(name).collect();
-    names.ok_or_else(|| bad(&format!("settings.{key}"), "its items", "objects with a name"))
+    names.ok_or_else(|| invalid(&format!("settings.{key}"), "other items", "a list of named objects"))
 }
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! What a node is configured with: checked values, and which of them may change while it serves.
+//! The checked configuration of a node, and which of its values may change while the node serves.
 //!
-//! [`decode`] reads them; defaults are given there and nowhere else.
+//! [`decode`] reads the values and is the only place that sets defaults.
 
 mod decode;
 #[cfg(test)]
@@ -21,13 +21,13 @@
 
 pub(crate) use self::decode::{anew, from_environment};
 
-/// The variable that says how much is logged. Its name is the program's own, as the platform has none for it.
+/// The environment variable for the log level. Its name is this program's own, as the platform has none.
 const LOG_VARIABLE: &str = "GLENDECK_LOG";
 
-/// Why a node cannot be configured. Each names the key that is at fault.
+/// Why a configuration is invalid. Each message names the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// A variable that must be there is not.
+    /// A required environment variable is not set.
     #[error("{0} is not set")]
     NotSet(&'static str),
     /// The file cannot be read.
@@ -37,48 +37,48 @@
         key: &'static str,
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         fault: std::io::Error,
     },
     /// The file is not JSON.
-    #[error("{key}: no JSON: {fault}")]
-    NoJson {
+    #[error("{key}: invalid JSON: {fault}")]
+    InvalidJson {
         /// The variable that names the file.
         key: &'static str,
-        /// Where and why.
+        /// The parser's error with its position.
         fault: serde_json::Error,
     },
-    /// A key that must be there is not.
+    /// A required key is absent.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: String,
     },
-    /// A value has another type than its key needs, or is out of range.
+    /// A value has the wrong type or is out of range.
     #[error("{key} is {value}, expected {expected}")]
-    Bad {
-        /// The key, or the variable that wins over it.
+    Invalid {
+        /// The key, or the environment variable that overrides it.
         key: String,
         /// The value.
         value: String,
         /// What it should be.
         expected: &'static str,
     },
-    /// The settings of the decisions cannot be used.
+    /// The settings of the decisions are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The endpoint list of the file cannot be used.
+    /// The endpoint list in the file is invalid.
     #[error("known: {0}")]
     Known(#[from] EndpointListError),
     /// The fleet's policy cannot be read.
     #[error("fleet.charter: {path:?}: {fault}")]
     FleetPolicy {
-        /// Its file.
+        /// The policy's file.
         path: String,
-        /// Why.
+        /// The cause.
         fault: String,
     },
-    /// The fleet's policy cannot be kept.
+    /// The fleet's policy is invalid.
     #[error("fleet.charter: {0}")]
     Limits(#[from] PolicyError),
 }
@@ -87,11 +87,11 @@
 pub(crate) struct NodeConfig {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen: SocketAddr,
-    /// The service of the endpoint list.
+    /// The address of the endpoint list's service.
     pub discovery: SocketAddr,
-    /// The admin interface, if there is one.
+    /// The address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
     /// Seed of the node's random draws.
     pub seed: u64,
@@ -99,57 +99,57 @@
     pub descriptors: usize,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// The service of the list is an agent of the node's own, and what it has counts as told at once.
+    /// The endpoint list's service is the node's own agent; its list counts as received at once.
     pub list_is_pushed: bool,
     /// Names of classes and tenants, by their numbers.
     pub names: Names,
     /// Names of zones, by their numbers.
     pub zones: Vec<String>,
-    /// A connection to a host that has not come up after this never will.
+    /// Connect timeout: a connection to a host that is not established by then has failed.
     pub connect_limit: Span,
-    /// The longest time that any client waits.
+    /// The longest time that any client waits for its answer.
     pub longest_guard: Span,
     /// The endpoint list that the node starts with.
     pub known: Option<EndpointListUpdate>,
     /// The fleet that the node is a member of, if any.
     pub fleet: Option<FleetSettings>,
-    /// Clients mark a call that repeats one that failed.
+    /// Whether clients mark a call that repeats a failed one.
     pub marks_repeats: bool,
-    /// A folder of the node's own, where its successor finds this process.
+    /// The node's own folder, where its successor finds this process.
     pub folder: Option<PathBuf>,
 }
 
 /// How a node takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct FleetSettings {
-    /// Where its peers reach it.
+    /// The address where its peers reach it.
     pub listen: SocketAddr,
-    /// Where its peers are; it talks to no others.
+    /// The addresses of its peers; it connects to no others.
     pub peers: BTreeMap<UnitName, SocketAddr>,
     /// The folder of its store. A node without one never votes.
     pub folder: Option<PathBuf>,
-    /// The version that it runs, as operators name it.
+    /// The version that it runs, under the name that operators use.
     pub version: String,
-    /// The policy that the fleet was founded on.
+    /// The fleet's initial policy.
     pub policy: FleetPolicy,
 }
 
-/// What a configuration that was read anew has changed.
+/// What has changed when the configuration was read again.
 pub(crate) struct ConfigChange {
-    /// The settings of the decisions, or names, are other ones.
+    /// The settings of the decisions, or names of classes, tenants or zones, have changed.
     pub settings: bool,
     /// There are more zones than before.
     pub zones: bool,
-    /// Keys whose change has to wait for a new process.
+    /// Changed keys that take effect only in a new process.
     pub later: Vec<&'static str>,
 }
 
 impl NodeConfig {
-    /// Takes over what may change while the node serves.
+    /// Applies the values that may change while the node serves.
     ///
-    /// Calls in flight, hosts and metrics go by the numbers of classes, tenants and zones. So a name keeps
-    /// its number as long as the process runs, in whatever order a file has them, and what a file no longer
-    /// names stays as it was.
+    /// Calls in flight, hosts and metrics refer to classes, tenants and zones by number. So a name keeps its
+    /// number as long as the process runs, whatever its order in the file, and an entry that the file no
+    /// longer names stays unchanged.
     pub(crate) fn renew(&mut self, new: NodeConfig) -> ConfigChange {
         let later = self.changes_for_new_process(&new);
         let old_settings = self.settings.clone();
@@ -160,7 +160,7 @@
         self.descriptors = new.descriptors;
         self.list_is_pushed = new.list_is_pushed;
         self.connect_limit = new.connect_limit;
-        // Calls in flight keep the deadline that they came with.
+        // Calls in flight keep their original deadline.
         self.longest_guard = self.longest_guard.max(new.longest_guard);
         let zone_numbers = merge_names(&mut self.zones, new.zones);
         let class_numbers = merge_names(&mut self.names.traffic, new.names.traffic);
@@ -173,7 +173,7 @@
         ConfigChange { settings: has_new_settings || has_new_zones, zones: has_new_zones, later }
     }
 
-    /// Keys that differ, and that a running process cannot change.
+    /// The changed keys that a running process cannot apply.
     fn changes_for_new_process(&self, new: &NodeConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != new.name),
@@ -184,7 +184,7 @@
         keys.into_iter().filter(|(_, has_changed)| *has_changed).map(|(key, _)| key).collect()
     }
 
-    /// Takes over settings whose classes and zones have these numbers here.
+    /// Applies settings whose classes and zones have these numbers in this process.
     fn renew_settings(&mut self, new: Settings, class_numbers: &[usize], zone_numbers: &[usize]) {
         let mut classes = self.settings.classes.clone();
         for (number, class) in class_numbers.iter().zip(&new.classes) {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Adds the names that are new at the end, and returns the number of each name.
+/// Appends the new names to `known`, and returns the number of each name.
 fn merge_names(known: &mut Vec<String>, names: Vec<String>) -> Vec<usize> {
     let mut numbers = Vec::new();
     for name in names {
@@ -212,21 +212,21 @@
     numbers
 }
 
-/// How much is logged.
+/// The log level.
 ///
 /// # Errors
 ///
-/// Fails if the variable has a value that is no level.
+/// Fails if the environment variable is not a valid level.
 pub(crate) fn log_level() -> Result<LevelFilter, ConfigError> {
     let Ok(text) = std::env::var(LOG_VARIABLE) else { return Ok(LevelFilter::INFO) };
-    text.parse().map_err(|_| ConfigError::Bad {
+    text.parse().map_err(|_| ConfigError::Invalid {
         key: LOG_VARIABLE.to_owned(),
         value: format!("{text:?}"),
         expected: "off, error, warn, info, debug or trace",
     })
 }
 
-/// A host's id, the same at every node.
+/// A host's id, which is the same on every node.
 pub(crate) fn host_id(name: &str) -> HostId {
     HostId(hash_name(name))
 }
