--- a/crates/node/src/protocol/answer.rs
+++ b/crates/node/src/protocol/answer.rs
@@ -1,4 +1,4 @@
-//! What the node itself says to a client.
+//! Lines that the node itself sends to clients.
 
 use std::fmt;
 
@@ -7,25 +7,25 @@
 /// One line from the node to a client or to the front.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// The node takes clients.
+    /// The node accepts clients.
     Pong,
     /// The call failed, or the line was refused.
     Error,
-    /// The call was rejected before anything ran; the client may come back after this time, if one is given.
+    /// The call was rejected before anything ran; the client may retry after this time, if one is given.
     Busy(Option<Span>),
-    /// The open connection ends here and the client connects anew.
+    /// The node ends the open connection and the client reconnects.
     Move,
 }
 
 impl Answer {
-    /// Appends the line with its end.
+    /// Appends the line with its CRLF.
     pub(crate) fn encode(self, buffer: &mut Vec<u8>) {
         buffer.extend_from_slice(self.to_string().as_bytes());
         buffer.extend_from_slice(b"\r\n");
     }
 }
 
-/// The line without its end.
+/// The line without its CRLF.
 impl fmt::Display for Answer {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/node/src/protocol/host.rs
+++ b/crates/node/src/protocol/host.rs
@@ -1,32 +1,32 @@
-//! What hosts say.
+//! Parsing of the lines that hosts send.
 
 /// One line from a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HostMessage {
     /// The connection is open.
     Up,
-    /// The connection has ended as it should.
+    /// The connection has ended normally.
     Bye,
-    /// The host ends the connection and its client connects anew.
+    /// The host ends the connection and its client reconnects.
     Move,
     /// The call failed.
     Error,
-    /// The host has no room and ran nothing.
+    /// The host has no capacity left and ran nothing.
     Busy,
     /// The answer to a probe.
     Pong,
     /// The connection's load in seconds of work per second.
     Load(f64),
-    /// Anything else, which belongs to the client.
+    /// Any other line, which is meant for the client.
     Other,
 }
 
-/// More than a million cores is no load, and sums of such would not be finite. In microseconds of work per
-/// second.
+/// Maximum load in microseconds of work per second. More than a million cores is not a real load, and sums
+/// of such values would not be finite.
 const MAX_LOAD_MICROSECONDS: f64 = 1e12;
 
 impl HostMessage {
-    /// Reads one line, with or without its end.
+    /// Parses one line, with or without its line ending.
     pub(crate) fn parse(line: &[u8]) -> HostMessage {
         let line = without_end(line);
         let (verb, arguments) = match line.iter().position(|byte| *byte == b' ') {
--- a/crates/node/src/protocol/mod.rs
+++ b/crates/node/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! The line protocol that clients and hosts speak: ASCII lines that end in CRLF, each one typed message.
 //!
-//! `open` parses a connection's first line, `host` what hosts send, `answer` writes what the node itself says
-//! to clients. All other bytes pass through the node unread.
+//! `open` parses a connection's first line, `host` what hosts send, `answer` writes the lines that the
+//! node itself sends to clients. All other bytes pass through the node unread.
 
 mod answer;
 mod host;
@@ -14,7 +14,7 @@
 pub(crate) use answer::Answer;
 pub(crate) use host::HostMessage;
 
-/// The longest line that a peer may send, in bytes with its end.
+/// Maximum length of a line that a peer may send, in bytes with its line ending.
 pub(crate) const MAX_LINE_LENGTH: usize = 4096;
 
 /// A health check of a host, which answers `PONG`.
@@ -23,35 +23,35 @@
 /// Why a client's first line was refused.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum ProtocolError {
-    /// It has other bytes than printable ASCII, or does not end in CRLF.
+    /// The line has bytes other than printable ASCII, or does not end in CRLF.
     #[error("the line is not printable ASCII with CRLF at its end")]
     NotText,
-    /// It begins with another word.
+    /// The line begins with neither `OPEN` nor `PING`.
     #[error("the line is neither OPEN nor PING")]
     UnknownVerb,
-    /// A part that every request has is absent.
+    /// A required part of the request is absent.
     #[error("OPEN lacks {0}")]
     Missing(&'static str),
-    /// A part is not of its form.
+    /// A part of the request is invalid.
     #[error("OPEN has an unusable {0}")]
     Invalid(&'static str),
 }
 
-/// The names that lines use for what the decisions number by position.
+/// Names in protocol lines; the decisions refer to them by position.
 #[derive(Clone, PartialEq)]
 pub(crate) struct Names {
     /// Classes of calls, field `c`.
     pub traffic: Vec<String>,
     /// Tenants, field `t`.
     pub tenants: Vec<String>,
-    /// Field `g` names a group of clients, not the client itself.
+    /// Whether field `g` is read as a group of clients.
     pub groups: bool,
 }
 
-/// How a connection begins.
+/// The first message on a client's connection.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ClientMessage {
-    /// The front asks whether the node takes clients.
+    /// The front asks whether the node accepts clients.
     Ping,
     /// A client asks for a connection.
     Open(OpenRequest),
@@ -68,7 +68,7 @@
     pub id: ClientId,
     /// The class of the call.
     pub traffic: ClassId,
-    /// The customer whose client it is; the first one if the line names none.
+    /// The tenant that the client belongs to; the first one if the line names none.
     pub tenant: TenantId,
     /// The client itself, if the line names it.
     pub subject: Option<SubjectId>,
@@ -78,13 +78,13 @@
     pub wait: Span,
     /// The connection's load in seconds of work per second, if the line tells it.
     pub load: Option<f64>,
-    /// It repeats a call that failed.
+    /// The call repeats one that failed.
     pub is_repeat: bool,
-    /// Its connection was open before and has ended.
+    /// The client's connection was open before and has ended.
     pub is_reconnect: bool,
     /// The host where the connection was open before this node started.
     pub previous_host: Option<HostId>,
-    /// The line itself, which goes on to the host.
+    /// The line itself, which is forwarded to the host.
     pub line: OpenLine,
 }
 
@@ -95,16 +95,16 @@
     }
 }
 
-/// A client's `OPEN` line and the place of its waiting time in it.
+/// A client's `OPEN` line and the position of the waiting time in it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct OpenLine {
     bytes: Vec<u8>,
-    /// Within `bytes`.
+    /// Position of the waiting time in `bytes`.
     wait_range: Range<usize>,
 }
 
 impl OpenLine {
-    /// Writes the line as it goes to a host: unchanged, but with `wait`, the time that the node waits, in
+    /// Writes the line that is sent to a host: unchanged except for `wait`, the time that the node waits, in
     /// whole milliseconds and at least one.
     pub(crate) fn encode(&self, wait: Span, buffer: &mut Vec<u8>) {
         let milliseconds = (wait.0 / 1_000_000).max(1);
@@ -114,7 +114,7 @@
     }
 }
 
-/// The length of the first line with its end, if it is complete.
+/// The length of the first line with its line ending, if it is complete.
 pub(crate) fn first_line_length(bytes: &[u8]) -> Option<usize> {
     bytes.iter().position(|byte| *byte == b'\n').map(|index| index + 1)
 }
@@ -124,7 +124,7 @@
     bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |index| index + 1)
 }
 
-/// A finite number that is not negative.
+/// Parses a finite, non-negative number.
 fn parse_amount(text: &str, field: &'static str) -> Result<f64, ProtocolError> {
     let number: Option<f64> = text.parse().ok();
     number.filter(|number| number.is_finite() && *number >= 0.0).ok_or(ProtocolError::Invalid(field))
--- a/crates/node/src/protocol/open.rs
+++ b/crates/node/src/protocol/open.rs
@@ -7,25 +7,25 @@
 use super::{ClientId, ClientMessage, Names, OpenLine, OpenRequest, ProtocolError};
 use crate::hash::hash_name;
 
-/// The longest that a client may say it waits, in milliseconds: a day. Connections from before a start say
-/// hours.
+/// Maximum waiting time that a client may send, in milliseconds: one day. Connections from before a start
+/// send hours.
 const MAX_WAIT_MILLISECONDS: f64 = 86_400_000.0;
 
-/// More than a million cores is no load. In milliseconds of work per second.
+/// Maximum load in milliseconds of work per second. More than a million cores is not a real load.
 const MAX_LOAD_MILLISECONDS: f64 = 1e9;
 
-/// Fields of one line; nine are in use.
+/// Maximum number of fields in one line; nine are in use.
 const MAX_FIELDS: usize = 32;
 
 impl ClientMessage {
-    /// Parses a first line with its end.
+    /// Parses a first line with its line ending.
     ///
-    /// It is strict: a line that is let through unread costs a host a connection and counts there as the
-    /// host's failure.
+    /// Parsing is strict: an invalid line that is forwarded costs a host a connection and counts as a failure
+    /// of that host.
     ///
     /// # Errors
     ///
-    /// Whatever is not exactly of the form is a [`ProtocolError`].
+    /// Fails with a [`ProtocolError`] if the line does not have exactly this form.
     pub(crate) fn parse(line: Vec<u8>, names: &Names) -> Result<ClientMessage, ProtocolError> {
         let text = printable_text(&line)?;
         if text == "PING" {
@@ -61,14 +61,14 @@
     }
 }
 
-/// The list of an `OPEN` line.
+/// The field list of an `OPEN` line.
 #[derive(Default)]
 struct OpenFields {
     traffic: Option<ClassId>,
     tenant: TenantId,
     group: Option<GroupId>,
     wait: Option<Span>,
-    /// Within the line.
+    /// Position of the waiting time in the line.
     wait_range: Range<usize>,
     load: Option<f64>,
     is_repeat: bool,
@@ -77,7 +77,7 @@
 }
 
 impl OpenFields {
-    /// `list_start` is where the list begins in the line.
+    /// Parses the field list, which begins at `list_start` in the line.
     fn parse(list: &str, list_start: usize, names: &Names) -> Result<OpenFields, ProtocolError> {
         let mut fields = OpenFields::default();
         let mut field_start = list_start;
@@ -95,7 +95,7 @@
         Ok(fields)
     }
 
-    /// Fields that the node does not know are for the host alone.
+    /// Sets one field. Unknown fields are ignored, as they are meant for the host.
     fn set(
         &mut self,
         name: &str,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The line without its end.
+/// The line without its CRLF, if it is printable ASCII.
 fn printable_text(line: &[u8]) -> Result<&str, ProtocolError> {
     let line = line.strip_suffix(b"\r\n").ok_or(ProtocolError::NotText)?;
     let text = std::str::from_utf8(line).map_err(|_| ProtocolError::NotText)?;
@@ -137,14 +137,14 @@
     if is_number { u64::from_str_radix(text, 16).ok() } else { None }
 }
 
-/// Keys and groups are hexadecimal as a rule; any other text is hashed. `-` and 0 stand for none.
+/// Parses a key or group. Most are hexadecimal; any other text is hashed. `-` and 0 mean none.
 fn parse_key(text: &str) -> Option<u64> {
     let number = parse_hexadecimal(text).unwrap_or_else(|| hash_name(text));
     Some(number).filter(|number| *number != 0 && text != "-")
 }
 
-/// Decimal digits, perhaps with a fraction. The standard parser also takes signs, exponents and words such as
-/// `inf`, which hosts refuse.
+/// Parses decimal digits with an optional fraction. The standard parser also accepts signs, exponents and
+/// words such as `inf`, which hosts refuse.
 fn parse_decimal(text: &str, field: &'static str, maximum: f64) -> Result<f64, ProtocolError> {
     let is_plain = text.starts_with(|first: char| first.is_ascii_digit())
         && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/crates/node/src/protocol/tests.rs
+++ b/crates/node/src/protocol/tests.rs
@@ -10,7 +10,7 @@
 use super::{Answer, ClientMessage, HostMessage, Names};
 use crate::hash::hash_name;
 
-/// One line for each parsed or written message, recorded before the parser was last restructured.
+/// One line for each parsed or written message, recorded before the last change of the parser's structure.
 const TRACE: &str = include_str!("../../tests/fixtures/protocol-trace.txt");
 
 fn names(groups: bool) -> Names {
