--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node shows of itself: counted where a thing happens, put together when somebody asks.
+//! The node's metrics: counted where events happen, put together when the metrics page is requested.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Its connection came up.
+    /// Its connection was established.
     Success,
-    /// Turned away: a new try does no harm.
+    /// It was rejected; a retry is safe.
     Busy,
     /// It failed, or may have run without an answer.
     Failure,
@@ -30,11 +30,11 @@
 /// Calls of all classes, since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CallTotals {
-    /// Calls that ended or opened.
+    /// Calls that ended or were established.
     pub calls: u64,
     /// Those of them that failed.
     pub failed: u64,
-    /// Those of them that were turned away.
+    /// Those of them that were rejected.
     pub busy: u64,
 }
 
@@ -42,27 +42,27 @@
 pub(crate) struct Metrics {
     /// Name and counts of each class, in the order of their numbers.
     classes: Vec<(String, CallCounts)>,
-    /// Attempts whose line was written to a host whole.
+    /// Attempts whose line was completely written to a host.
     pub attempts: u64,
 }
 
 impl Metrics {
-    /// Metrics in which every class stands from the start, with 0.
+    /// Creates metrics with a count of 0 for every class.
     pub(crate) fn new(class_names: &[String]) -> Metrics {
         let mut metrics = Metrics { classes: Vec::new(), attempts: 0 };
         metrics.name(class_names);
         metrics
     }
 
-    /// Adds the classes that the settings name since they changed, with 0.
+    /// Adds the classes that are new in changed settings, with counts of 0.
     pub(crate) fn name(&mut self, class_names: &[String]) {
         let new_names = class_names.iter().skip(self.classes.len());
         self.classes.extend(new_names.map(|name| (name.clone(), CallCounts::default())));
     }
 
-    /// Counts a call. It is called once for each call that was read, or sums would drift from what clients
-    /// saw: when its connection comes up, when it is turned away unread by the decisions, or when it is
-    /// forgotten unopened.
+    /// Counts a call. Must be called once for each call that was read, or the sums would differ from what
+    /// clients saw: when its connection is established, when it is rejected before it reaches the decisions,
+    /// or when it is removed without having been established.
     pub(crate) fn count(&mut self, class: ClassId, outcome: Outcome) {
         let Some((_, counts)) = self.classes.get_mut(usize::from(class.0)) else { return };
         match outcome {
@@ -89,22 +89,22 @@
     }
 }
 
-/// The body of the admin interface's metrics page. The names of its fields are those of the page.
+/// The body of the admin interface's metrics page. Its field names are the keys of the page.
 #[derive(Debug, Serialize)]
 pub(crate) struct MetricsPage {
     /// Calls by class and outcome.
     pub calls: BTreeMap<String, CallCounts>,
-    /// Attempts whose line was written to a host whole.
+    /// Attempts whose line was completely written to a host.
     pub backend_calls: u64,
-    /// Calls in flight, open ones among them.
+    /// Calls in flight, including open ones.
     pub inflight: usize,
     /// Calls that have had no answer yet.
     pub waiting: usize,
     /// Hosts in the endpoint list.
     pub hosts_listed: usize,
-    /// Hosts in the list that get no calls now.
+    /// Hosts in the list that currently get no calls.
     pub hosts_down: usize,
-    /// The longest turn of the event loop since the page was last read, in milliseconds.
+    /// The longest iteration of the event loop since the page was last read, in milliseconds.
     pub slowest_turn_ms: f64,
 }
 
@@ -115,12 +115,12 @@
         self.calls.iter().filter(|(_, call)| is_waiting(call.stage)).count()
     }
 
-    /// Number of hosts in the endpoint list that the decisions keep away from.
+    /// Number of hosts in the endpoint list that the decisions avoid.
     pub(crate) fn hosts_down(&self) -> usize {
         self.hosts.listed().filter(|host| self.is_host_ejected(*host)).count()
     }
 
-    /// The metrics as they are now. The longest turn counts anew from here on.
+    /// The current metrics. Resets the longest iteration of the event loop.
     pub(crate) fn metrics_page(&mut self) -> MetricsPage {
         let slowest_turn = std::mem::take(&mut self.slowest_turn);
         MetricsPage {
