--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -25,8 +25,8 @@
 use crate::socket::{ConnectionId, SocketRole};
 use crate::timers::TimerEvent;
 
-/// Maximum number of concurrent callers: one or two scrapers, an operator, and some slow callers. Their file
-/// descriptors are reserved and not available to clients, so the number is small.
+/// Maximum number of concurrent callers: one or two scrapers, an operator, and as many slow callers. Their
+/// file descriptors are reserved and not available to clients, so the number is small.
 pub(crate) const CALLERS: usize = 12;
 
 /// A caller that has not sent its request or not received the reply within this time is dropped.
--- a/crates/node/src/config/decode.rs
+++ b/crates/node/src/config/decode.rs
@@ -239,7 +239,7 @@
     let Some(limit) = limit else { return Ok(DEFAULT_DESCRIPTORS) };
     match limit.as_u64().filter(|number| DESCRIPTORS.contains(number)) {
         Some(number) => Ok(number as usize),
-        None => Err(invalid("limits.sockets", &limit.to_string(), "a whole number from 64 on")),
+        None => Err(invalid("limits.sockets", &limit.to_string(), "a whole number from 64 to 1048575")),
     }
 }
 
--- a/crates/node/src/http/request.rs
+++ b/crates/node/src/http/request.rs
@@ -2,7 +2,7 @@
 
 use super::{HEAD_END, find};
 
-/// Maximum length of a request's head in bytes; typical ones have a few hundred.
+/// Maximum length of a request's head in bytes; expected ones have a few hundred.
 const MAX_HEAD: usize = 8 << 10;
 
 /// Maximum length of a request's body in bytes; release plans are the longest.
--- a/crates/node/src/http/response.rs
+++ b/crates/node/src/http/response.rs
@@ -21,7 +21,7 @@
     /// The length is not a number, or a chunk is malformed.
     #[error("the response has an invalid length or chunk")]
     Length,
-    /// The body is longer than the maximum.
+    /// The body is longer than any endpoint list.
     #[error("the response is larger than {0} bytes")]
     TooLong(usize),
     /// The connection ended before the response did.
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -3,39 +3,43 @@
 use test_case::test_case;
 
 /// Split in two anywhere, or byte by byte, a request reads the same, and never before its last byte.
-#[test_case("GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", Ok(Method::Get); "a question")]
-#[test_case("HEAD /v1/readyz HTTP/1.0\r\n\r\n", Ok(Method::Head); "a question without headers")]
+#[test_case("GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", Ok(Method::Get); "GET request")]
+#[test_case("HEAD /v1/readyz HTTP/1.0\r\n\r\n", Ok(Method::Head); "HEAD request without headers")]
 #[test_case("POST / HTTP/1.1\r\ncontent-length: 3\r\nA:\tb\r\n\r\nx\r\n", Ok(Method::Post); "a body")]
 #[test_case("DELETE /a?b HTTP/1.1\r\n\r\n", Ok(Method::Other); "another method")]
-#[test_case("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Err(Refusal::Coding); "chunks")]
+#[test_case("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Err(Refusal::Coding); "chunked body")]
 #[test_case("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Err(Refusal::Head); "two lengths")]
 #[test_case("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Err(Refusal::Head); "a signed length")]
 #[test_case("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", Err(Refusal::BodyTooLarge); "a huge length")]
 #[test_case("GET / HTTP/1.1\r\nA : b\r\n\r\n", Err(Refusal::Head); "a space before the colon")]
 #[test_case("GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", Err(Refusal::Head); "a folded line")]
 #[test_case("GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", Err(Refusal::Head); "a lone LF")]
-#[test_case("GET /a b HTTP/1.1\r\n\r\n", Err(Refusal::Head); "four words")]
+#[test_case("GET /a b HTTP/1.1\r\n\r\n", Err(Refusal::Head); "four words in the request line")]
 #[test_case("GET / HTTP/2.0\r\n\r\n", Err(Refusal::Version); "another version")]
-#[test_case("PING\r\n\r\n", Err(Refusal::Head); "a line for clients")]
-fn requests_are_read_the_same_however_cut(text: &str, want: Result<Method, Refusal>) {
+#[test_case("PING\r\n\r\n", Err(Refusal::Head); "line of the client protocol")]
+fn requests_read_the_same_however_split(text: &str, expected: Result<Method, Refusal>) {
     for cut in 0..text.len() {
         let (mut reader, mut inbox) = (RequestReader::default(), text.as_bytes()[..cut].to_vec());
         let first = reader.read(&mut inbox);
-        if want.is_ok() {
+        if expected.is_ok() {
             assert_eq!(first, Ok(None), "cut at {cut}");
         }
         inbox.extend_from_slice(&text.as_bytes()[cut..]);
-        let said = first.and_then(|_| reader.read(&mut inbox));
-        assert_eq!(said.map(|request| request.map(|request| request.method)), want.map(Some), "cut at {cut}");
+        let result = first.and_then(|_| reader.read(&mut inbox));
+        assert_eq!(
+            result.map(|request| request.map(|request| request.method)),
+            expected.map(Some),
+            "cut at {cut}"
+        );
     }
-    let (mut reader, mut inbox, mut said) = (RequestReader::default(), Vec::new(), Ok(None));
+    let (mut reader, mut inbox, mut result) = (RequestReader::default(), Vec::new(), Ok(None));
     for byte in text.bytes() {
-        if said == Ok(None) {
+        if result == Ok(None) {
             inbox.push(byte);
-            said = reader.read(&mut inbox);
+            result = reader.read(&mut inbox);
         }
     }
-    assert_eq!(said.map(|request| request.map(|Request { method, .. }| method)), want.map(Some));
+    assert_eq!(result.map(|request| request.map(|Request { method, .. }| method)), expected.map(Some));
 }
 
 #[test]
@@ -53,11 +57,11 @@
 
 /// Split in two anywhere, or byte by byte, a response reads the same: nothing before its last byte, and no
 /// byte of the next.
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, "hello"; "by length")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, "hello"; "Content-Length")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n",
-    200, "hello"; "in chunks, with a trailer")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 503, ""; "a refusal")]
-fn responses_are_read_the_same_however_cut(text: &str, status: u16, body: &str) {
+    200, "hello"; "chunked with a trailer")]
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 503, ""; "empty body")]
+fn responses_read_the_same_however_split(text: &str, status: u16, body: &str) {
     for cut in 0..text.len() {
         let (mut reader, mut inbox) = (ResponseReader::default(), text.as_bytes()[..cut].to_vec());
         assert_eq!(reader.read(&mut inbox, false), Ok(None));
@@ -84,7 +88,8 @@
     assert_eq!((reply.body.as_slice(), reply.keeps_open), (b"hello".as_slice(), false));
 }
 
-/// Reading a list of thousands of hosts in pieces of a few bytes takes linear time, not quadratic time.
+/// Reading a list of thousands of hosts in pieces of a few bytes takes milliseconds: linear time, not
+/// quadratic time.
 #[test]
 fn response_in_many_pieces_takes_linear_time() {
     let body = "x".repeat(1 << 20);
@@ -101,10 +106,10 @@
 }
 
 #[test_case("SSH-2.0\r\n\r\n"; "another protocol")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"; "a length that is none")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"; "more than is taken")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "a chunk that is none")]
-#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"; "a chunk that is longer")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n"; "length is not a number")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"; "body too long")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"; "invalid chunk size")]
+#[test_case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc"; "chunk longer than its size")]
 fn invalid_responses_are_refused(text: &str) {
     assert!(ResponseReader::default().read(&mut text.as_bytes().to_vec(), false).is_err());
 }
--- a/crates/node/src/protocol/mod.rs
+++ b/crates/node/src/protocol/mod.rs
@@ -44,7 +44,7 @@
     pub traffic: Vec<String>,
     /// Tenants, field `t`.
     pub tenants: Vec<String>,
-    /// Whether field `g` is read as a group of clients.
+    /// Whether field `g` names a group of clients, not the client itself.
     pub groups: bool,
 }
 
--- a/crates/node/src/protocol/tests.rs
+++ b/crates/node/src/protocol/tests.rs
@@ -19,8 +19,8 @@
     Names { traffic, tenants, groups }
 }
 
-#[test_case("OPEN 9b1f 7f3a c=chat,t=one,d=2000,g=5c0f,r=1,again=0,h=1.5,zz=9\r\n", true; "all names")]
-#[test_case("OPEN 9b1f - c=chat,d=4294967,at=s-1\r\n", true; "from before the start")]
+#[test_case("OPEN 9b1f 7f3a c=chat,t=one,d=2000,g=5c0f,r=1,again=0,h=1.5,zz=9\r\n", true; "all fields")]
+#[test_case("OPEN 9b1f - c=chat,d=4294967,at=s-1\r\n", true; "with a previous host")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=2000\n", false; "no CR")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=2000 \r\n", false; "a stray space")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=20\x0000\r\n", false; "a stray byte")]
@@ -29,16 +29,16 @@
 #[test_case("OPEN 9b1f9b1f9b1f9b1f9 7f3a c=chat,d=2000\r\n", false; "an id of 17 digits")]
 #[test_case("OPEN 9b1f 7f3a c=chats,d=2000\r\n", false; "no such traffic type")]
 #[test_case("OPEN 9b1f 7f3a c=chat,t=,d=2000\r\n", false; "no tenant named")]
-#[test_case("OPEN 9b1f 7f3a c=chat,d=soon\r\n", false; "a time that is none")]
+#[test_case("OPEN 9b1f 7f3a c=chat,d=soon\r\n", false; "time is not a number")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=-5\r\n", false; "a negative time")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=+5\r\n", false; "a time with a sign")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=1e3\r\n", false; "a time with an exponent")]
-#[test_case("OPEN 9b1f 7f3a c=chat,d=0\r\n", false; "no time")]
+#[test_case("OPEN 9b1f 7f3a c=chat,d=0\r\n", false; "zero time")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=99999999999999999999999\r\n", false; "a huge time")]
-#[test_case("OPEN 9b1f 7f3a c=chat,d=2000,d=3000\r\n", false; "a name said twice")]
-#[test_case("OPEN 9b1f 7f3a c=chat,d=2000,r=2\r\n", false; "a mark that is none")]
+#[test_case("OPEN 9b1f 7f3a c=chat,d=2000,d=3000\r\n", false; "duplicate field")]
+#[test_case("OPEN 9b1f 7f3a c=chat,d=2000,r=2\r\n", false; "invalid flag")]
 #[test_case("OPEN 9b1f 7f3a c=chat,,d=2000\r\n", false; "an empty field")]
-#[test_case("PING \r\n", false; "more than PING")]
+#[test_case("PING \r\n", false; "PING with a trailing space")]
 fn only_well_formed_open_lines_are_accepted(line: &str, accepted: bool) {
     let message = ClientMessage::parse(line.as_bytes().to_vec(), &names(true));
     assert_eq!(matches!(message, Ok(ClientMessage::Open(_))), accepted, "{message:?}");
