--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -29,7 +29,8 @@
 /// file descriptors are reserved and not available to clients, so the number is small.
 pub(crate) const CALLERS: usize = 12;
 
-/// A caller that has not sent its request or not received the reply within this time is dropped.
+/// Maximum lifetime of a caller's connection from accepting it; limits callers that are slow to send a
+/// request or to take the reply.
 const CALLER_TIMEOUT: Span = Span::ms(5_000);
 
 /// Maximum number of bytes that a caller may send after its request before it is dropped.
@@ -107,7 +108,7 @@
         self.timers.set(self.now + CALLER_TIMEOUT, TimerEvent::AdminTimeout(id));
     }
 
-    /// Drops callers while there are too many, or those that never finish a request would block the others.
+    /// Makes room for one more caller; otherwise callers that never finish a request would block the others.
     /// Drops first a caller whose reply has been sent; else the oldest without a complete request; else the
     /// oldest.
     fn evict_callers(&mut self) {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Drops a caller whose reply has been sent and that has closed its side, or one that keeps sending.
+    /// Drops a caller if both directions of its connection are closed, or if it has sent more than
+    /// [`MAX_DISCARDED`] bytes after its request.
     pub(crate) fn drop_finished_caller(&mut self, id: ConnectionId) {
         let Some(entry) = self.sockets.get(id.0) else { return };
         if entry.connection.is_over() || entry.connection.discarded > MAX_DISCARDED {
--- a/crates/node/src/config/decode.rs
+++ b/crates/node/src/config/decode.rs
@@ -42,8 +42,8 @@
 }
 
 /// Reads the configuration file again. The environment variables still have their values from the start of
-/// the process. The one for the endpoint list's service is ignored: the service may have moved since, and the
-/// node would ask an instance that is about to shut down.
+/// the process. `ROUTER_DISCOVERY` is ignored in favour of the file's key: the service may have moved since,
+/// and a node that used the variable would ask an instance that is about to shut down.
 ///
 /// # Errors
 ///
@@ -264,13 +264,13 @@
 
 fn text_at<'a>(json: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
     let value = json.get(key).ok_or_else(|| missing(key))?;
-    value.as_str().ok_or_else(|| invalid(key, &value.to_string(), "text"))
+    value.as_str().ok_or_else(|| invalid(key, &value.to_string(), "a string"))
 }
 
 fn fleet_text<'a>(fleet: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
     let full_key = format!("fleet.{key}");
     let value = fleet.get(key).ok_or_else(|| missing(&full_key))?;
-    value.as_str().ok_or_else(|| invalid(&full_key, &value.to_string(), "text"))
+    value.as_str().ok_or_else(|| invalid(&full_key, &value.to_string(), "a string"))
 }
 
 fn items<'a>(settings: &'a Value, key: &str) -> Result<&'a [Value], ConfigError> {
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -21,7 +21,7 @@
 
 pub(crate) use self::decode::{anew, from_environment};
 
-/// The environment variable for the log level. Its name is this program's own, as the platform has none.
+/// The environment variable for the log level. The platform defines none, so the name is glendeck's own.
 const LOG_VARIABLE: &str = "GLENDECK_LOG";
 
 /// Why a configuration is invalid. Each message names the key at fault.
@@ -99,7 +99,7 @@
     pub descriptors: usize,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// The endpoint list's service is the node's own agent; its list counts as received at once.
+    /// Whether the endpoint list's service is the node's own agent, whose list counts as received at once.
     pub list_is_pushed: bool,
     /// Names of classes and tenants, by their numbers.
     pub names: Names,
@@ -136,11 +136,12 @@
 
 /// What has changed when the configuration was read again.
 pub(crate) struct ConfigChange {
-    /// The settings of the decisions, or names of classes, tenants or zones, have changed.
+    /// The settings of the decisions, the names of classes, tenants or zones, or the meaning of field `g`
+    /// have changed.
     pub settings: bool,
     /// There are more zones than before.
     pub zones: bool,
-    /// Changed keys that take effect only in a new process.
+    /// Those of `name`, `listen`, `admin` and `fleet` that changed, which only a new process applies.
     pub later: Vec<&'static str>,
 }
 
@@ -173,7 +174,7 @@
         ConfigChange { settings: has_new_settings || has_new_zones, zones: has_new_zones, later }
     }
 
-    /// The changed keys that a running process cannot apply.
+    /// Those of `name`, `listen`, `admin` and `fleet` that changed; a running process cannot apply them.
     fn changes_for_new_process(&self, new: &NodeConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != new.name),
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -19,7 +19,7 @@
 #[test_case("\"maxLegs\":3", "\"maxLegs\":-1", Some("caps.maxLegs"); "number out of range")]
 #[test_case("2000.0", "\"long\"", Some("trafficTypes.0.guardTimeMs"); "time is not a number")]
 #[test_case("\"tickMs\"", "\"weightKind\":\"odd\",\"tickMs\"", Some("weightKind"); "unknown weight kind")]
-#[test_case("\"tickMs\"", "\"weightKind\":\"live\",\"tickMs\"", None; "live weights")]
+#[test_case("\"tickMs\"", "\"weightKind\":\"live\",\"tickMs\"", None; "live weights, which fall with load")]
 #[test_case("\"tickMs\"", "\"loadReport\":{\"source\":\"probe\"},\"tickMs\"", Some("loadReport.source"); "load reports from forbidden probes")]
 #[test_case("\"pushed\"", "\"told\"", Some("membershipMode"); "unknown membership mode")]
 #[test_case("\"known\":null", "\"known\":{}", Some("known"); "invalid endpoint list")]
--- a/crates/node/src/http/request.rs
+++ b/crates/node/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests to the admin interface, parsed strictly by RFC 9112.
+//! Requests to the admin interface, parsed strictly by RFC 9112, except that Host is not required.
 
 use super::{HEAD_END, find};
 
@@ -66,7 +66,7 @@
     missing: usize,
 }
 
-/// Reads a request that arrives in pieces; each byte is examined once, however the request is split.
+/// Reads a request that arrives in pieces; in linear time, however the request is split.
 #[derive(Default)]
 pub(crate) struct RequestReader {
     /// Number of bytes already searched for the end of the head.
@@ -124,7 +124,7 @@
             }
             if name.eq_ignore_ascii_case("content-length") {
                 let value = parse_length(value)?;
-                // A reader that uses the other of two different lengths sees other requests.
+                // Two different lengths allow request smuggling: another reader may use the other length.
                 if length.is_some_and(|length| length != value) {
                     return Err(Refusal::Head);
                 }
--- a/crates/node/src/http/response.rs
+++ b/crates/node/src/http/response.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum HttpError {
     /// The head is not HTTP, or too long.
-    #[error("the head of the response is not valid HTTP/1.x")]
+    #[error("the head of the response is not valid HTTP/1.x or is too long")]
     Head,
     /// The length is not a number, or a chunk is malformed.
     #[error("the response has an invalid length or chunk")]
@@ -73,7 +73,7 @@
 }
 
 /// Reads a response that arrives in pieces. A list arrives in hundreds of them; searching it from the start
-/// for each piece would use up a core that calls need. So each byte is examined once, however it is split.
+/// for each piece would use up a core that calls need. So it takes linear time, however it is split.
 #[derive(Default)]
 pub(crate) struct ResponseReader {
     /// Number of bytes of the inbox already searched.
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -60,7 +60,7 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", 200, "hello"; "Content-Length")]
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n",
     200, "hello"; "chunked with a trailer")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 503, ""; "empty body")]
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 503, ""; "error status with an empty body")]
 fn responses_read_the_same_however_split(text: &str, status: u16, body: &str) {
     for cut in 0..text.len() {
         let (mut reader, mut inbox) = (ResponseReader::default(), text.as_bytes()[..cut].to_vec());
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -8,7 +8,7 @@
 use crate::call::CallStage;
 use crate::service::Service;
 
-/// How a call ended for its client.
+/// The outcome of a call's setup, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     /// Its connection was established.
@@ -102,7 +102,7 @@
     pub waiting: usize,
     /// Hosts in the endpoint list.
     pub hosts_listed: usize,
-    /// Hosts in the list that currently get no calls.
+    /// Hosts in the list that are ejected.
     pub hosts_down: usize,
     /// The longest iteration of the event loop since the page was last read, in milliseconds.
     pub slowest_turn_ms: f64,
@@ -115,7 +115,7 @@
         self.calls.iter().filter(|(_, call)| is_waiting(call.stage)).count()
     }
 
-    /// Number of hosts in the endpoint list that the decisions avoid.
+    /// Number of hosts in the endpoint list that are ejected.
     pub(crate) fn hosts_down(&self) -> usize {
         self.hosts.listed().filter(|host| self.is_host_ejected(*host)).count()
     }
--- a/crates/node/src/protocol/mod.rs
+++ b/crates/node/src/protocol/mod.rs
@@ -26,10 +26,10 @@
     /// The line has bytes other than printable ASCII, or does not end in CRLF.
     #[error("the line is not printable ASCII with CRLF at its end")]
     NotText,
-    /// The line begins with neither `OPEN` nor `PING`.
+    /// The line is not `PING` and does not begin with `OPEN` and a space.
     #[error("the line is neither OPEN nor PING")]
     UnknownVerb,
-    /// A required part of the request is absent.
+    /// A required part of the request is absent, or its waiting time is zero.
     #[error("OPEN lacks {0}")]
     Missing(&'static str),
     /// A part of the request is invalid.
--- a/crates/node/src/protocol/open.rs
+++ b/crates/node/src/protocol/open.rs
@@ -7,8 +7,8 @@
 use super::{ClientId, ClientMessage, Names, OpenLine, OpenRequest, ProtocolError};
 use crate::hash::hash_name;
 
-/// Maximum waiting time that a client may send, in milliseconds: one day. Connections from before a start
-/// send hours.
+/// Maximum waiting time that a client may send, in milliseconds: one day. Clients whose connection was
+/// open before the node started send hours.
 const MAX_WAIT_MILLISECONDS: f64 = 86_400_000.0;
 
 /// Maximum load in milliseconds of work per second. More than a million cores is not a real load.
@@ -25,7 +25,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with a [`ProtocolError`] if the line does not have exactly this form.
+    /// Fails if the line is not exactly of the form that this module describes, has a value out of range, or
+    /// uses a class or tenant that is not in `names`.
     pub(crate) fn parse(line: Vec<u8>, names: &Names) -> Result<ClientMessage, ProtocolError> {
         let text = printable_text(&line)?;
         if text == "PING" {
--- a/crates/node/src/protocol/tests.rs
+++ b/crates/node/src/protocol/tests.rs
@@ -10,7 +10,7 @@
 use super::{Answer, ClientMessage, HostMessage, Names};
 use crate::hash::hash_name;
 
-/// One line for each parsed or written message, recorded before the last change of the parser's structure.
+/// One line for each parsed or written message, as recorded before the parser was restructured.
 const TRACE: &str = include_str!("../../tests/fixtures/protocol-trace.txt");
 
 fn names(groups: bool) -> Names {
@@ -19,7 +19,7 @@
     Names { traffic, tenants, groups }
 }
 
-#[test_case("OPEN 9b1f 7f3a c=chat,t=one,d=2000,g=5c0f,r=1,again=0,h=1.5,zz=9\r\n", true; "all fields")]
+#[test_case("OPEN 9b1f 7f3a c=chat,t=one,d=2000,g=5c0f,r=1,again=0,h=1.5,zz=9\r\n", true; "all fields but at, and an unknown one")]
 #[test_case("OPEN 9b1f - c=chat,d=4294967,at=s-1\r\n", true; "with a previous host")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=2000\n", false; "no CR")]
 #[test_case("OPEN 9b1f 7f3a c=chat,d=2000 \r\n", false; "a stray space")]
